--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -170,12 +170,12 @@
       tell([](Rules& rules) { rules.woken(); });
       break;
     case wire::kVanished: {
-      CallbackId id{in.get<std::uint32_t>("rid")};
+      MessageId id{in.get<std::uint32_t>("rid")};
       tell([&](Rules& rules) { rules.clientGone(id); });
       break;
     }
     case wire::kUnderWay: {
-      CallbackId id{in.get<std::uint32_t>("rid")};
+      MessageId id{in.get<std::uint32_t>("rid")};
       int launch = in.get<std::uint8_t>("round-no");
       in.endpoint();
       in.get<double>("spent-s");
@@ -188,10 +188,10 @@
       break;
     }
     case wire::kDemand: {
-      CallbackId id{in.get<std::uint32_t>("rid")};
+      MessageId id{in.get<std::uint32_t>("rid")};
       TrafficTypeId type{in.get<std::uint16_t>("lane")};
       TenantId tenant{in.get<std::uint16_t>("customer")};
-      KeyId key{in.get<std::uint64_t>("entity")};
+      OrderingKey key{in.get<std::uint64_t>("entity")};
       Millis outerLimit = finite(in.get<double>("client-deadline-s"), "client-deadline-s") * kMillisPerSecond;
       in.get<double>("expected-s");
       double destination = finite(in.get<float>("dest"), "dest");
@@ -202,7 +202,7 @@
       break;
     }
     case wire::kCompleted: {
-      CallbackId id{in.get<std::uint32_t>("rid")};
+      MessageId id{in.get<std::uint32_t>("rid")};
       int launch = in.get<std::uint8_t>("round-no");
       in.endpoint();
       Ending ending = endingOf(in.get<std::uint16_t>("ending"));
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -23,23 +23,23 @@
   switch (d.act) {
     case Act::launch:
       begin(kAttempt, who);
-      put(d.callback.value);
+      put(d.message.value);
       endpoint();
       put(d.span / kMillisPerSecond);
       break;
     case Act::withdraw:
       begin(kWithdraw, who);
-      put(d.callback.value);
+      put(d.message.value);
       put(static_cast<std::uint8_t>(d.launch));
       break;
     case Act::shed:
       begin(kTurnAway, who);
-      put(d.callback.value);
+      put(d.message.value);
       put(d.span / kMillisPerSecond);
       break;
     case Act::giveUp:
       begin(kRespondError, who);
-      put(d.callback.value);
+      put(d.message.value);
       break;
     case Act::probe:
       begin(kTest, who);
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -53,7 +53,7 @@
 }
 
 // When there will be room for one more: behind those that were refused before it, at the rate at which
-// callbacks end. A folder that hangs lets nothing end, and nobody knows for how long: it is thought to go on
+// messages end. A folder that hangs lets nothing end, and nobody knows for how long: it is thought to go on
 // for as long again, but a refusal costs no more time than no answer would, since who comes back may meet
 // another dispatcher. Drawn apart, so that not all come back at the same moment.
 Millis Admission::advice(Millis now, Millis hangs) {
--- a/src/admission/admission.h
+++ b/src/admission/admission.h
@@ -5,7 +5,7 @@
 
 #include "core/ids.h"
 
-// Whether a callback is taken on at all, decided before it is written to the journal. The rules decide about
+// Whether a message is accepted at all, decided before it is written to the journal. The rules decide about
 // what is held; this decides only about our own overload: no place, no room in the journal, a folder that
 // hangs, or a loop that is behind. No clock, no chance and no sockets of its own.
 namespace stonewing {
@@ -15,7 +15,7 @@
   bool mayAdvise{false};    // whether a refusal may tell when to come again
   Millis longestAdvice{0};  // and how far ahead at most
   double gainMost{1};       // of any traffic type
-  double overShareGain{1};  // what a callback over its tenant's share counts, of one within it
+  double overShareGain{1};  // what a message over its tenant's share counts, of one within it
 };
 
 struct AdmissionFacts {
@@ -38,9 +38,9 @@
 
   // A turn of the loop is over; it worked for so long, sleep not counted.
   void turnEnded(Millis now, Millis worked);
-  // A callback that was held is over, in whatever way.
+  // A message that was held is over, in whatever way.
   void ended(Millis now);
-  // One asks to be taken on. gain: of its type; overShare: its tenant is above its share.
+  // One asks to be accepted. gain: of its type; overShare: its tenant is above its share.
   AdmissionCall asked(const AdmissionFacts& facts, double gain, bool overShare);
 
   // Refused for another cause, such as a journal that would not take it: when to come again.
--- a/src/core/decision.h
+++ b/src/core/decision.h
@@ -15,7 +15,7 @@
 // One decision; a field that its act does not need stays at zero.
 struct Decision {
   Act act{};
-  CallbackId callback{};
+  MessageId message{};
   EndpointId endpoint{};
   int launch{};
   Millis span{};  // launch: its time-out; shed: stay away for; wake: the time of the clock
--- a/src/core/facts.cpp
+++ b/src/core/facts.cpp
@@ -81,7 +81,7 @@
     t.repeatWindow = millis(row, "repeat-window-s");
     if (t.repeatWindow < 0) wrong(name, "repeat-window-s", row["repeat-window-s"], "0 or more");
     std::string group = get<std::string>(row, "group");
-    // A cell is a destination: all the endpoints that a callback may go to.
+    // A cell is a destination: all the endpoints that a message may go to.
     if (group != "all" && group != "zone" && group != "cell")
       wrong(name, "group", group, "\"all\", \"zone\" or \"cell\"");
     t.zoneGroup = group == "zone";
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -11,14 +11,14 @@
   auto operator<=>(const Id&) const = default;
 };
 
-using CallbackId = Id<struct CallbackTag, std::uint32_t>;
+using MessageId = Id<struct MessageTag, std::uint32_t>;
 using EndpointId = Id<struct EndpointTag, std::uint64_t>;
 using DestinationId = Id<struct DestinationTag, std::uint16_t>;
 using KindId = Id<struct KindTag, std::uint8_t>;
 using ZoneId = Id<struct ZoneTag, std::uint8_t>;
 using TenantId = Id<struct TenantTag, std::uint16_t>;
 using TrafficTypeId = Id<struct TrafficTypeTag, std::uint16_t>;
-using KeyId = Id<struct KeyTag, std::uint64_t>;
+using OrderingKey = Id<struct OrderingKeyTag, std::uint64_t>;
 
 // Times and spans are milliseconds with fractions.
 using Millis = double;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -33,21 +33,22 @@
   bool spilled{false};  // into another room than its destination's best, which is in trouble
 };
 
-struct Callback {
+struct Message {
   TrafficTypeId type{};
   TenantId tenant{};
-  KeyId key{};
+  OrderingKey orderingKey{};
   Destination* destination{};
-  Millis outerLimit{};
-  Millis notBefore{};
-  bool overShare{false};
-  bool over{false};
-  bool started{false};
+  Millis deadline{};
+  Millis retryNotBefore{};
+  bool overQuota{false};
+  bool finished{false};
+  bool responseStarted{false};
   bool copied{false};
   std::vector<Launch> launches;
-  std::optional<WaitKind> waits{};  // the line it stands in; none while a launch is out, or once it is over
+  std::optional<WaitClass>
+      waitClass{};  // the line it stands in; none while a launch is out, or once it is over
 
-  bool settled() const {
+  bool hasNoPendingAttempt() const {
     return std::none_of(launches.begin(), launches.end(), [](const Launch& l) { return l.out; });
   }
 };
@@ -152,9 +153,9 @@
 struct Destination {
   DestinationId id{};
   std::vector<Endpoint*> ranking;
-  int taken{0};
+  int acceptedCount{0};
   int callsOut{0};
-  Waiting waiting;
+  WaitQueue waitQueue;
 };
 
 struct Call {
@@ -163,18 +164,18 @@
 };
 
 // What is left of a tenant's quota here.
-struct Tenant {
-  double left{0};
-  Millis seen{0};
-  double taken{0};
+struct TenantQuota {
+  double tokens{0};
+  Millis refilledAt{0};
+  double acceptedCount{0};
 };
 
-struct KeyLine {
-  std::deque<CallbackId> waiting;
-  Millis restUntil{0};
+struct OrderedQueue {
+  std::deque<MessageId> messages;
+  Millis pausedUntil{0};
 };
 
-// The nodes of its maps stay where they are: launches, endpoints and callbacks point at them.
+// The nodes of its maps stay where they are: launches, endpoints and messages point at them.
 struct InstanceState {
   explicit InstanceState(Rooms asked) : rooms(std::move(asked)) {}
   Rooms rooms;
@@ -182,7 +183,7 @@
   Millis began{-1};
   int round{0};
   int slotsUsed{0};
-  int held{0};
+  int messagesInFlight{0};
   int nextCall{1};
   double retryBudget{0};
   int callsMade{0};
@@ -191,48 +192,48 @@
   Millis idleTrusted{0};           // connections idle for no longer than this are thought to work
   std::deque<Endpoint*> released;  // endpoints whose last call has ended
   Millis wakeAsked{-1};
-  std::map<CallbackId, Callback> callbacks;
+  std::map<MessageId, Message> messages;
   std::map<EndpointId, Endpoint> endpoints;
   std::map<PathId, Path> paths;
   std::map<DestinationId, Destination> destinations;
-  std::set<Destination*> waitedFor;                     // destinations with callbacks that wait
-  std::set<CallbackId> out;                             // callbacks with a launch out
-  std::set<std::pair<Millis, CallbackId>> outerLimits;  // of all that are not over
-  std::set<std::pair<Millis, CallbackId>> spentFrom;    // when a settled one may have no launch left
+  std::set<Destination*> waitedFor;                  // destinations with messages that wait
+  std::set<MessageId> out;                           // messages with a launch out
+  std::set<std::pair<Millis, MessageId>> deadlines;  // of all that are not over
+  std::set<std::pair<Millis, MessageId>> spentFrom;  // when a settled one may have no launch left
   // Endpoints that may need a probe: those where something has changed, and the others by when they are due.
   std::set<EndpointId> trials;
   std::set<std::pair<Millis, EndpointId>> trialsDue;
   std::map<int, Call> calls;
-  std::map<KeyId, KeyLine> keys;
-  std::vector<Tenant> tenants;
-  std::deque<std::pair<CallbackId, int>> losers;
+  std::map<OrderingKey, OrderedQueue> orderedQueues;
+  std::vector<TenantQuota> tenantQuotas;
+  std::deque<std::pair<MessageId, int>> losers;
   std::set<EndpointId> listing;
   Samples samples;
 
-  // A callback is held from now on.
-  Callback& take(CallbackId id, TrafficTypeId type, TenantId tenant, KeyId key, DestinationId destination,
-                 Millis outerLimit) {
-    Callback& c = callbacks[id] = Callback{};
+  // A message is held from now on.
+  Message& take(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
+                Millis outerLimit) {
+    Message& c = messages[id] = Message{};
     c.type = type;
     c.tenant = tenant;
-    c.key = key;
+    c.orderingKey = key;
     c.destination = &destinations[destination];
     c.destination->id = destination;
-    c.outerLimit = outerLimit;
-    ++held;
-    ++c.destination->taken;
+    c.deadline = outerLimit;
+    ++messagesInFlight;
+    ++c.destination->acceptedCount;
     rooms.asked(now, destination);
     return c;
   }
-  Callback* find(CallbackId id) {
-    auto at = callbacks.find(id);
-    return at == callbacks.end() ? nullptr : &at->second;
+  Message* find(MessageId id) {
+    auto at = messages.find(id);
+    return at == messages.end() ? nullptr : &at->second;
   }
   // Endpoints come and go all day under new ids. One that no list has named for so long, and that nothing
   // held was launched at, is forgotten with its path, if that was its own, and a key with its rest.
   void forgetGone(Millis goneFor) {
     std::set<const Endpoint*> named(released.begin(), released.end());
-    for (const auto& [id, c] : callbacks) {
+    for (const auto& [id, c] : messages) {
       for (const Launch& l : c.launches) named.insert(l.endpoint);
     }
     for (auto at = endpoints.begin(); at != endpoints.end();) {
@@ -245,8 +246,8 @@
       paths.erase(ownPath(e.id));
       at = endpoints.erase(at);
     }
-    std::erase_if(keys,
-                  [this](const auto& k) { return k.second.waiting.empty() && k.second.restUntil <= now; });
+    std::erase_if(orderedQueues,
+                  [this](const auto& k) { return k.second.messages.empty() && k.second.pausedUntil <= now; });
   }
   static PathId ownPath(EndpointId id) { return PathId{id.value | (std::uint64_t{1} << 63)}; }
   void failing(Endpoint& e, int failures) {
@@ -274,40 +275,40 @@
     ++e.path->callsOut;
     ++slotsUsed;
   }
-  // Puts a callback where it now belongs; to be called after each change of its launches, and when it is
+  // Puts a message where it now belongs; to be called after each change of its launches, and when it is
   // over.
-  void place(CallbackId id, Callback& c) {
-    bool settled = c.settled();
+  void place(MessageId id, Message& c) {
+    bool settled = c.hasNoPendingAttempt();
     if (settled) {
       out.erase(id);
     } else {
       out.insert(id);
     }
-    std::optional<WaitKind> wanted;
-    if (settled && !c.over) wanted = WaitKind{c.type, c.overShare, !c.launches.empty()};
-    if (c.over) outerLimits.erase({c.outerLimit, id});
-    if (wanted == c.waits) return;
-    Waiting& waiting = c.destination->waiting;
-    rooms.waits(c.destination->id, wanted.has_value() - c.waits.has_value());
-    if (c.waits) waiting.remove(*c.waits, c.outerLimit, id);
-    if (wanted) waiting.add(*wanted, c.outerLimit, id);
-    c.waits = wanted;
+    std::optional<WaitClass> wanted;
+    if (settled && !c.finished) wanted = WaitClass{c.type, c.overQuota, !c.launches.empty()};
+    if (c.finished) deadlines.erase({c.deadline, id});
+    if (wanted == c.waitClass) return;
+    WaitQueue& waiting = c.destination->waitQueue;
+    rooms.waits(c.destination->id, wanted.has_value() - c.waitClass.has_value());
+    if (c.waitClass) waiting.remove(*c.waitClass, c.deadline, id);
+    if (wanted) waiting.add(*wanted, c.deadline, id);
+    c.waitClass = wanted;
     if (waiting.empty()) {
       waitedFor.erase(c.destination);
     } else {
       waitedFor.insert(c.destination);
     }
   }
-  // Nothing more is to be done for a callback that is over and has no launch out.
-  void forgetSettled(CallbackId id) {
-    Callback* c = find(id);
-    if (c == nullptr || !c->over || !c->settled()) return;
-    auto line = keys.find(c->key);
-    if (line != keys.end()) {
-      std::erase(line->second.waiting, id);
-      if (line->second.waiting.empty() && line->second.restUntil <= now) keys.erase(line);
+  // Nothing more is to be done for a message that is over and has no launch out.
+  void forgetSettled(MessageId id) {
+    Message* c = find(id);
+    if (c == nullptr || !c->finished || !c->hasNoPendingAttempt()) return;
+    auto line = orderedQueues.find(c->orderingKey);
+    if (line != orderedQueues.end()) {
+      std::erase(line->second.messages, id);
+      if (line->second.messages.empty() && line->second.pausedUntil <= now) orderedQueues.erase(line);
     }
-    callbacks.erase(id);
+    messages.erase(id);
   }
   // A call is over, and its slot free, with the last outcome in it.
   void releaseCall(const Launch& launch) {
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -29,7 +29,7 @@
   Millis repeatWindow{};
   bool ordered{false};
 
-  // Share of the gain that is left so long after the promised time.
+  // Share of the gain that is left so long after the latency objective.
   double shareLeft(Millis late, Decay decay) const {
     if (late <= 0) return 1;
     if (decay == Decay::halving) return std::max(lateShare, std::exp2(-late / promised));
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -128,7 +128,7 @@
     return !up || (since > 0 && since + kReadyGrace >= from && since <= to && at->second.size() > 1);
   }
 
-  // Rule 1: one end for each callback that was taken on, in time, and nothing sent after it.
+  // Rule 1: one end for each message that was accepted, in time, and nothing sent after it.
   void answers(std::uint32_t c) {
     Ends ends = endsOf(c);
     if (!ends.taken) return;
@@ -287,7 +287,7 @@
     }
   }
 
-  // Rule 5: callbacks of one key run one at a time, in the order in which a dispatcher took them.
+  // Rule 5: messages of one key run one at a time, in the order in which a dispatcher took them.
   void order() {
     std::map<std::pair<std::uint16_t, std::uint32_t>, std::vector<std::uint32_t>> lines;
     for (const Event& e : trace_.events) {
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -19,7 +19,7 @@
 struct Recipe {
   const char* name;
   Choice choice;
-  int launches;  // of a callback, copies not counted
+  int launches;  // of a message, copies not counted
   bool breaker;
   bool copies;
 };
@@ -47,29 +47,29 @@
     for (const ListRow& r : rows) rules_.listed(r.id, r.destination, KindId{0}, r.room, r.weight, r.phase);
     rules_.listEnds(whole);
   }
-  void taken(CallbackId id, TrafficTypeId type, TenantId tenant, KeyId key, DestinationId destination,
+  void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
              Millis outerLimit) override {
     rules_.taken(id, type, tenant, key, destination, outerLimit);
   }
-  void launchedBefore(CallbackId id, EndpointId endpoint, Millis sent, bool neverRan) override {
+  void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) override {
     rules_.launchedBefore(id, endpoint, sent, neverRan);
   }
-  void goesOutOn(CallbackId id, int launch, Millis idle) override { rules_.goesOutOn(id, launch, idle); }
-  void launchEnded(CallbackId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
+  void goesOutOn(MessageId id, int launch, Millis idle) override { rules_.goesOutOn(id, launch, idle); }
+  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
                    Report report) override {
     rules_.launchEnded(id, launch, ending, spent, over, wait, report);
   }
   void probeEnded(EndpointId id, Ending ending, Report report) override {
     rules_.probeEnded(id, ending, report);
   }
-  void clientGone(CallbackId id) override { rules_.clientGone(id); }
+  void clientGone(MessageId id) override { rules_.clientGone(id); }
   void woken() override { rules_.woken(); }
   std::optional<Decision> next() override { return rules_.next(); }
-  bool mayBegin(CallbackId id, int launch) const override { return rules_.mayBegin(id, launch); }
-  int callOf(CallbackId id, int launch) const override {
-    return rules_.state().callbacks.at(id).launches.at(static_cast<std::size_t>(launch)).call;
+  bool mayBegin(MessageId id, int launch) const override { return rules_.mayBegin(id, launch); }
+  int callOf(MessageId id, int launch) const override {
+    return rules_.state().messages.at(id).launches.at(static_cast<std::size_t>(launch)).call;
   }
-  int held() const override { return rules_.state().held; }
+  int held() const override { return rules_.state().messagesInFlight; }
 
  private:
   Rules rules_;
@@ -93,25 +93,25 @@
     }
   }
 
-  void taken(CallbackId id, TrafficTypeId type, TenantId, KeyId key, DestinationId destination,
+  void taken(MessageId id, TrafficTypeId type, TenantId, OrderingKey key, DestinationId destination,
              Millis outerLimit) override {
     Held& h = held_[id];
     h.type = &terms_.types.at(type.value);
     h.destination = destination;
     h.outer = outerLimit;
-    h.key = h.type->ordered ? key : KeyId{};
+    h.key = h.type->ordered ? key : OrderingKey{};
     if (h.key.value != 0) lines_[h.key].push_back(id);
     changed_.insert(id);
     ends_.insert({outerLimit, id});
   }
 
-  void launchedBefore(CallbackId id, EndpointId endpoint, Millis sent, bool neverRan) override {
+  void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) override {
     held_.at(id).launches.push_back({endpoint, sent, false, neverRan, 0});
   }
 
-  void goesOutOn(CallbackId, int, Millis) override {}
+  void goesOutOn(MessageId, int, Millis) override {}
 
-  void launchEnded(CallbackId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
+  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
                    Report) override {
     auto at = held_.find(id);
     if (at == held_.end() || !at->second.launches.at(static_cast<std::size_t>(launch)).out) return;
@@ -140,15 +140,15 @@
   }
 
   void probeEnded(EndpointId, Ending, Report) override {}
-  void clientGone(CallbackId id) override { over(id); }
+  void clientGone(MessageId id) override { over(id); }
   void woken() override { wakeAsked_ = -1; }
-  bool mayBegin(CallbackId id, int launch) const override {
+  bool mayBegin(MessageId id, int launch) const override {
     auto at = held_.find(id);
     if (at == held_.end()) return false;
     const Sent& s = at->second.launches.at(static_cast<std::size_t>(launch));
     return endpoints_.at(s.endpoint).row.phase == Phase::ready;
   }
-  int callOf(CallbackId id, int launch) const override {
+  int callOf(MessageId id, int launch) const override {
     return held_.at(id).launches.at(static_cast<std::size_t>(launch)).call;
   }
   int held() const override { return static_cast<int>(held_.size()); }
@@ -160,7 +160,7 @@
       return Decision{Act::withdraw, id, {}, n, 0};
     }
     while (!ends_.empty() && ends_.begin()->first <= now_) {
-      CallbackId id = ends_.begin()->second;
+      MessageId id = ends_.begin()->second;
       ends_.erase(ends_.begin());
       if (held_.contains(id)) return give(id);
     }
@@ -174,7 +174,7 @@
       freed_ = false;
     }
     while (!changed_.empty()) {
-      CallbackId id = *changed_.begin();
+      MessageId id = *changed_.begin();
       changed_.erase(changed_.begin());
       auto at = held_.find(id);
       if (at == held_.end()) continue;
@@ -211,7 +211,7 @@
   struct Held {
     const TrafficType* type{};
     DestinationId destination{};
-    KeyId key{};
+    OrderingKey key{};
     Millis outer{};
     Millis notBefore{0};
     bool copied{false};
@@ -233,7 +233,7 @@
     p95_ = *place;
   }
 
-  void over(CallbackId id) {
+  void over(MessageId id) {
     auto at = held_.find(id);
     if (at == held_.end()) return;
     for (std::size_t n = 0; n < at->second.launches.size(); ++n) {
@@ -253,7 +253,7 @@
     freed_ = true;
   }
 
-  Decision give(CallbackId id) {
+  Decision give(MessageId id) {
     over(id);
     return {Act::giveUp, id, {}, 0, 0};
   }
@@ -267,7 +267,7 @@
     return true;
   }
 
-  std::optional<Decision> consider(CallbackId id, Held& h) {
+  std::optional<Decision> consider(MessageId id, Held& h) {
     bool out = std::any_of(h.launches.begin(), h.launches.end(), [](const Sent& s) { return s.out; });
     if (out && !recipe_.copies) return std::nullopt;
     if (out && (h.copied || h.type->effect == Effect::effectful)) return std::nullopt;
@@ -349,13 +349,13 @@
   std::vector<Millis> samples_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
-  std::map<CallbackId, Held> held_;
-  std::map<KeyId, std::deque<CallbackId>> lines_;
-  std::set<CallbackId> changed_;
-  std::set<CallbackId> waiting_;  // for a slot
-  std::set<std::pair<Millis, CallbackId>> later_;
-  std::set<std::pair<Millis, CallbackId>> ends_;
-  std::deque<std::pair<CallbackId, int>> losers_;
+  std::map<MessageId, Held> held_;
+  std::map<OrderingKey, std::deque<MessageId>> lines_;
+  std::set<MessageId> changed_;
+  std::set<MessageId> waiting_;  // for a slot
+  std::set<std::pair<Millis, MessageId>> later_;
+  std::set<std::pair<Millis, MessageId>> ends_;
+  std::deque<std::pair<MessageId, int>> losers_;
 };
 
 }  // namespace
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -17,7 +17,7 @@
   this->plan();
 }
 
-// Draws the next time at which callbacks are due, with what is due then.
+// Draws the next time at which messages are due, with what is due then.
 void Clients::plan() {
   const LoadPlan& l = plan_.load;
   planned_ = arrivals_.next(planned_, chance_);
--- a/src/lab/clients.h
+++ b/src/lab/clients.h
@@ -9,9 +9,9 @@
 #include "lab/plan.h"
 #include "lab/trace.h"
 
-// The clients as one: which callbacks are due when, and when they come again. The day that is due is drawn
+// The clients as one: which messages are due when, and when they come again. The day that is due is drawn
 // from the seed alone, so that it is the same whatever the dispatchers do; comings-again have chance of their
-// own. A callback's time counts from when it was due.
+// own. A message's time counts from when it was due.
 namespace stonewing::lab {
 
 class Clients {
@@ -20,9 +20,9 @@
 
   // When the next one is to be handed in; no value: none is left.
   std::optional<Millis> due() const;
-  // The next that is due by now, as its place in the trace's callbacks.
+  // The next that is due by now, as its place in the trace's messages.
   std::optional<std::uint32_t> next(Millis now);
-  // How long a callback may still be delivered.
+  // How long a message may still be delivered.
   Millis left(std::uint32_t callback, Millis now) const;
   bool again(std::uint32_t callback) const { return again_[callback]; }
 
--- a/src/lab/draw.h
+++ b/src/lab/draw.h
@@ -58,7 +58,7 @@
   std::vector<double> below_;
 };
 
-// When callbacks are due: a Poisson process whose rate follows the plan, by thinning one of the top rate.
+// When messages are due: a Poisson process whose rate follows the plan, by thinning one of the top rate.
 class Arrivals {
  public:
   explicit Arrivals(const Plan& plan) : plan_(plan) {}
@@ -82,7 +82,7 @@
     bool on = l.surgeTenant >= 0 && at >= l.surgeFrom && at < l.surgeUntil;
     return on ? (l.surgeFactor - 1) / l.tenants : 0;
   }
-  // A clump counts as many times as it is large, so that the rate is that of callbacks.
+  // A clump counts as many times as it is large, so that the rate is that of messages.
   Millis next(Millis after, std::mt19937& chance) const {
     const LoadPlan& l = plan_.load;
     double comings = 1 - l.clumpShare + l.clumpShare / std::max(1, l.clumpSize);
--- a/src/lab/gates.h
+++ b/src/lab/gates.h
@@ -6,7 +6,7 @@
 
 #include "core/ids.h"
 
-// How a dispatcher that is itself short of processor time turns callbacks away, compared with the ways of
+// How a dispatcher that is itself short of processor time turns messages away, compared with the ways of
 // others, in virtual time: one loop, clients with patience, and a gate. No sockets, no clock.
 namespace stonewing::lab {
 
@@ -33,8 +33,8 @@
 struct GateResult {
   std::string gate;
   std::uint64_t due{0};
-  std::uint64_t kept{0};        // taken on, and its client heard so in time
-  std::uint64_t doubled{0};     // taken on more than once, since a client had not heard
+  std::uint64_t kept{0};        // accepted, and its client heard so in time
+  std::uint64_t doubled{0};     // accepted more than once, since a client had not heard
   std::uint64_t refused{0};     // commands
   std::uint64_t unanswered{0};  // commands
   double keptInSurge{0};        // share of what was due in it
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -15,7 +15,7 @@
 
 namespace stonewing::lab {
 
-// The clients on sockets, open loop: a callback goes out when it is due, whether or not an earlier one was
+// The clients on sockets, open loop: a message goes out when it is due, whether or not an earlier one was
 // answered. Answers are read by hiredis, a RESP2 parser that is not the dispatcher's.
 class Load {
  public:
@@ -27,7 +27,7 @@
   void start();
   // Whether a dispatcher answers PING; tries until it does, then calls back once.
   void whenReady(int dispatcher, std::function<void()> then);
-  // The platform had a notice of a shed callback.
+  // The platform had a notice of a shed message.
   void shed(std::uint32_t callback, Millis wait);
   bool done() const { return started_ && !clients_.due() && waiting_ == 0; }
   // How late commands went out against when they were due, at the worst.
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Millis kLeaveAfter = 3500;  // a dispatcher told to end is gone by then
-constexpr Millis kAcceptFor = 500;    // and takes callbacks for so long
+constexpr Millis kAcceptFor = 500;    // and takes messages for so long
 constexpr Millis kListFirst = 0;
 
 enum class Kind : std::uint8_t {
@@ -77,7 +77,7 @@
   bool neverRan{false};
 };
 
-// What the journal of a dispatcher holds of a callback.
+// What the journal of a dispatcher holds of a message.
 struct Held {
   Millis outer{};
   std::vector<SentBefore> launches;
@@ -98,7 +98,7 @@
   std::unordered_map<std::uint32_t, std::vector<Millis>> idle;  // connections: since when
 };
 
-CallbackId idOf(std::uint32_t callback) { return CallbackId{callback + 1}; }
+MessageId idOf(std::uint32_t callback) { return MessageId{callback + 1}; }
 EndpointId endpointIdOf(std::uint32_t endpoint) { return EndpointId{std::uint64_t{endpoint} + 1}; }
 
 class Model {
@@ -281,7 +281,7 @@
     to.held[callback] = {outer, {}};
     if (sabotage_.forgetsCallbacks && callback % 20 == 0) return;
     round(d, [&](Policy& p) {
-      p.taken(idOf(callback), TrafficTypeId{c.type}, TenantId{c.tenant}, KeyId{c.key},
+      p.taken(idOf(callback), TrafficTypeId{c.type}, TenantId{c.tenant}, OrderingKey{c.key},
               DestinationId{c.destination}, outer);
     });
   }
@@ -297,7 +297,7 @@
     std::map<int, std::vector<Decision>> gathered;
     while (auto decision = policy.next()) {
       if (decision->act == Act::launch) {
-        gathered[policy.callOf(decision->callback, decision->launch)].push_back(*decision);
+        gathered[policy.callOf(decision->message, decision->launch)].push_back(*decision);
       } else {
         carryOut(d, *decision);
       }
@@ -307,7 +307,7 @@
 
   void carryOut(std::uint32_t d, const Decision& decision) {
     Dispatcher& from = dispatchers_[d];
-    std::uint32_t callback = decision.callback.value - 1;
+    std::uint32_t callback = decision.message.value - 1;
     auto endpoint = static_cast<std::uint32_t>(decision.endpoint.value - 1);
     switch (decision.act) {
       case Act::withdraw:
@@ -385,10 +385,10 @@
       kept = true;
     }
     for (const Decision& l : launches) {
-      std::uint32_t callback = l.callback.value - 1;
+      std::uint32_t callback = l.message.value - 1;
       call.members.push_back({callback, l.launch});
       from.held[callback].launches.push_back({call.endpoint, now_, false});
-      from.policy->goesOutOn(l.callback, l.launch, idle);
+      from.policy->goesOutOn(l.message, l.launch, idle);
       out_[place(callback, l.launch)] = number;
       at(now_ + l.span, Kind::timeout, number, static_cast<std::uint32_t>(call.members.size() - 1));
       ++cost_.launches;
@@ -663,7 +663,7 @@
       p.list(rows, true);
       for (const auto& [callback, held] : to.held) {
         const Handed& c = trace_.callbacks[callback];
-        p.taken(idOf(callback), TrafficTypeId{c.type}, TenantId{c.tenant}, KeyId{c.key},
+        p.taken(idOf(callback), TrafficTypeId{c.type}, TenantId{c.tenant}, OrderingKey{c.key},
                 DestinationId{c.destination}, held.outer);
         for (const SentBefore& l : held.launches) {
           p.launchedBefore(idOf(callback), endpointIdOf(l.endpoint), l.at, l.neverRan);
@@ -819,7 +819,7 @@
   std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
   std::vector<Dispatcher> dispatchers_;
   std::vector<Phase> phases_;
-  std::vector<bool> pending_;  // of each callback: its client waits for an answer
+  std::vector<bool> pending_;  // of each message: its client waits for an answer
   std::unordered_map<std::uint32_t, Call> calls_;
   std::unordered_map<std::uint64_t, std::uint32_t> out_;  // of a launch: its call
   std::vector<std::pair<std::uint32_t, std::uint32_t>> withdrawn_;
--- a/src/lab/plan.h
+++ b/src/lab/plan.h
@@ -61,7 +61,7 @@
   Millis burstOn{500};
   Millis burstOff{2000};
   double duskFactor{5};  // the top of the ramp
-  double clumpShare{0};  // of callbacks that come in clumps for one destination
+  double clumpShare{0};  // of messages that come in clumps for one destination
   int clumpSize{10};
   int tenants{1};
   double quotaPerSecond{1e6};
@@ -141,7 +141,7 @@
   std::string name;
   std::uint64_t seed{1};
   Millis duration{10000};
-  Millis drainAfter{0};  // time after the last callback was due; the longest outer limit where 0
+  Millis drainAfter{0};  // time after the last message was due; the longest deadline where 0
   WorldPlan world;
   LoadPlan load;
   FleetPlan fleet;
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -26,18 +26,18 @@
   virtual ~Policy() = default;
   virtual void roundBegins(Millis now) = 0;
   virtual void list(const std::vector<ListRow>& rows, bool whole) = 0;
-  virtual void taken(CallbackId id, TrafficTypeId type, TenantId tenant, KeyId key, DestinationId destination,
-                     Millis outerLimit) = 0;
-  virtual void launchedBefore(CallbackId id, EndpointId endpoint, Millis sent, bool neverRan) = 0;
-  virtual void goesOutOn(CallbackId id, int launch, Millis idle) = 0;
-  virtual void launchEnded(CallbackId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
+  virtual void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
+                     DestinationId destination, Millis outerLimit) = 0;
+  virtual void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) = 0;
+  virtual void goesOutOn(MessageId id, int launch, Millis idle) = 0;
+  virtual void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
                            Report report) = 0;
   virtual void probeEnded(EndpointId id, Ending ending, Report report) = 0;
-  virtual void clientGone(CallbackId id) = 0;
+  virtual void clientGone(MessageId id) = 0;
   virtual void woken() = 0;
   virtual std::optional<Decision> next() = 0;
-  virtual bool mayBegin(CallbackId id, int launch) const = 0;
-  virtual int callOf(CallbackId id, int launch) const = 0;  // launches of one call share its number
+  virtual bool mayBegin(MessageId id, int launch) const = 0;
+  virtual int callOf(MessageId id, int launch) const = 0;  // launches of one call share its number
   virtual int held() const = 0;
 };
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -200,7 +200,7 @@
     }
   }
 
-  // Nothing is owed any more: each callback that was taken on has been delivered or ended by a notice.
+  // Nothing is owed any more: each message that was accepted has been delivered or ended by a notice.
   bool allOver() {
     if (loop_.now() < overCheckAt_) return false;
     overCheckAt_ = loop_.now() + kSampleEvery;
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -19,7 +19,7 @@
   Trace trace;
   std::vector<Sampled> usage;
   std::vector<std::string> crashes;
-  Millis worstLag{0};  // of our own load, against when callbacks were due
+  Millis worstLag{0};  // of our own load, against when messages were due
   bool interrupted{false};
   Millis until{0};  // how far the day was played
 };
--- a/src/lab/tally.h
+++ b/src/lab/tally.h
@@ -16,9 +16,9 @@
 };
 
 struct Tally {
-  std::uint64_t due{0};        // callbacks, each counted once however often it came
-  std::uint64_t completed{0};  // delivered within the outer limit
-  std::uint64_t inTime{0};     // and within the promised time
+  std::uint64_t due{0};        // messages, each counted once however often it came
+  std::uint64_t completed{0};  // delivered within the deadline
+  std::uint64_t inTime{0};     // and within the latency objective
   std::uint64_t refused{0};    // commands answered -BUSY
   std::uint64_t unanswered{0};
   std::uint64_t shed{0};
--- a/src/lab/town.cpp
+++ b/src/lab/town.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kOutShare = 0.5;        // of the calls that fail: most of them, so the destination is out
 constexpr Millis kFastError = 1;         // an error comes at once
-constexpr double kFurtherWeight = 0.25;  // of a further callback in a call, in calls
+constexpr double kFurtherWeight = 0.25;  // of a further message in a call, in calls
 constexpr double kChanceSlack = 2;       // calls above the budget that are put down to chance
 constexpr Millis kShutWait = 500;        // told by an endpoint that is shut
 constexpr std::size_t kReceiptsKept = 1 << 20;
--- a/src/lab/town.h
+++ b/src/lab/town.h
@@ -57,7 +57,7 @@
   }
   bool refuses(std::uint32_t endpoint) const { return at(endpoint).condition.refuses > 0; }
 
-  // The last byte of a call has come, with these callbacks. No reply yet: it runs, or waits for its turn.
+  // The last byte of a call has come, with these messages. No reply yet: it runs, or waits for its turn.
   std::optional<Reply> arrived(Millis now, std::uint32_t call, std::uint32_t endpoint,
                                std::uint16_t dispatcher, const std::vector<std::uint32_t>& callbacks);
   // Its connection ended before the reply. Returns whether it has run.
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -26,10 +26,10 @@
   told,            // a dispatcher was told of an endpoint; status: 0 gone, 1 in service, 2 terminating
   up,              // a dispatcher answers PING; status 1: it goes on after SIGSTOP
   down,            // it was killed, told to end or has ended; status 1: stopped
-  out,             // a destination fails most of its calls from now on; callback: its number
+  out,             // a destination fails most of its calls from now on; message: its number
   back,            // it is back, and cold
   fell,            // it was pushed over
-  roomFell,        // a room was, as it returned; callback: its number
+  roomFell,        // a room was, as it returned; message: its number
 };
 
 struct Event {
@@ -46,7 +46,7 @@
   bool operator==(const Event&) const = default;
 };
 
-// A callback as its client hands it in; handed in again it is another one, of the same origin.
+// A message as its client hands it in; submitted again it is another one, of the same origin.
 struct Handed {
   std::uint32_t origin{};
   std::uint16_t type{};
@@ -65,7 +65,7 @@
 
 const char* nameOf(What what);
 
-// Two tables, events.csv and callbacks.csv, in a folder. Throws Malformed naming file and line.
+// Two tables, events.csv and messages.csv, in a folder. Throws Malformed naming file and line.
 void save(const Trace& trace, const std::string& folder);
 Trace loadTrace(const std::string& folder);
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t kRefMark = 0x5705e000;  // so that a callback's name is not a bare number
+constexpr std::uint32_t kRefMark = 0x5705e000;  // so that a message's name is not a bare number
 constexpr Millis kWatchMost = 60000;
 
 std::string headOf(int status, std::size_t length, const std::string& more = "") {
--- a/src/net/book.cpp
+++ b/src/net/book.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kWordMost = 128;
-constexpr std::size_t kReserve = 1024;     // of the journal for what a callback held may still add to it
+constexpr std::size_t kReserve = 1024;     // of the journal for what a message held may still add to it
 constexpr std::size_t kOwedReserve = 256;  // and for an end that is owed
 // A rewrite goes on by such a part in every commit.
 constexpr std::size_t kRewriteAtOnce = 64 * 1024;
@@ -47,7 +47,7 @@
 }
 
 template <class Tag>
-std::string recordOf(Tag tag, CallbackId id) {
+std::string recordOf(Tag tag, MessageId id) {
   std::string record;
   putBytes(record, tag);
   putBytes(record, id.value);
@@ -104,7 +104,7 @@
   return held;
 }
 
-std::string Book::takenRecord(CallbackId id, const Held& held) {
+std::string Book::takenRecord(MessageId id, const Held& held) {
   std::string record = recordOf(Tag::taken, id);
   putBytes(record, held.outerWall);
   record += held.taken;
@@ -113,11 +113,11 @@
 }
 
 std::size_t Book::takenSize(const Held& held) {
-  return sizeof(Tag) + sizeof(CallbackId::value) + sizeof held.outerWall + held.taken.size() +
+  return sizeof(Tag) + sizeof(MessageId::value) + sizeof held.outerWall + held.taken.size() +
          sizeof(std::uint32_t) + held.body->size();
 }
 
-std::string Book::launchRecord(CallbackId id, const LaunchNote& launch) {
+std::string Book::launchRecord(MessageId id, const LaunchNote& launch) {
   std::string record = recordOf(Tag::launched, id);
   putText(record, launch.endpoint.name);
   putBytes(record, launch.endpoint.destination.value);
@@ -128,7 +128,7 @@
   return record;
 }
 
-std::string Book::owedRecord(CallbackId id, const Notice& notice) {
+std::string Book::owedRecord(MessageId id, const Notice& notice) {
   std::string record = recordOf(Tag::owed, id);
   putText(record, notice.ref);
   putBytes(record, notice.result);
@@ -151,7 +151,7 @@
 void Book::replayed(std::string_view record) {
   ByteReader in(record);
   auto tag = in.get<Tag>("tag");
-  CallbackId id{in.get<std::uint32_t>("callback")};
+  MessageId id{in.get<std::uint32_t>("callback")};
   next_ = std::max(next_, id.value + 1);
   switch (tag) {
     case Tag::taken: {
@@ -212,7 +212,7 @@
 // The records of all that is held or owed from rewritten_ on, by id, until there are `most` bytes of them.
 void Book::rewriteSome(std::size_t most) {
   std::string bytes;
-  CallbackId from = rewritten_;
+  MessageId from = rewritten_;
   auto held = held_.lower_bound(rewritten_);
   auto owed = owed_.lower_bound(rewritten_);
   auto put = [&](const std::string& record) { bytes += Journal::framed(record); };
@@ -222,17 +222,17 @@
       for (const LaunchNote& launch : held->second.launches) {
         if (launch.noted) put(launchRecord(held->first, launch));
       }
-      rewritten_ = CallbackId{held->first.value + 1};
+      rewritten_ = MessageId{held->first.value + 1};
       ++held;
     } else {
       put(owedRecord(owed->first, owed->second));
-      rewritten_ = CallbackId{owed->first.value + 1};
+      rewritten_ = MessageId{owed->first.value + 1};
       ++owed;
     }
   }
   // What is noted and not written yet of those just passed stands there already.
   for (Noted& one : noted_) {
-    if (one.callback >= from && one.callback < rewritten_) one.record.clear();
+    if (one.message >= from && one.message < rewritten_) one.record.clear();
   }
   bool good = journal_.addBeside(bytes);
   bool all = held == held_.end() && owed == owed_.end();
@@ -316,15 +316,15 @@
   bool shownLost = false;
   for (std::size_t n : lost) {
     const Noted& one = noted[n];
-    shownLost = shownLost || (one.record.empty() && one.callback < rewritten_);
+    shownLost = shownLost || (one.record.empty() && one.message < rewritten_);
     if (one.tag == Tag::taken) {
-      lostTakes_.insert(one.callback);
-      if (find(one.callback) == nullptr) continue;
-      drop(one.callback);
-      --over_;  // it never was taken on
+      lostTakes_.insert(one.message);
+      if (find(one.message) == nullptr) continue;
+      drop(one.message);
+      --over_;  // it never was accepted
     } else if (one.tag == Tag::launched) {
-      lostLaunches_.insert({one.callback, one.launch});
-      if (Held* held = find(one.callback)) {
+      lostLaunches_.insert({one.message, one.launch});
+      if (Held* held = find(one.message)) {
         LaunchNote& launch = held->launches[static_cast<std::size_t>(one.launch)];
         launch.neverRan = true;
         launch.noted = false;
@@ -342,7 +342,7 @@
   // What the rewrite has passed hears of it too; the rest it will find as it then is.
   std::string bytes;
   for (const Noted& one : noted) {
-    if (one.callback < rewritten_ && !one.record.empty()) bytes += Journal::framed(one.record);
+    if (one.message < rewritten_ && !one.record.empty()) bytes += Journal::framed(one.record);
   }
   if (!bytes.empty() && !journal_.addBeside(bytes)) rewriteFailed();
 }
@@ -365,8 +365,8 @@
   } while (unwritten());
 }
 
-std::optional<CallbackId> Book::take(Held held) {
-  CallbackId id{next_};
+std::optional<MessageId> Book::take(Held held) {
+  MessageId id{next_};
   std::string record = takenRecord(id, held);
   std::size_t bytes = record.size() + kReserve;
   // Room for the record and, beyond it, for one more of its like in every later rewrite.
@@ -381,7 +381,7 @@
   return id;
 }
 
-bool Book::launched(CallbackId id, const EndpointNote& endpoint, Millis wall) {
+bool Book::launched(MessageId id, const EndpointNote& endpoint, Millis wall) {
   Held* held = find(id);
   if (held == nullptr) return false;
   LaunchNote sent{endpoint, wall, false};
@@ -396,7 +396,7 @@
   return false;
 }
 
-void Book::neverRan(CallbackId id, int launch) {
+void Book::neverRan(MessageId id, int launch) {
   Held* held = find(id);
   auto n = static_cast<std::uint32_t>(launch);
   if (held == nullptr || n >= held->launches.size()) return;
@@ -412,7 +412,7 @@
        {Tag::neverRan, id, launch, {}});  // unwritten, it may have run for the next process
 }
 
-void Book::drop(CallbackId id) {
+void Book::drop(MessageId id) {
   auto at = held_.find(id);
   if (at == held_.end()) return;
   heldBytes_ -= takenSize(at->second) + kReserve;
@@ -421,13 +421,13 @@
   held_.erase(at);
 }
 
-void Book::completed(CallbackId id) {
+void Book::completed(MessageId id) {
   if (find(id) == nullptr) return;
   note(recordOf(Tag::over, id), {Tag::over, id, 0, {}});
   drop(id);
 }
 
-void Book::owe(CallbackId id, Result result, Millis wait) {
+void Book::owe(MessageId id, Result result, Millis wait) {
   Held* held = find(id);
   if (held == nullptr) return;
   Notice notice{held->ref, result, wait};
@@ -436,7 +436,7 @@
   owed_[id] = std::move(notice);
 }
 
-void Book::confirmed(CallbackId id) {
+void Book::confirmed(MessageId id) {
   if (owed_.erase(id) > 0) note(recordOf(Tag::over, id), {Tag::over, id, 0, {}});
 }
 
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -15,7 +15,7 @@
 constexpr Millis kForever = 1e15;
 constexpr Millis kRest = 250;  // for the rest of an answer that has begun; it is written in one go
 
-// A callback's time counts from when its client sent it, ours from when we read it: so much later at the
+// A message's time counts from when its client sent it, ours from when we read it: so much later at the
 // most, for a longer stop is seen (Loop::heldUp).
 constexpr Millis kReadLate = 100;
 
@@ -61,18 +61,18 @@
 }
 
 void Calls::launch(const Decision& d) {
-  const Held* held = book_.find(d.callback);
-  int call = rules_.state().callbacks.at(d.callback).launches.at(static_cast<std::size_t>(d.launch)).call;
+  const Held* held = book_.find(d.message);
+  int call = rules_.state().messages.at(d.message).launches.at(static_cast<std::size_t>(d.launch)).call;
   auto& [endpoint, members] = gathered_[call];
   endpoint = d.endpoint;
-  members.push_back({d.callback, d.launch, loop_.now() + d.span, held != nullptr ? held->ref : ""});
+  members.push_back({d.message, d.launch, loop_.now() + d.span, held != nullptr ? held->ref : ""});
 }
 
 void Calls::flush() {
   for (auto& [call, gathered] : std::exchange(gathered_, {})) {
     auto& [endpoint, members] = gathered;
     Line& line = lineTo(endpoint);
-    // Danger: endpoints book a call of several under its first callback. Where that one ended while the call
+    // Danger: endpoints book a call of several under its first message. Where that one ended while the call
     // waited there, the others passed for never delivered, though the answer said ok for each. The one with
     // most time left stands first: it ends last.
     std::stable_sort(members.begin(), members.end(),
@@ -84,14 +84,14 @@
                                  {"launch", m.launch},
                                  {"endpoint", nameAt(endpoint)},
                                  {"time_out_ms", m.due - loop_.now()}});
-      rules_.goesOutOn(m.callback, m.launch, line.up() ? loop_.now() - line.usedAt : 0);
+      rules_.goesOutOn(m.message, m.launch, line.up() ? loop_.now() - line.usedAt : 0);
     }
     // Noted before its last byte: after a kill it may have run. What cannot be noted is not sent.
     for (const Member& m : line.members) {
       const Site* site = catalog_.find(endpoint);
-      if (site == nullptr || !book_.launched(m.callback, site->note, wallNow())) withhold(line);
+      if (site == nullptr || !book_.launched(m.message, site->note, wallNow())) withhold(line);
     }
-    for (const Member& m : line.members) carries_[{m.callback, m.launch}] = &line;
+    for (const Member& m : line.members) carries_[{m.message, m.launch}] = &line;
     noted_.push_back(&line);
   }
 }
@@ -105,7 +105,7 @@
       continue;
     }
     for (const Member& m : line->members) {
-      if (book_.find(m.callback) == nullptr || book_.lostLaunch(m.callback, m.launch)) withhold(*line);
+      if (book_.find(m.message) == nullptr || book_.lostLaunch(m.message, m.launch)) withhold(*line);
     }
     if (!line->failed && !stillWanted(*line)) continue;
     if (!line->failed && line->up()) write(*line);
@@ -120,7 +120,7 @@
 // ended meanwhile, and the launch passes for one that may have run; or its endpoint has said something on it
 // that nobody asked for, and the launch passes for answered by that.
 bool Calls::stillWanted(Line& line) {
-  auto may = [&](const Member& m) { return loop_.now() < m.due && rules_.mayBegin(m.callback, m.launch); };
+  auto may = [&](const Member& m) { return loop_.now() < m.due && rules_.mayBegin(m.message, m.launch); };
   bool spoilt = line.up() && !line.stillGood();
   bool keptBack = loop_.now() > line.sent;
   if (spoilt || (keptBack && !std::all_of(line.members.begin(), line.members.end(), may))) {
@@ -129,7 +129,7 @@
   }
   if (!keptBack) return true;
   line.sent = loop_.now();
-  for (const Member& m : line.members) rules_.goesOutNow(m.callback, m.launch);
+  for (const Member& m : line.members) rules_.goesOutNow(m.message, m.launch);
   return true;
 }
 
@@ -172,7 +172,7 @@
   std::string common = "Host: " + catalog_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
                        std::to_string(static_cast<std::int64_t>(latest - loop_.now())) + "\r\n";
   if (line.members.size() == 1) {
-    const Held* held = book_.find(line.members[0].callback);
+    const Held* held = book_.find(line.members[0].message);
     std::string head = "POST /v1/messages HTTP/1.1\r\n" + common + "X-Request-Id: " + held->ref + "\r\n";
     if (!held->receipt.empty()) head += "Idempotency-Key: " + held->receipt + "\r\n";
     line.add(head + "Content-Length: " + std::to_string(held->body->size()) + "\r\n\r\n");
@@ -181,7 +181,7 @@
     std::vector<std::pair<std::string, std::shared_ptr<const std::string>>> rows;
     std::size_t length = 0;
     for (const Member& m : line.members) {
-      const Held* held = book_.find(m.callback);
+      const Held* held = book_.find(m.message);
       std::string row = held->ref + " " + (held->receipt.empty() ? "-" : held->receipt) + " " +
                         std::to_string(held->body->size()) + "\r\n";
       length += row.size() + held->body->size() + 2;
@@ -226,7 +226,7 @@
 void Calls::release(Line& line) {
   unsettle(line);
   std::erase(noted_, &line);
-  for (const Member& m : line.members) carries_.erase({m.callback, m.launch});
+  for (const Member& m : line.members) carries_.erase({m.message, m.launch});
   if (std::exchange(line.probing, false)) --probesOut_;
   auto at = line.self;
   line.close();
@@ -235,16 +235,16 @@
 }
 
 // Danger: while the loop is behind, the answer of a launch that is called off may lie unread; closed on it,
-// the callback would be launched again after it was delivered.
+// the message would be launched again after it was delivered.
 void Calls::withdraw(const Decision& d) {
-  auto at = carries_.find({d.callback, d.launch});
+  auto at = carries_.find({d.message, d.launch});
   if (at == carries_.end()) return;
   at->second->catchUp();
-  at = carries_.find({d.callback, d.launch});
+  at = carries_.find({d.message, d.launch});
   if (at == carries_.end()) return;  // its end was there already
   Line& line = *at->second;
   for (Member& m : line.members) {
-    if (m.callback != d.callback || m.launch != d.launch || m.told) continue;
+    if (m.message != d.message || m.launch != d.launch || m.told) continue;
     m.off = keepsCall(line, m);
     if (m.off) log::debug("launch.to_be_called_off", {{"callback", m.ref}, {"launch", m.launch}});
     if (m.off) break;
@@ -254,13 +254,13 @@
   if (calledOff(line)) release(line);
 }
 
-// Until when a callback is to be delivered, whatever its launch may take.
+// Until when a message is to be delivered, whatever its launch may take.
 Millis Calls::timeUp(const Member& m) const {
-  auto at = rules_.state().callbacks.find(m.callback);
-  return at == rules_.state().callbacks.end() || at->second.over ? 0 : at->second.outerLimit;
+  auto at = rules_.state().messages.find(m.message);
+  return at == rules_.state().messages.end() || at->second.finished ? 0 : at->second.deadline;
 }
 
-// Danger: one callback of a call cannot be called off alone; the call stays out at the endpoint for the
+// Danger: one message of a call cannot be called off alone; the call stays out at the endpoint for the
 // others. Told as withdrawn it would be launched again beside it: a second copy, which not every deployment
 // allows, and for the first of the call an end by its other launch while the rest is out. It is told with the
 // call, or once its time is up. Where copies are allowed the rest need not wait: at endpoints that hang one
@@ -272,8 +272,8 @@
          std::any_of(line.members.begin(), line.members.end(), waits);
 }
 
-// Whether a call has nothing left to wait for, now that the end of one of its callbacks was told. Danger: of
-// one that is half written the rest would still go out, for a callback that is over or was told as never
+// Whether a call has nothing left to wait for, now that the end of one of its messages was told. Danger: of
+// one that is half written the rest would still go out, for a message that is over or was told as never
 // sent. Broken off now it has run for none.
 bool Calls::calledOff(Line& line) {
   auto told = [](const Member& m) { return m.told; };
@@ -281,7 +281,7 @@
   if (halfWritten && std::any_of(line.members.begin(), line.members.end(), told)) {
     tellAll(line, Ending::notSent);
   }
-  // Danger: its first callback may also end by another launch, and the endpoint still answers ok for the
+  // Danger: its first message may also end by another launch, and the endpoint still answers ok for the
   // rest, which counts for none of them. Called off with it they may go out again.
   auto done = [](const Member& m) { return m.told || m.off; };
   bool first = !line.members.empty() && line.members.front().told;
@@ -338,26 +338,26 @@
 
 void Calls::tell(Line& line, Member& m, Ending ending, bool over, Millis wait) {
   bool told = std::exchange(m.told, true);
-  carries_.erase({m.callback, m.launch});
+  carries_.erase({m.message, m.launch});
   bool ends = over || ending == Ending::completed;
-  // Danger: an answer written when the callback's time was just up delivers nothing, and its end is still
+  // Danger: an answer written when the message's time was just up delivers nothing, and its end is still
   // owed. On arrival that cannot be told from one written just before. A notice for one that is over does no
   // harm.
   bool timely = loop_.now() < timeUp(m) - kReadLate;
   auto isOver = [&] {
-    if (timely) return book_.completed(m.callback);
-    book_.owe(m.callback, Result::dead, 0);
+    if (timely) return book_.completed(m.message);
+    book_.owe(m.message, Result::dead, 0);
   };
   if (told) {
     // Given up on, and now it was delivered after all: nothing more may be sent for it.
-    if (ends && book_.find(m.callback) != nullptr) {
-      rules_.clientGone(m.callback);
+    if (ends && book_.find(m.message) != nullptr) {
+      rules_.clientGone(m.message);
       isOver();
     }
     return;
   }
   if (ending == Ending::full || ending == Ending::connectFailed || unsent(ending)) {
-    book_.neverRan(m.callback, m.launch);
+    book_.neverRan(m.message, m.launch);
   }
   Report report = line.status() != 0 ? reportIn(line.header("X-Load"), facts_.reported) : Report{};
   log::debug("launch.ended", {{"callback", m.ref},
@@ -368,8 +368,8 @@
                               {"wait_ms", wait},
                               {"limit", report.limit},
                               {"left", report.left}});
-  bool known = ends || book_.find(m.callback) == nullptr;
-  rules_.launchEnded(m.callback, m.launch, ending, loop_.now() - line.sent, known, wait, report);
+  bool known = ends || book_.find(m.message) == nullptr;
+  rules_.launchEnded(m.message, m.launch, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
 }
 
@@ -449,7 +449,7 @@
   Line& line = static_cast<Line&>(link);
   if (line.probing || !line.busy()) return true;  // or the journal does not have it yet
   for (Member& m : line.members) {
-    if (!m.told && !rules_.mayBegin(m.callback, m.launch)) tell(line, m, Ending::notSent, false, 0);
+    if (!m.told && !rules_.mayBegin(m.message, m.launch)) tell(line, m, Ending::notSent, false, 0);
   }
   std::erase_if(line.members, [](const Member& m) { return m.told; });
   if (line.members.empty()) {
@@ -465,7 +465,7 @@
 // meanwhile. Broken off before that byte the call has not run.
 bool Calls::mayGoOn(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
-  auto may = [&](const Member& m) { return m.told || rules_.mayBegin(m.callback, m.launch); };
+  auto may = [&](const Member& m) { return m.told || rules_.mayBegin(m.message, m.launch); };
   if (line.probing || std::all_of(line.members.begin(), line.members.end(), may)) return true;
   letGo(line, Ending::notSent);
   return false;
@@ -498,7 +498,7 @@
 }
 
 // Danger: a head that does not end, or a body that is shorter than was said, would hold the call, its slot
-// and the callback's time until its time-out.
+// and the message's time until its time-out.
 void Calls::begun(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
   if (line.wholeBy >= 0 || line.status() == 0) return;
--- a/src/net/calls.h
+++ b/src/net/calls.h
@@ -40,7 +40,7 @@
 
  private:
   struct Member {
-    CallbackId callback{};
+    MessageId message{};
     int launch{};
     Millis due{};
     std::string ref;
@@ -107,7 +107,7 @@
   std::set<std::pair<Millis, Line*>> dues_;
   std::set<std::tuple<EndpointId, Millis, Line*>> idle_;  // by endpoint, then when last used
   std::set<std::pair<Millis, Line*>> oldest_;             // the idle ones by when last used
-  std::map<std::pair<CallbackId, int>, Line*> carries_;   // the line of a launch that was not told yet
+  std::map<std::pair<MessageId, int>, Line*> carries_;    // the line of a launch that was not told yet
   Millis idleMostSeen_{1e15};
   std::map<int, std::pair<EndpointId, std::vector<Member>>> gathered_;  // by the number of the call
   std::vector<Line*> noted_;                                            // to be sent
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -161,7 +161,7 @@
 }
 
 // In one go: the end of a list costs by all that is held.
-void Catalog::remember(const std::map<CallbackId, Held>& held) {
+void Catalog::remember(const std::map<MessageId, Held>& held) {
   rules_.listBegins();
   for (const auto& [callback, one] : held) {
     for (const LaunchNote& launch : one.launches) {
@@ -245,7 +245,7 @@
 }
 
 void Catalog::broke(HttpLink& link) {
-  // Danger: dropped without a word, the dispatcher would answer PING and refuse every callback.
+  // Danger: dropped without a word, the dispatcher would answer PING and refuse every message.
   if (out_ && link.heard()) {
     log::warn("list.unreadable",
               {{"why", "it broke off, is no HTTP or is over " + std::to_string(kAnswerMost) + " bytes"},
--- a/src/net/intake.cpp
+++ b/src/net/intake.cpp
@@ -111,7 +111,7 @@
   }
 
   Millis idleFor(Millis now) const { return now - usedAt; }
-  // Who has handed in its callback has what it came for, and who says nothing may never do. One that has
+  // Who has handed in its message has what it came for, and who says nothing may never do. One that has
   // asked whether we are there is about to hand one in: closed now, that one fails. Danger: clients that come
   // once and keep their connection drive out those that have just come.
   bool goesFirst(Millis now) const { return handedIn_ || (!spoken_ && idleFor(now) >= kFresh); }
@@ -262,7 +262,7 @@
   std::size_t counted_{0};
   std::size_t dropped_{0};
   bool spoken_{false};
-  bool handedIn_{false};  // a callback, that was not refused as unreadable
+  bool handedIn_{false};  // a message, that was not refused as unreadable
   bool closing_{false};
   bool left_{false};  // it has ended its side
   bool gone_{false};
--- a/src/net/intake.h
+++ b/src/net/intake.h
@@ -23,16 +23,16 @@
 // The clients' side: takes connections, reads commands, answers each in order, once a turn.
 class Intake : Source {
  public:
-  // An answer that holds only if its callback is kept.
+  // An answer that holds only if its message is kept.
   struct Answered {
     std::string text;
-    std::optional<CallbackId> ifKept{};
+    std::optional<MessageId> ifKept{};
   };
   // Answers one command. Throws Malformed for one that is answered by an error and a close. left: its client
   // has ended its side of the connection.
   using Answer = std::function<Answered(const std::vector<std::string_view>& words, bool left)>;
-  // In place of the answer of a callback that was not kept; no value where it was.
-  using Instead = std::function<std::optional<std::string>(CallbackId)>;
+  // In place of the answer of a message that was not kept; no value where it was.
+  using Instead = std::function<std::optional<std::string>(MessageId)>;
 
   // mostBytes: of commands that have come in part, from all clients together.
   Intake(Loop& loop, std::size_t mostClients, std::size_t mostBytes, Answer answer);
@@ -42,9 +42,9 @@
   void stopListening();                // who has connected by now is still a client
   // Tells each client that stands between commands of the end; the rest as soon as they do.
   void leave();
-  // Whether it is known what became of a callback that was taken.
-  using Decided = std::function<bool(CallbackId)>;
-  // Sends what was answered since the last time; where an answer waits for its callback to be decided, all of
+  // Whether it is known what became of a message that was taken.
+  using Decided = std::function<bool(MessageId)>;
+  // Sends what was answered since the last time; where an answer waits for its message to be decided, all of
   // its client's wait with it.
   void send(const Decided& decided, const Instead& instead);
   std::size_t waiting() const { return answering_.size(); }  // clients whose answers were not sent yet
--- a/src/net/journal.cpp
+++ b/src/net/journal.cpp
@@ -79,7 +79,7 @@
   if (marked && bytes.size() >= kHead) {
     version_ = static_cast<Version>(bytes[kMark.size()]);
     if (version_ != Version::second) {
-      // Danger: what cannot be read looks torn, and cutting it would lose all that was taken on.
+      // Danger: what cannot be read looks torn, and cutting it would lose all that was accepted.
       throw std::runtime_error(path_ + " is of version " + std::to_string(static_cast<int>(version_)) +
                                "; this program reads versions 1 and 2 and leaves it as it is");
     }
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -74,7 +74,7 @@
 
 void Notices::answered(HttpLink& link) {
   if (link.status() == 204) {
-    for (CallbackId id : std::exchange(out_, {})) {
+    for (MessageId id : std::exchange(out_, {})) {
       auto at = book_.owed().find(id);
       if (at != book_.owed().end()) log::debug("notice.confirmed", {{"callback", at->second.ref}});
       book_.confirmed(id);
--- a/src/net/notices.h
+++ b/src/net/notices.h
@@ -29,7 +29,7 @@
   sockaddr_in platform_;
   std::string host_;
   std::unique_ptr<HttpLink> link_;
-  std::vector<CallbackId> out_;
+  std::vector<MessageId> out_;
   bool oneByOne_{false};  // after a batch that could not be read, to find the line at fault
   std::uint32_t turn_{0};
   Millis since_{0};
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -446,16 +446,16 @@
   Millis wall = std::floor(wallNow());  // whole, so that equal spans stay equal
   Held held = book_.decode(words[1], words[2], words[3], words[4], wall);
   if (book_.holds(held.ref))
-    return {"+OK\r\n", book_.idOf(held.ref)};  // handed in again, its first answer lost
+    return {"+OK\r\n", book_.idOf(held.ref)};  // submitted again, its first answer lost
   if (!catalog_.knows(held.destination)) {
     // Before discovery has said anything, ours may just be an old list.
     if (!catalog_.heard()) return {"-BUSY\r\n"};
     throw Malformed("unknown dest");
   }
   // Refused unseen, which is harmless: out of places, on the way out, or the client has not waited for us and
-  // hands it in elsewhere; taken on too, it would be delivered for nothing.
+  // hands it in elsewhere; accepted too, it would be delivered for nothing.
   if (left || state_ > State::leaving) return {"-BUSY\r\n"};
-  AdmissionFacts facts{loop_.now(), rules_.state().held, book_.full(),
+  AdmissionFacts facts{loop_.now(), rules_.state().messagesInFlight, book_.full(),
                        hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
   AdmissionCall call =
       admission_.asked(facts, terms_.types.at(held.type.value).gain, rules_.overShare(held.tenant));
@@ -464,7 +464,7 @@
   Millis outer = loop_.now() + (held.outerWall - wall);
   TrafficTypeId type = held.type;
   TenantId tenant = held.tenant;
-  KeyId key = held.key;
+  OrderingKey key = held.key;
   DestinationId destination = held.destination;
   auto id = book_.take(std::move(held));
   if (!id) return {busy(admission_.refusal(loop_.now()))};
@@ -476,7 +476,7 @@
   return {"+OK\r\n", *id};
 }
 
-// Danger: thousands of callbacks end at once, where a destination goes or a restart finds much held. Decided
+// Danger: thousands of messages end at once, where a destination goes or a restart finds much held. Decided
 // in one go they would keep clients and endpoints waiting that have nothing to do with them.
 void Dispatcher::decide() {
   Millis until = steadyNow() + kDecideMost;
@@ -508,7 +508,7 @@
 }
 
 void Dispatcher::act() {
-  for (CallbackId id : book_.lostTakes()) {
+  for (MessageId id : book_.lostTakes()) {
     log::debug("callback.not_kept", {{"callback", id.value}});
     rules_.clientGone(id);  // its launch, if there is one, is not sent either
   }
@@ -516,8 +516,8 @@
   // from now.
   if (loop_.late(kWriteWait)) rules_.roundBegins(loop_.now());
   calls_.send();
-  intake_.send([this](CallbackId id) { return book_.decided(id); },
-               [this](CallbackId id) -> std::optional<std::string> {
+  intake_.send([this](MessageId id) { return book_.decided(id); },
+               [this](MessageId id) -> std::optional<std::string> {
                  if (!book_.lostTake(id)) {
                    if (const Held* held = book_.find(id))
                      log::debug("callback.answered", {{"callback", held->ref}});
@@ -535,11 +535,11 @@
     hangTold_ = true;
     log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", book_.held().size()}});
   }
-  intake_.send([this](CallbackId id) { return book_.decided(id) && !book_.lostTake(id); },
-               [](CallbackId) { return std::nullopt; });
+  intake_.send([this](MessageId id) { return book_.decided(id) && !book_.lostTake(id); },
+               [](MessageId) { return std::nullopt; });
 }
 
-void Dispatcher::ended(CallbackId id, const char* result, Millis wait) {
+void Dispatcher::ended(MessageId id, const char* result, Millis wait) {
   const Held* held = book_.find(id);
   if (held == nullptr) return;
   log::debug("callback.ended", {{"callback", held->ref},
@@ -556,11 +556,11 @@
     case Act::withdraw:
       return calls_.withdraw(d);
     case Act::shed:
-      ended(d.callback, "shed", d.span);
-      return book_.owe(d.callback, Result::bounced, d.span);
+      ended(d.message, "shed", d.span);
+      return book_.owe(d.message, Result::bounced, d.span);
     case Act::giveUp:
-      ended(d.callback, "given_up", 0);
-      return book_.owe(d.callback, Result::dead, 0);
+      ended(d.message, "given_up", 0);
+      return book_.owe(d.message, Result::dead, 0);
     case Act::probe:
       return calls_.probe(d.endpoint);
     case Act::closeIdle:
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -68,7 +68,7 @@
  private:
   // In this order; none is gone back to.
   enum class State {
-    restoring,  // what an earlier process left is taken on again
+    restoring,  // what an earlier process left is accepted again
     serving,
     leaving,    // told to end: clients are still taken, and on their way elsewhere
     finishing,  // no clients; what is held is launched
@@ -93,7 +93,7 @@
   void keep();
   void act();
   void hangs();
-  void ended(CallbackId id, const char* result, Millis wait);
+  void ended(MessageId id, const char* result, Millis wait);
   void carryOut(const Decision& decision);
   Millis due() const;
 
--- a/src/rooms/rooms.h
+++ b/src/rooms/rooms.h
@@ -34,9 +34,9 @@
   void works(Millis now, EndpointId endpoint, ZoneId room, bool delivered);
   // An endpoint has failed so many times in a row.
   void fails(Millis now, EndpointId endpoint, DestinationId destination, ZoneId room, int times);
-  // A callback for the destination was taken on.
+  // A message for the destination was accepted.
   void asked(Millis now, DestinationId destination);
-  // So many more callbacks of a destination wait without a launch out.
+  // So many more messages of a destination wait without a launch out.
   void waits(DestinationId destination, int more);
   void probed(Millis now, ZoneId room);
 
@@ -78,14 +78,14 @@
     Millis doneAt{0};
     double away{0};  // the same of launches whose home it is, elsewhere
     Millis awayAt{0};
-    double asked{0};  // and of callbacks taken on whose home it is
+    double asked{0};  // and of messages accepted whose home it is
     Millis askedAt{0};
     double before{0};         // deliveries a second, as it was lost
     int losses{0};            // without a whole climb between them
     Millis fedFrom{0};        // no launch before, as it climbs
     Millis strangersFrom{0};  // no launch of a stranger before
     Millis probeFrom{0};
-    int waiting{0};  // callbacks whose home it is
+    int waiting{0};  // messages whose home it is
   };
   ZoneId homeOf(DestinationId destination) const;
   bool looksLost(const Room& r) const;
@@ -108,7 +108,7 @@
   ZoneId own_;
   int slots_;
   Millis fallSpan_;
-  Millis patience_;  // for how long a callback that waits for a place among strangers can still be in time
+  Millis patience_;  // for how long a message that waits for a place among strangers can still be in time
   double least_;     // launches a second into a room of which nothing is known
   std::mt19937 chance_;
   std::map<ZoneId, Room> rooms_;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::size_t kReservoir = 512;
 constexpr std::size_t kEnoughSamples = 32;
-constexpr std::size_t kEnoughPooled = 12;  // a destination sees few callbacks at one instance
+constexpr std::size_t kEnoughPooled = 12;  // a destination sees few messages at one instance
 constexpr Millis kRecompute = 2000;
 constexpr double kQuantile = 0.95;
 constexpr double kBudgetRatio = 0.1;  // retry budget earned by each first launch
-constexpr double kDelayLeast = 0.3;   // clamp of the copy's delay, of the promised time
+constexpr double kDelayLeast = 0.3;   // clamp of the copy's delay, of the latency objective
 constexpr double kDelayMost = 1.5;
 constexpr double kDelayUnknown = 0.6;  // in place of p95 while nothing was measured
 constexpr double kCopySlots = 0.5;     // no copies with more of the slots out
@@ -57,7 +57,7 @@
 constexpr double kToldShare = 0.55;       // of the fall budget; under two thirds, so ours alone break nothing
 constexpr double kAskedShare = 0.5;       // of what we were asked to bring, thought to be within capacity
 constexpr double kColdTogether = 1;       // sends in a fall span from all instances, at the least
-constexpr double kFurtherWeight = 0.25;   // of a further callback in a call, in calls
+constexpr double kFurtherWeight = 0.25;   // of a further message in a call, in calls
 constexpr double kColdCall = 2;           // most weight of a call to a cold path, in calls
 constexpr double kRoughWeight = 1 / 1.5;  // a listed weight may be half too high
 
@@ -66,10 +66,10 @@
 constexpr double kTrustGrowth = 1.1;   // by each idle connection that worked
 
 constexpr double kChanceLeast = 0.5;  // of p50; hardly any answer comes sooner
-constexpr double kRoomKept = 0.05;    // of the callbacks held at most
+constexpr double kRoomKept = 0.05;    // of the messages held at most
 constexpr double kForgotten = 4;      // cold spans after which nothing of an endpoint that has gone is true
 constexpr double kTenantBurst = 2;    // seconds of a tenant's quota
-constexpr double kUrgencyStep = 0.5;  // of the promised time
+constexpr double kUrgencyStep = 0.5;  // of the latency objective
 
 }  // namespace
 
@@ -79,7 +79,7 @@
       s_(Rooms(terms_, mix(seed))) {
   s_.idleTrusted = terms_.connectionIdle;
   for (double quota : terms_.tenantQuotaPerSecond) {
-    s_.tenants.push_back({std::max(1.0, kTenantBurst * quota / terms_.instances)});
+    s_.tenantQuotas.push_back({std::max(1.0, kTenantBurst * quota / terms_.instances)});
   }
 }
 
@@ -141,44 +141,44 @@
   s_.forgetGone(kForgotten * terms_.coldSpan);
 }
 
-void Rules::taken(CallbackId id, TrafficTypeId type, TenantId tenant, KeyId key, DestinationId destination,
-                  Millis outerLimit) {
+void Rules::taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
+                  DestinationId destination, Millis outerLimit) {
   if (type.value >= terms_.types.size()) throw std::out_of_range("a callback of an unknown traffic type");
-  Callback& c = s_.take(id, type, tenant, key, destination, outerLimit);
-  if (tenant.value < s_.tenants.size()) {
-    Tenant& t = s_.tenants[tenant.value];
+  Message& c = s_.take(id, type, tenant, key, destination, outerLimit);
+  if (tenant.value < s_.tenantQuotas.size()) {
+    TenantQuota& t = s_.tenantQuotas[tenant.value];
     // Dispatchers carry unlike loads: our part of a quota is an even one, or what came here so far.
     double quota = std::max(terms_.tenantQuotaPerSecond[tenant.value] / terms_.instances / 1000,
-                            ++t.taken / std::max(terms_.coldSpan, s_.now - s_.began));
-    t.left = std::min(std::max(1.0, quota * kTenantBurst * 1000),
-                      t.left + quota * (s_.now - std::exchange(t.seen, s_.now)));
-    c.overShare = t.left < 1;
-    if (!c.overShare) t.left -= 1;
-  }
-  if (terms_.types[type.value].ordered && key.value != 0) s_.keys[key].waiting.push_back(id);
-  s_.outerLimits.insert({outerLimit, id});
+                            ++t.acceptedCount / std::max(terms_.coldSpan, s_.now - s_.began));
+    t.tokens = std::min(std::max(1.0, quota * kTenantBurst * 1000),
+                        t.tokens + quota * (s_.now - std::exchange(t.refilledAt, s_.now)));
+    c.overQuota = t.tokens < 1;
+    if (!c.overQuota) t.tokens -= 1;
+  }
+  if (terms_.types[type.value].ordered && key.value != 0) s_.orderedQueues[key].messages.push_back(id);
+  s_.deadlines.insert({outerLimit, id});
   s_.place(id, c);
   s_.spentFrom.insert({latestLaunch(c), id});
 }
 
 // After a restart: what was out may have run, for the rules on effects and for the count of launches.
-void Rules::launchedBefore(CallbackId id, EndpointId endpoint, Millis sent, bool neverRan) {
-  Callback& c = s_.callbacks.at(id);
+void Rules::launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) {
+  Message& c = s_.messages.at(id);
   c.launches.push_back(
       {.endpoint = &s_.endpoints.at(endpoint), .sent = sent, .out = false, .neverRan = neverRan});
-  if (!neverRan && type(c).ordered) s_.keys[c.key].restUntil = s_.now + terms_.orderPause;
+  if (!neverRan && type(c).ordered) s_.orderedQueues[c.orderingKey].pausedUntil = s_.now + terms_.orderPause;
   s_.spentFrom.insert({s_.now, id});
   s_.place(id, c);
 }
 
-void Rules::launchEnded(CallbackId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
+void Rules::launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
                         Report report) {
-  Callback* c = s_.find(id);
+  Message* c = s_.find(id);
   if (c == nullptr || launch >= static_cast<int>(c->launches.size()) || !c->launches[launch].out) return;
   Launch& l = c->launches[launch];
   Endpoint& e = *l.endpoint;
   Path& p = *e.path;
-  l.out = c->started = false;
+  l.out = c->responseStarted = false;
   quietUntil_ = -1;
   l.neverRan = ending == Ending::full || ending == Ending::connectFailed || unsent(ending);
   s_.releaseCall(l);
@@ -199,7 +199,7 @@
   p.waitUntil = std::max(p.waitUntil, s_.now + wait);  // also where only some of a call were refused
   // Sooner than any answer, on a kept connection: that one had ended, which tells nothing of the endpoint.
   bool worn = ending == Ending::reset && l.idle > 0 && spent < usual(p, type(*c)).p50;
-  bool cutShort = ending == Ending::timeout && s_.now >= c->outerLimit;  // perhaps only sent late
+  bool cutShort = ending == Ending::timeout && s_.now >= c->deadline;  // perhaps only sent late
   if (ending == Ending::completed) {
     noteOk(p, e, l.sent, spent);
   } else if (own && p.endpoints.size() > 1) {
@@ -211,37 +211,38 @@
     noteFailure(p, e, l.sent, ending);
   }
   if (ending == Ending::timeout || ending == Ending::reset || ending == Ending::withdrawn) {
-    auto line = s_.keys.find(c->key);
-    if (type(*c).ordered && line != s_.keys.end()) line->second.restUntil = s_.now + terms_.orderPause;
+    auto line = s_.orderedQueues.find(c->orderingKey);
+    if (type(*c).ordered && line != s_.orderedQueues.end())
+      line->second.pausedUntil = s_.now + terms_.orderPause;
   }
   bool atOnce = worn || (l.neverRan && ending != Ending::withheld);  // what we lacked we may lack still
-  c->notBefore = s_.now + (atOnce ? 0 : kRetryPause * usual(p, type(*c)).p50);
+  c->retryNotBefore = s_.now + (atOnce ? 0 : kRetryPause * usual(p, type(*c)).p50);
   s_.place(id, *c);
   Millis at = anyMayHaveRun(*c) ? spentAt(*c) : std::min(spentAt(*c), latestLaunch(*c));
-  if (c->settled() && at < c->outerLimit) s_.spentFrom.insert({at, id});
+  if (c->hasNoPendingAttempt() && at < c->deadline) s_.spentFrom.insert({at, id});
   if (ending != Ending::withdrawn && !unsent(ending)) seen_ = {};
   if (isOver || ending == Ending::completed) over(id);
   s_.forgetSettled(id);
 }
 
-// When a settled callback may have no launch left: now, or when the window of one that may have run closes.
-Millis Rules::spentAt(const Callback& c) const {
+// When a settled message may have no launch left: now, or when the window of one that may have run closes.
+Millis Rules::spentAt(const Message& c) const {
   const TrafficType& t = type(c);
   if (t.effect == Effect::pure || !repeatAllowed(c, nullptr))
-    return repeatAllowed(c, nullptr) ? c.outerLimit : s_.now;
-  Millis at = c.outerLimit;
+    return repeatAllowed(c, nullptr) ? c.deadline : s_.now;
+  Millis at = c.deadline;
   for (const Launch& l : c.launches) {
     if (mayHaveRun(l)) at = std::min(at, l.sent + t.repeatWindow * (1 - kWindowMargin));
   }
   return at;
 }
 
-// The callback is finished: launches still out are losers, to be withdrawn.
-CallbackId Rules::over(CallbackId id) {
-  Callback* c = s_.find(id);
-  if (c == nullptr || c->over) return id;
-  c->over = true;
-  --s_.held;
+// The message is finished: launches still out are losers, to be withdrawn.
+MessageId Rules::over(MessageId id) {
+  Message* c = s_.find(id);
+  if (c == nullptr || c->finished) return id;
+  c->finished = true;
+  --s_.messagesInFlight;
   for (std::size_t n = 0; n < c->launches.size(); ++n) {
     if (c->launches[n].out && !c->launches[n].withdrawn) s_.losers.emplace_back(id, static_cast<int>(n));
   }
@@ -258,7 +259,7 @@
   samples.usual = {samples.quantile(kQuantile), samples.quantile(0.5)};
 }
 
-// What a path usually takes: by its own samples, the instance's or, with neither, the promised time.
+// What a path usually takes: by its own samples, the instance's or, with neither, the latency objective.
 Spread Rules::usual(const Path& p, const TrafficType& t) const {
   if (p.samples.kept.size() >= kEnoughPooled) return p.samples.usual;
   Spread known{t.promised * kDelayUnknown, t.promised * kDelayUnknown / kLate};
@@ -266,11 +267,11 @@
   return {std::max(known.p95, p.samples.usual.p95), known.p50};
 }
 
-Millis Rules::copyDelay(const Callback& c, const Endpoint& e, const Path& p, Millis sent) const {
+Millis Rules::copyDelay(const Message& c, const Endpoint& e, const Path& p, Millis sent) const {
   const TrafficType& t = type(c);
   Millis p95 = e.samples.kept.size() >= kEnoughSamples ? e.samples.usual.p95 : usual(p, t).p95;
   Millis clamped = std::clamp(p95, t.promised * kDelayLeast, t.promised * kDelayMost);
-  return std::min(clamped, (c.outerLimit - sent) / 2);
+  return std::min(clamped, (c.deadline - sent) / 2);
 }
 
 // One episode cuts once: launches sent before the last cut belong to the same trouble.
@@ -430,7 +431,8 @@
 // repeats of clients count in it too.
 double Rules::shareOfCapacity(const Path& p) const {
   auto part = static_cast<double>(p.endpoints.size()) / std::max<double>(1, p.destination->ranking.size());
-  double asked = kAskedShare * part * p.destination->taken / std::max(terms_.coldSpan, s_.now - s_.began);
+  double asked =
+      kAskedShare * part * p.destination->acceptedCount / std::max(terms_.coldSpan, s_.now - s_.began);
   return std::max({shareTold(p), asked * 1000, 1e-9});
 }
 
@@ -474,19 +476,19 @@
   return reached(std::min(s_.rooms.launchFrom(e.destination->id, e.zone), s_.now + terms_.fallSpan));
 }
 
-double Rules::gainAt(const Callback& c, Millis at) const {
+double Rules::gainAt(const Message& c, Millis at) const {
   const TrafficType& t = type(c);
-  if (at > c.outerLimit) return 0;
-  Millis late = at - (c.outerLimit - t.outer) - t.promised;
-  return t.gain * t.shareLeft(late, terms_.decay) * (c.overShare ? terms_.overShareGain : 1);
+  if (at > c.deadline) return 0;
+  Millis late = at - (c.deadline - t.outer) - t.promised;
+  return t.gain * t.shareLeft(late, terms_.decay) * (c.overQuota ? terms_.overShareGain : 1);
 }
 
-bool Rules::anyMayHaveRun(const Callback& c) const {
+bool Rules::anyMayHaveRun(const Message& c) const {
   return std::any_of(c.launches.begin(), c.launches.end(), [&](const Launch& l) { return mayHaveRun(l); });
 }
 
 // No effect twice. A margin of the window is left, for a repeat that reaches the endpoint late.
-bool Rules::repeatAllowed(const Callback& c, const Endpoint* to, const Launch* self) const {
+bool Rules::repeatAllowed(const Message& c, const Endpoint* to, const Launch* self) const {
   const TrafficType& t = type(c);
   if (static_cast<int>(c.launches.size()) - (self != nullptr) >= terms_.launchesMost) return false;
   if (t.effect == Effect::pure) return true;
@@ -500,33 +502,33 @@
 }
 
 // A launch begins when its connection is up, which may be late: it must be one that would be allowed now.
-bool Rules::mayBegin(CallbackId id, int launch) const {
-  auto at = s_.callbacks.find(id);
-  if (at == s_.callbacks.end() || at->second.over) return false;
+bool Rules::mayBegin(MessageId id, int launch) const {
+  auto at = s_.messages.find(id);
+  if (at == s_.messages.end() || at->second.finished) return false;
   const Launch& l = at->second.launches.at(static_cast<std::size_t>(launch));
   const Endpoint& e = *l.endpoint;
   return e.phase == Phase::ready && s_.now >= e.path->waitUntil && repeatAllowed(at->second, &e, &l);
 }
 
 // A shed reply promises that trying again is harmless.
-bool Rules::shedAllowed(const Callback& c) const {
+bool Rules::shedAllowed(const Message& c) const {
   const TrafficType& t = type(c);
   if (t.effect == Effect::pure || !anyMayHaveRun(c)) return true;
   return t.effect == Effect::receipted && !t.zoneGroup && repeatAllowed(c, nullptr);
 }
 
-bool Rules::keyFree(CallbackId id, const Callback& c) {
-  if (!type(c).ordered || c.key.value == 0 || !c.launches.empty()) return true;
-  const KeyLine& line = s_.keys[c.key];
-  if (line.waiting.empty() || line.waiting.front() != id) return false;
-  return reached(line.restUntil);
+bool Rules::keyFree(MessageId id, const Message& c) {
+  if (!type(c).ordered || c.orderingKey.value == 0 || !c.launches.empty()) return true;
+  const OrderedQueue& line = s_.orderedQueues[c.orderingKey];
+  if (line.messages.empty() || line.messages.front() != id) return false;
+  return reached(line.pausedUntil);
 }
 
 int Rules::perCall(const Endpoint& e) const {
   return e.kind.value < terms_.kinds.size() ? terms_.kinds[e.kind.value].perCall : 1;
 }
 
-// Further callbacks in a call weigh less than a call; to a cold path a full call would be a push of its own.
+// Further messages in a call weigh less than a call; to a cold path a full call would be a push of its own.
 bool Rules::joins(const Endpoint& e) {
   if (e.batchRound != s_.round || e.batchSize >= perCall(e)) return false;
   const Path& p = *e.path;
@@ -556,7 +558,7 @@
 }
 
 // First in rank, the next when that one has enough: its part of the window, or failures while others work.
-Endpoint* Rules::choose(const Callback& c, bool copy) {
+Endpoint* Rules::choose(const Message& c, bool copy) {
   Endpoint* best = nullptr;
   std::tuple<bool, bool, int> bestPlace;
   for (Endpoint* to : c.destination->ranking) {
@@ -579,8 +581,8 @@
   return best;
 }
 
-Decision Rules::launch(CallbackId id, Endpoint& e, bool copy) {
-  Callback& c = s_.callbacks[id];
+Decision Rules::launch(MessageId id, Endpoint& e, bool copy) {
+  Message& c = s_.messages[id];
   Path& p = *e.path;
   Millis idle = e.usedAt >= 0 && e.callsOut == 0 ? s_.now - e.usedAt : 0;
   if (joins(e)) {
@@ -604,7 +606,7 @@
   } else if (copy || anyMayHaveRun(c)) {
     s_.retryBudget = std::max(0.0, s_.retryBudget - 1);
   }
-  Millis span = c.outerLimit - s_.now;
+  Millis span = c.deadline - s_.now;
   if (!terms_.mayWithdraw && type(c).effect != Effect::effectful) {
     span = std::min(span, std::max(type(c).promised, kStuck * usual(p, type(c)).p95));
   }
@@ -624,7 +626,7 @@
   return s_.now >= at;
 }
 
-Millis Rules::silenceOf(const Callback& c, const Path& p) const {
+Millis Rules::silenceOf(const Message& c, const Path& p) const {
   return kSilent * std::max(usual(p, type(c)).p95, kDelayLeast * type(c).promised);
 }
 
@@ -632,10 +634,10 @@
 // went out is taken for out. Looked at once a round, and again after an answer.
 void Rules::noticeSilence() {
   if (quiet() || std::exchange(seen_.silence, s_.round) == s_.round) return;
-  for (CallbackId id : s_.out) {
-    Callback& c = s_.callbacks.at(id);
+  for (MessageId id : s_.out) {
+    Message& c = s_.messages.at(id);
     for (Launch& l : c.launches) {
-      if (!l.out || c.started) continue;
+      if (!l.out || c.responseStarted) continue;
       Endpoint& e = *l.endpoint;
       Path& p = *e.path;
       Millis silence = silenceOf(c, p);
@@ -653,14 +655,14 @@
 }
 
 // The latest at which a launch of it may still be answered in time, by what its fastest path usually takes.
-Millis Rules::latestLaunch(const Callback& c) const {
-  Millis latest = c.destination->ranking.empty() ? c.outerLimit : -1;
+Millis Rules::latestLaunch(const Message& c) const {
+  Millis latest = c.destination->ranking.empty() ? c.deadline : -1;
   for (const Endpoint* e : c.destination->ranking)
-    latest = std::max(latest, c.outerLimit - kChanceLeast * usual(*e->path, type(c)).p50);
+    latest = std::max(latest, c.deadline - kChanceLeast * usual(*e->path, type(c)).p50);
   return latest;
 }
 
-Decision Rules::shed(CallbackId id, Millis away) {
+Decision Rules::shed(MessageId id, Millis away) {
   return {Act::shed, over(id), {}, 0, terms_.shedAdvice ? std::min(away, terms_.longestAdvice) : 0};
 }
 
@@ -669,16 +671,16 @@
 // answered in time. Not before, though its path may be known to open too late: its client would come again
 // and push there.
 std::optional<Decision> Rules::dueAnswer() {
-  for (const auto& [limit, id] : s_.outerLimits) {
+  for (const auto& [limit, id] : s_.deadlines) {
     if (!reached(limit)) break;
-    const Callback& c = s_.callbacks.at(id);
-    if (!c.started) return Decision{anyMayHaveRun(c) ? Act::giveUp : Act::shed, over(id), {}, 0, 0};
+    const Message& c = s_.messages.at(id);
+    if (!c.responseStarted) return Decision{anyMayHaveRun(c) ? Act::giveUp : Act::shed, over(id), {}, 0, 0};
   }
   while (!s_.spentFrom.empty() && reached(s_.spentFrom.begin()->first)) {
-    CallbackId id = s_.spentFrom.begin()->second;
+    MessageId id = s_.spentFrom.begin()->second;
     s_.spentFrom.erase(s_.spentFrom.begin());
-    const Callback* c = s_.find(id);
-    if (c == nullptr || c->over || !c->settled()) continue;
+    const Message* c = s_.find(id);
+    if (c == nullptr || c->finished || !c->hasNoPendingAttempt()) continue;
     if (!repeatAllowed(*c, nullptr)) return Decision{Act::giveUp, over(id), {}, 0, 0};
     if (anyMayHaveRun(*c)) continue;
     Millis latest = latestLaunch(*c);
@@ -688,12 +690,12 @@
   return std::nullopt;
 }
 
-// Beyond the most that may be held the front turns callbacks away unseen: make room by what is worth least.
+// Beyond the most that may be held the front turns messages away unseen: make room by what is worth least.
 // In a line the oldest has the least left.
 std::optional<Decision> Rules::makeRoom() {
-  bool full = s_.held > std::max(1, static_cast<int>(terms_.heldMost * (1 - kRoomKept)));
+  bool full = s_.messagesInFlight > std::max(1, static_cast<int>(terms_.heldMost * (1 - kRoomKept)));
   if (!full && !s_.rooms.named()) return std::nullopt;
-  std::optional<CallbackId> least;
+  std::optional<MessageId> least;
   double leastGain = 0;
   Millis away = 0;
   for (const Destination* d : s_.waitedFor) {
@@ -702,10 +704,10 @@
     Millis opens =
         p == nullptr ? s_.now : std::max({s_.now, p->waitUntil, p->outage ? s_.now + terms_.coldSpan : 0});
     opens = std::max(opens, s_.now + s_.rooms.backlog(d->id));
-    for (const auto& [kind, line] : d->waiting.lines()) {
-      bool alike = !kind.launched || terms_.types[kind.type.value].effect == Effect::pure;
+    for (const auto& [kind, line] : d->waitQueue.lists()) {
+      bool alike = !kind.attempted || terms_.types[kind.type.value].effect == Effect::pure;
       for (const auto& [limit, id] : line) {
-        const Callback& c = s_.callbacks.at(id);
+        const Message& c = s_.messages.at(id);
         if (!alike && !shedAllowed(c)) continue;
         double gain = gainAt(c, opens);
         if (!least || gain < leastGain || (gain <= leastGain && id < *least)) {
@@ -725,7 +727,7 @@
   while (!s_.losers.empty()) {
     auto [id, n] = s_.losers.front();
     s_.losers.pop_front();
-    Callback* c = s_.find(id);
+    Message* c = s_.find(id);
     if (c == nullptr || !terms_.mayWithdraw || !c->launches[n].out) continue;
     c->launches[n].withdrawn = true;
     if (!c->launches[n].copy) c->launches[n].endpoint->calledOff(c->launches[n].sent);
@@ -735,7 +737,7 @@
 }
 
 // A launch that later ones have overtaken is lost: call it off while a repeat is still allowed. With all
-// slots out, so is any long overdue, even when that ends its callback. The more stay unanswered the sooner,
+// slots out, so is any long overdue, even when that ends its message. The more stay unanswered the sooner,
 // for lost answers would hold all slots.
 std::optional<Decision> Rules::freeStuck() {
   if (!terms_.mayWithdraw) return std::nullopt;
@@ -744,10 +746,10 @@
   look();
   if (wanted && !std::exchange(seen_.stuckWanted, wanted)) seen_.stuckFrom = {};
   for (auto at = s_.out.lower_bound(seen_.stuckFrom); at != s_.out.end(); ++at) {
-    CallbackId id = *at;
-    seen_.stuckFrom = CallbackId{id.value + 1};
-    Callback& c = s_.callbacks.at(id);
-    if (c.over || c.started) continue;
+    MessageId id = *at;
+    seen_.stuckFrom = MessageId{id.value + 1};
+    Message& c = s_.messages.at(id);
+    if (c.finished || c.responseStarted) continue;
     bool repeat = repeatAllowed(c, nullptr);
     for (std::size_t n = 0; n < c.launches.size(); ++n) {
       Launch& l = c.launches[n];
@@ -775,10 +777,10 @@
   if ((std::exchange(asked_.copies, may) && quiet()) || !may) return std::nullopt;
   look();
   for (auto at = s_.out.lower_bound(seen_.copyFrom); at != s_.out.end(); ++at) {
-    CallbackId id = *at;
-    seen_.copyFrom = CallbackId{id.value + 1};
-    Callback& c = s_.callbacks.at(id);
-    if (c.over || c.started || c.copied || type(c).effect == Effect::effectful) continue;
+    MessageId id = *at;
+    seen_.copyFrom = MessageId{id.value + 1};
+    Message& c = s_.messages.at(id);
+    if (c.finished || c.responseStarted || c.copied || type(c).effect == Effect::effectful) continue;
     if (!c.launches.back().out || c.launches.back().withdrawn) continue;
     const Launch& l = c.launches.back();
     Millis due = l.sent + copyDelay(c, *l.endpoint, *l.endpoint->path, l.sent);
@@ -788,27 +790,27 @@
   return std::nullopt;
 }
 
-// Of a line the one that loses most by waiting. How much that is follows from the outer limit alone, and
+// Of a line the one that loses most by waiting. How much that is follows from the deadline alone, and
 // turns from rising to falling only where the time left meets one of a few spans: the best stands beside one.
 template <class Visit>
-void Rules::mostUrgent(const WaitLine& line, const TrafficType& t, Millis from, Visit visit) const {
+void Rules::mostUrgent(const WaitList& line, const TrafficType& t, Millis from, Visit visit) const {
   Millis step = kUrgencyStep * t.promised;
   Millis lateAgain = t.outer - t.promised;
-  Waiting::beside(line, {from, from + step, from + lateAgain, from + step + lateAgain}, visit);
+  WaitQueue::visitAround(line, {from, from + step, from + lateAgain, from + step + lateAgain}, visit);
   if (terms_.decay != Decay::halving || t.lateShare <= 0) return;
   Millis floor = lateAgain + t.promised * std::log2(t.lateShare);  // from there on nothing more is lost
-  Waiting::beside(line, {from + floor, from + step + floor}, visit);
+  WaitQueue::visitAround(line, {from + floor, from + step + floor}, visit);
 }
 
 std::optional<Decision> Rules::launchDue() {
-  std::optional<CallbackId> best;
+  std::optional<MessageId> best;
   Endpoint* bestTo = nullptr;
   std::tuple<double, Millis> bestPlace;
-  auto consider = [&](CallbackId id, const Callback& c, Endpoint* to) {
+  auto consider = [&](MessageId id, const Message& c, Endpoint* to) {
     Millis latency = usual(*to->path, type(c)).p50;
     auto gainIn = [&](Millis late) { return gainAt(c, s_.now + latency + late); };
-    double lost = gainIn(0) - gainIn(kUrgencyStep * type(c).promised);      // by waiting
-    auto place = std::tuple(lost / std::max(1.0, latency), -c.outerLimit);  // for a slot's time
+    double lost = gainIn(0) - gainIn(kUrgencyStep * type(c).promised);    // by waiting
+    auto place = std::tuple(lost / std::max(1.0, latency), -c.deadline);  // for a slot's time
     if (best && (place < bestPlace || (place == bestPlace && *best <= id))) return;
     best = id;
     bestTo = to;
@@ -818,18 +820,18 @@
     auto open = [&](Endpoint* e) { return joins(*e) || (pathOpen(*e->path) && room(*e->path, *e)); };
     // All are asked, since each wants to be woken when it opens.
     if (std::count_if(d->ranking.begin(), d->ranking.end(), open) == 0) continue;
-    for (const auto& [kind, line] : d->waiting.lines()) {
+    for (const auto& [kind, line] : d->waitQueue.lists()) {
       const TrafficType& t = terms_.types[kind.type.value];
-      if (!kind.launched && !t.ordered) {  // what one of them may, all may
-        Endpoint* to = choose(s_.callbacks.at(line.begin()->second), false);
+      if (!kind.attempted && !t.ordered) {  // what one of them may, all may
+        Endpoint* to = choose(s_.messages.at(line.begin()->second), false);
         if (to == nullptr) continue;
         mostUrgent(line, t, s_.now + usual(*to->path, t).p50,
-                   [&](CallbackId id) { consider(id, s_.callbacks.at(id), to); });
+                   [&](MessageId id) { consider(id, s_.messages.at(id), to); });
         continue;
       }
       for (const auto& [limit, id] : line) {
-        const Callback& c = s_.callbacks.at(id);
-        if (!keyFree(id, c) || !reached(c.notBefore)) continue;
+        const Message& c = s_.messages.at(id);
+        if (!keyFree(id, c) || !reached(c.retryNotBefore)) continue;
         if (Endpoint* to = choose(c, false)) consider(id, c, to);
       }
     }
@@ -858,7 +860,7 @@
   return std::nullopt;
 }
 
-// Whether a destination is back shows by a probe at a time, so that no callback is bound to a lost launch.
+// Whether a destination is back shows by a probe at a time, so that no message is bound to a lost launch.
 std::optional<Decision> Rules::trial() {
   if (!terms_.mayProbe) return std::nullopt;
   while (!s_.trialsDue.empty() && reached(s_.trialsDue.begin()->first)) {
--- a/src/rules.h
+++ b/src/rules.h
@@ -19,50 +19,50 @@
   void listBegins();
   void listed(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight, Phase phase);
   void listEnds(bool whole);
-  void taken(CallbackId id, TrafficTypeId type, TenantId tenant, KeyId key, DestinationId destination,
+  void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
              Millis outerLimit);
-  // Of a callback just taken, by an earlier process; in the order of its launches.
-  void launchedBefore(CallbackId id, EndpointId endpoint, Millis sent, bool neverRan);
+  // Of a message just taken, by an earlier process; in the order of its launches.
+  void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan);
   // Of a launch just decided, where the host knows it: how long the connection it goes out on had been idle.
-  void goesOutOn(CallbackId id, int launch, Millis idle) {
-    if (Callback* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).idle = idle;
+  void goesOutOn(MessageId id, int launch, Millis idle) {
+    if (Message* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).idle = idle;
   }
   // Its bytes, kept back since it was decided, go out now.
-  void goesOutNow(CallbackId id, int launch) {
-    if (Callback* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).sent = s_.now;
+  void goesOutNow(MessageId id, int launch) {
+    if (Message* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).sent = s_.now;
   }
-  void answerStarted(CallbackId id, int launch) {
-    Callback* c = s_.find(id);
-    if (c != nullptr && launch < static_cast<int>(c->launches.size())) c->started = true;
+  void answerStarted(MessageId id, int launch) {
+    Message* c = s_.find(id);
+    if (c != nullptr && launch < static_cast<int>(c->launches.size())) c->responseStarted = true;
   }
-  void launchEnded(CallbackId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
+  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
                    Report report);
   void probeEnded(EndpointId id, Ending ending, Report report);
-  void clientGone(CallbackId id) { over(id); }
+  void clientGone(MessageId id) { over(id); }
   // Also when it comes a rounding early: then what is due is asked for again.
   void woken() { s_.wakeAsked = -1; }
   std::optional<Decision> next();
-  // Whether a tenant is above its share here, as far as its last callback told.
+  // Whether a tenant is above its share here, as far as its last message told.
   bool overShare(TenantId tenant) const {
-    return tenant.value < s_.tenants.size() && s_.tenants[tenant.value].left < 1;
+    return tenant.value < s_.tenantQuotas.size() && s_.tenantQuotas[tenant.value].tokens < 1;
   }
   // Whether a launch that was decided earlier may still be sent.
-  bool mayBegin(CallbackId id, int launch) const;
+  bool mayBegin(MessageId id, int launch) const;
 
   const InstanceState& state() const { return s_; }
 
  private:
-  const TrafficType& type(const Callback& c) const { return terms_.types.at(c.type.value); }
-  double gainAt(const Callback& c, Millis at) const;
+  const TrafficType& type(const Message& c) const { return terms_.types.at(c.type.value); }
+  double gainAt(const Message& c, Millis at) const;
   bool mayHaveRun(const Launch& l) const { return l.out || !l.neverRan; }
-  bool anyMayHaveRun(const Callback& c) const;
-  bool repeatAllowed(const Callback& c, const Endpoint* to, const Launch* self = nullptr) const;
-  bool shedAllowed(const Callback& c) const;
-  bool keyFree(CallbackId id, const Callback& c);
-  CallbackId over(CallbackId id);
+  bool anyMayHaveRun(const Message& c) const;
+  bool repeatAllowed(const Message& c, const Endpoint* to, const Launch* self = nullptr) const;
+  bool shedAllowed(const Message& c) const;
+  bool keyFree(MessageId id, const Message& c);
+  MessageId over(MessageId id);
   void addSample(Samples& samples, Millis spent);
   Spread usual(const Path& p, const TrafficType& t) const;
-  Millis copyDelay(const Callback& c, const Endpoint& e, const Path& p, Millis sent) const;
+  Millis copyDelay(const Message& c, const Endpoint& e, const Path& p, Millis sent) const;
   void cut(Path& p, Millis sent);
   Millis pause(const Path& p);
   void lookAgain(const Path& p);
@@ -90,15 +90,15 @@
   int perCall(const Endpoint& e) const;
   bool joins(const Endpoint& e);
   bool room(const Path& p, const Endpoint& e);
-  Endpoint* choose(const Callback& c, bool copy);
-  Decision launch(CallbackId id, Endpoint& e, bool copy);
-  Millis spentAt(const Callback& c) const;
-  Millis silenceOf(const Callback& c, const Path& p) const;
+  Endpoint* choose(const Message& c, bool copy);
+  Decision launch(MessageId id, Endpoint& e, bool copy);
+  Millis spentAt(const Message& c) const;
+  Millis silenceOf(const Message& c, const Path& p) const;
   void noticeSilence();
   template <class Visit>
-  void mostUrgent(const WaitLine& line, const TrafficType& t, Millis from, Visit visit) const;
-  Millis latestLaunch(const Callback& c) const;
-  Decision shed(CallbackId id, Millis away);
+  void mostUrgent(const WaitList& line, const TrafficType& t, Millis from, Visit visit) const;
+  Millis latestLaunch(const Message& c) const;
+  Decision shed(MessageId id, Millis away);
   std::optional<Decision> dueAnswer();
   std::optional<Decision> makeRoom();
   std::optional<Decision> withdrawLoser();
@@ -120,8 +120,8 @@
   struct Seen {
     int silence{-1};  // the round in which silence was looked for
     int round{-1};    // of the next four
-    CallbackId stuckFrom{};
-    CallbackId copyFrom{};
+    MessageId stuckFrom{};
+    MessageId copyFrom{};
     bool stuckWanted{false};
   } seen_;
   void look() {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Our own overload: what is turned away and when, and the lines in which callbacks wait.
+// Our own overload: what is turned away and when, and the lines in which messages wait.
 #include "admission/admission.h"
 
 #include <gtest/gtest.h>
@@ -106,26 +106,26 @@
   }
 }
 
-// A line finds the same callbacks beside an outer limit as a walk over all of it.
+// A line finds the same messages beside an deadline as a walk over all of it.
 RC_GTEST_PROP(Waiting, FindsWhatStandsBesideALimit, (std::vector<std::uint8_t> limits, std::uint8_t asked)) {
-  Waiting waiting;
-  WaitKind kind{TrafficTypeId{1}, false, false};
-  std::set<std::pair<Millis, CallbackId>> plain;
+  WaitQueue waiting;
+  WaitClass kind{TrafficTypeId{1}, false, false};
+  std::set<std::pair<Millis, MessageId>> plain;
   for (std::uint32_t n = 0; n < limits.size(); ++n) {
     Millis limit = limits[n] % 16;
     if (n % 5 == 4) {
-      waiting.remove(kind, limits[n - 1] % 16, CallbackId{n - 1});
-      plain.erase({limits[n - 1] % 16, CallbackId{n - 1}});
+      waiting.remove(kind, limits[n - 1] % 16, MessageId{n - 1});
+      plain.erase({limits[n - 1] % 16, MessageId{n - 1}});
     }
-    waiting.add(kind, limit, CallbackId{n});
-    plain.insert({limit, CallbackId{n}});
+    waiting.add(kind, limit, MessageId{n});
+    plain.insert({limit, MessageId{n}});
   }
   RC_ASSERT(waiting.empty() == plain.empty());
   if (plain.empty()) return;
-  std::vector<CallbackId> found, expected{plain.begin()->second};
-  Waiting::beside(waiting.lines().at(kind), {Millis(asked % 16)},
-                  [&](CallbackId id) { found.push_back(id); });
-  const std::pair<Millis, CallbackId>*after = nullptr, *before = nullptr;
+  std::vector<MessageId> found, expected{plain.begin()->second};
+  WaitQueue::visitAround(waiting.lists().at(kind), {Millis(asked % 16)},
+                         [&](MessageId id) { found.push_back(id); });
+  const std::pair<Millis, MessageId>*after = nullptr, *before = nullptr;
   for (const auto& entry : plain) {
     if (entry.first >= asked % 16 && after == nullptr) after = &entry;
     if (entry.first < asked % 16 && (before == nullptr || entry.first > before->first)) before = &entry;
@@ -150,7 +150,7 @@
   for (std::uint32_t id = 1; id <= 40; ++id) {
     Millis outer = bed.now + 20 + chance() % 10000;
     auto type = static_cast<std::uint16_t>(chance() % 2);
-    bed.rules.taken(CallbackId{id}, TrafficTypeId{type}, TenantId{0}, KeyId{0}, DestinationId{1}, outer);
+    bed.rules.taken(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{0}, DestinationId{1}, outer);
     waits[id] = {type, outer};
   }
   auto launches = bed.pull(Act::launch);
@@ -165,7 +165,7 @@
     Millis from = bed.now + latency;
     return (gainAt(from) - gainAt(from + 0.5 * t.promised)) / std::max(1.0, latency);
   };
-  double chosen = urgency(launches[0].callback.value);
+  double chosen = urgency(launches[0].message.value);
   for (const auto& [id, w] : waits) RC_ASSERT(urgency(id) <= chosen + 1e-9);
 }
 
@@ -219,14 +219,14 @@
     walked.rules.listEnds(false);
     if (chance() % 60 == 0) ill = !ill;
     for (; !due.empty() && due.begin()->first <= now; due.erase(due.begin())) both(due.begin()->second);
-    for (std::uint32_t n = chance() % 3; n > 0 && quiet.rules.state().held < 60; --n, ++id) {
+    for (std::uint32_t n = chance() % 3; n > 0 && quiet.rules.state().messagesInFlight < 60; --n, ++id) {
       both([&](Bed& bed) { bed.take(id); });
     }
     for (auto d = next(quiet); d; d = next(quiet)) {
       auto other = next(walked);
       RC_ASSERT(other &&
-                std::tie(d->act, d->callback, d->endpoint, d->launch, d->span) ==
-                    std::tie(other->act, other->callback, other->endpoint, other->launch, other->span));
+                std::tie(d->act, d->message, d->endpoint, d->launch, d->span) ==
+                    std::tie(other->act, other->message, other->endpoint, other->launch, other->span));
       if (d->act == Act::withdraw) both([&](Bed& bed) { bed.end(*d, Ending::withdrawn); });
       if (d->act == Act::probe)
         due.emplace(now + 30, [e = d->endpoint, ill](Bed& bed) {
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -67,10 +67,11 @@
   }
   void to(Millis at) { rules.roundBegins(now = at); }
   void take(std::uint32_t id, std::uint16_t type = 0, std::uint64_t key = 0) {
-    rules.taken(CallbackId{id}, TrafficTypeId{type}, TenantId{0}, KeyId{key}, DestinationId{1}, now + 10000);
+    rules.taken(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
+                now + 10000);
   }
   void end(const Decision& launch, Ending ending, Millis spent = 100, Millis wait = 0) {
-    rules.launchEnded(launch.callback, launch.launch, ending, spent, ending == Ending::completed, wait, {});
+    rules.launchEnded(launch.message, launch.launch, ending, spent, ending == Ending::completed, wait, {});
   }
   std::vector<Decision> pull(Act act) {
     std::vector<Decision> found;
@@ -79,7 +80,7 @@
     }
     return found;
   }
-  // So many callbacks completed give the module its samples.
+  // So many messages completed give the module its samples.
   void warm(int many, std::uint32_t from = 1000) {
     for (int n = 0; n < many; ++n) {
       take(from + static_cast<std::uint32_t>(n));
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -1,4 +1,4 @@
-// Calls of several callbacks, with the rules, the book and the loop of a dispatcher around them and an
+// Calls of several messages, with the rules, the book and the loop of a dispatcher around them and an
 // endpoint that the test answers for. Withdrawals are handed in as decisions, so that the outcome does not
 // hang on the clock.
 #include "net/calls.h"
@@ -45,7 +45,7 @@
   net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:9"), "nowhere", 1};
   net::Calls calls{loop, rules, book, catalog, terms, facts, 64, 8};
   std::string got;  // by the endpoint
-  std::map<std::string, CallbackId> ids;
+  std::map<std::string, MessageId> ids;
   bool withdraws{false};  // as the module decides it, too
 
   explicit Desk(bool mayCopy = false, std::size_t most = 3'000'000) : terms(withCopies(mayCopy)), disk(most) {
@@ -122,7 +122,7 @@
   }
   void callOff(const std::string& ref) { calls.withdraw({Act::withdraw, ids[ref], {}, 0, 0}); }
   bool out(const std::string& ref) const {
-    const auto& held = rules.state().callbacks;
+    const auto& held = rules.state().messages;
     auto at = held.find(ids.at(ref));
     return at != held.end() && at->second.launches.at(0).out;
   }
@@ -133,7 +133,7 @@
   }
 };
 
-// Seen on roll+brink+mass and zone+brink+mass: "callback.ended result=given_up" for the first of seven, then
+// Seen on roll+brink+mass and zone+brink+mass: "message.ended result=given_up" for the first of seven, then
 // ok for all seven, and six that passed for never ended.
 TEST(CallsOfSeveral, BeginWithTheOneThatEndsLast) {
   Desk desk;
@@ -206,7 +206,7 @@
 }
 
 // Seen on roll+brink+mass, 300 dispatchers, seed 54: "launch.sent time_out_ms=11999.0", "launch.ended
-// ending=completed spent_ms=11999.42", and a callback that had never ended.
+// ending=completed spent_ms=11999.42", and a message that had never ended.
 TEST(Calls, AnsweredAtTheEndOfTheirTimeAreToldToThePlatformToo) {
   for (Millis left : {9000.0, 400.0}) {
     Desk desk;
@@ -238,13 +238,13 @@
   for (int n = 0; n < 5; ++n) desk.turn();
   ::setrlimit(RLIMIT_NOFILE, &usual);
   EXPECT_FALSE(desk.out("one"));
-  EXPECT_TRUE(desk.rules.state().callbacks.at(desk.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).launches.at(0).neverRan);
   EXPECT_EQ(desk.rules.state().endpoints.begin()->second.failures, 0);
   EXPECT_FALSE(desk.rules.state().paths.begin()->second.outage);
   EXPECT_TRUE(within(1000, [&] {
     desk.turn();
     desk.decide();
-    return desk.rules.state().callbacks.at(desk.ids["one"]).launches.size() == 2;
+    return desk.rules.state().messages.at(desk.ids["one"]).launches.size() == 2;
   }));
 }
 
@@ -287,7 +287,7 @@
     if (late) std::this_thread::sleep_for(std::chrono::milliseconds(1000));
     desk.round(0);
     EXPECT_EQ(desk.read("xxxx\n\n", 8'000'000), !late);
-    const Launch& launch = desk.rules.state().callbacks.at(desk.ids["one"]).launches.at(1);
+    const Launch& launch = desk.rules.state().messages.at(desk.ids["one"]).launches.at(1);
     EXPECT_EQ(launch.neverRan, late);
   }
 }
@@ -316,7 +316,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   });
   for (int n = 0; n < 5; ++n) desk.turn();
-  const auto& launches = desk.rules.state().callbacks.at(desk.ids["two"]).launches;
+  const auto& launches = desk.rules.state().messages.at(desk.ids["two"]).launches;
   EXPECT_TRUE(launches.at(0).neverRan);  // an effectful one, and it may go again
 }
 
@@ -342,7 +342,7 @@
       char byte;
       EXPECT_LE(::recv(old, &byte, 1, MSG_DONTWAIT), 0) << "two went to it";
       ASSERT_TRUE(desk.book.holds("two")) << when << stray;  // and nothing has answered it
-      const Launch& launch = desk.rules.state().callbacks.at(desk.ids["two"]).launches.at(0);
+      const Launch& launch = desk.rules.state().messages.at(desk.ids["two"]).launches.at(0);
       EXPECT_EQ(launch.out, when < 2);
       EXPECT_EQ(launch.neverRan, when == 2);
       ::close(old);
@@ -351,7 +351,7 @@
 }
 
 // Two endpoints, each with what it has read and not answered. A hedge costs of the retry budget, which twenty
-// callbacks that are answered at once have earned.
+// messages that are answered at once have earned.
 struct Pair : Desk {
   struct End {
     int listener;
@@ -398,9 +398,7 @@
   static void answer(End& end) {
     put(std::exchange(end.asked, -1), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   }
-  std::size_t launches(const std::string& ref) {
-    return rules.state().callbacks.at(ids[ref]).launches.size();
-  }
+  std::size_t launches(const std::string& ref) { return rules.state().messages.at(ids[ref]).launches.size(); }
 };
 
 // A hedge is out, and both attempts are answered before the loop turns again; or the first is while the hedge
@@ -458,7 +456,7 @@
   }
 }
 
-// An answer comes half before and half after what its callback waits for: the end of the clients, a signal, a
+// An answer comes half before and half after what its message waits for: the end of the clients, a signal, a
 // turn in which nothing else happens. It counts as one, and counts once.
 TEST(Calls, HalfAnsweredEndByTheWholeAnswer) {
   for (std::size_t cut = 1; cut < 38; ++cut) {
@@ -487,7 +485,7 @@
   desk.decide();
   desk.list("terminating");
   EXPECT_FALSE(desk.read("x"));
-  EXPECT_TRUE(desk.rules.state().callbacks.at(desk.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).launches.at(0).neverRan);
   // Decided and not noted yet: it has gone altogether.
   Desk other;
   other.take("one", "order", 9000);
@@ -496,7 +494,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   });
   EXPECT_FALSE(other.read("x"));
-  EXPECT_TRUE(other.rules.state().callbacks.at(other.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(other.rules.state().messages.at(other.ids["one"]).launches.at(0).neverRan);
   // Back under its name with another address: the kept connection leads to where it was.
   Desk moved;
   moved.take("one", "order", 9000);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -96,21 +96,21 @@
       if (e.d.act == Act::probe)
         all[n]->probeEnded(e.d.endpoint, ending, report);
       else
-        all[n]->launchEnded(e.d.callback, e.d.launch, ending, now - e.sent, e.good, 0, report);
+        all[n]->launchEnded(e.d.message, e.d.launch, ending, now - e.sent, e.good, 0, report);
     }
     for (std::size_t n = 0; n < all.size(); ++n) {
       double rate = w.capacity * w.load * shares[n] / sum * kStep / 1000;
       int many = std::poisson_distribution<int>(rate)(chance);
       for (; many > 0; --many)
-        all[n]->taken(CallbackId{next++}, TrafficTypeId{0}, TenantId{0}, KeyId{0}, DestinationId{1},
+        all[n]->taken(MessageId{next++}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1},
                       now + 6000);
       int lastCall = -1;
       while (auto d = all[n]->next()) {
         if (d->act == Act::withdraw)
-          all[n]->launchEnded(d->callback, d->launch, Ending::withdrawn, 100, false, 0, {});
+          all[n]->launchEnded(d->message, d->launch, Ending::withdrawn, 100, false, 0, {});
         if (d->act != Act::launch && d->act != Act::probe) continue;
         if (d->act == Act::launch) {
-          const auto& launches = all[n]->state().callbacks.at(d->callback).launches;
+          const auto& launches = all[n]->state().messages.at(d->message).launches;
           int call = launches.at(static_cast<std::size_t>(d->launch)).call;
           if (std::exchange(lastCall, call) == call) continue;
         }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -34,7 +34,7 @@
   return got;
 }
 
-// The clients' side alone. PING is answered, anything else is taken on.
+// The clients' side alone. PING is answered, anything else is accepted.
 struct Front {
   net::Loop loop;
   std::vector<std::string> taken;  // ids
@@ -59,7 +59,7 @@
   }
   int come() { return clients.emplace_back(loopback(port, false)); }
   void answer() {
-    intake.send([](CallbackId) { return true; }, [](CallbackId) { return std::nullopt; });
+    intake.send([](MessageId) { return true; }, [](MessageId) { return std::nullopt; });
   }
   void turn() {
     loop.wait(loop.now() + 2);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -106,7 +106,7 @@
 
 // ---- the audit ----
 
-// A trace by hand: one callback of each type of the plan, handed to dispatcher 0 and taken.
+// A trace by hand: one message of each type of the plan, handed to dispatcher 0 and taken.
 struct Hand {
   Plan plan = planWith("");
   Trace trace;
@@ -385,7 +385,7 @@
   trace.callbacks = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
   Town town(plan, 1, trace);
   town.arrived(0, 1, 0, 0, {0});
-  town.arrived(100, 2, 1, 0, {1});   // the same origin, handed in again
+  town.arrived(100, 2, 1, 0, {1});   // the same origin, submitted again
   town.arrived(5000, 3, 0, 0, {1});  // past the window
   town.arrived(5000, 4, 1, 0, {2});
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -64,7 +64,7 @@
     if (d.act == Act::wake) RC_ASSERT(d.span > now);
     if (d.act == Act::wake || d.act == Act::withdraw || d.act == Act::probe || d.act == Act::closeIdle)
       return;
-    Taken& c = all.at(d.callback.value);
+    Taken& c = all.at(d.message.value);
     RC_ASSERT(c.finals == 0);
     if (d.act == Act::shed) RC_ASSERT(repeatHarmless(c, nullptr, now));
     if (d.act != Act::launch) {
@@ -75,7 +75,7 @@
     RC_ASSERT(list.at(d.endpoint).first == Phase::ready);
     RC_ASSERT(now >= waitUntil[path(d.endpoint)]);
     RC_ASSERT(repeatHarmless(c, &d.endpoint, now));
-    RC_ASSERT(keyFree(d.callback.value, now));
+    RC_ASSERT(keyFree(d.message.value, now));
     RC_ASSERT(static_cast<int>(c.sent.size()) < terms.launchesMost);
     int out = 0;
     for (const Sent& s : c.sent) {
@@ -139,14 +139,14 @@
         auto key = static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
         model.all[nextId] = {terms.types[type], key, bed.now + 10000, 0, {}};
         bed.take(nextId, type, key);
-        // Some were taken on by an earlier process, and launched.
+        // Some were accepted by an earlier process, and launched.
         if (*rc::gen::inRange(0, 4) == 0 && !model.list.empty()) {
           EndpointId to = model.list.rbegin()->first;
           Millis sent = bed.now - *rc::gen::element(20.0, 2500.0, 6000.0);
           bool proven = *rc::gen::arbitrary<bool>();
-          bed.rules.launchedBefore(CallbackId{nextId}, to, sent, proven);
+          bed.rules.launchedBefore(MessageId{nextId}, to, sent, proven);
           model.all[nextId].sent.push_back(
-              {{Act::launch, CallbackId{nextId}, to, 0, 0}, sent, false, proven, !proven, bed.now});
+              {{Act::launch, MessageId{nextId}, to, 0, 0}, sent, false, proven, !proven, bed.now});
         }
         ++nextId;
       }
@@ -179,7 +179,7 @@
           const Rooms& rooms = bed.rules.state().rooms;
           RC_ASSERT(!rooms.lost(ZoneId{model.list.at(d->endpoint).second}));
           int strangers = 0;
-          for (const auto& [id, c] : bed.rules.state().callbacks) {
+          for (const auto& [id, c] : bed.rules.state().messages) {
             for (const Launch& l : c.launches) strangers += l.out && l.spilled;
           }
           RC_ASSERT(strangers <= std::max(1, terms.slots / 2));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -153,7 +153,7 @@
   if (end == Step::whole) RC_ASSERT(reader.length() <= bytes.size());
 }
 
-// Danger: a program made anew takes the journal of its forerunner for torn, and cuts all that was taken on.
+// Danger: a program made anew takes the journal of its forerunner for torn, and cuts all that was accepted.
 TEST(Journal, OfTheFirstVersionIsReadGoesOnAndIsWrittenAnewInTheSecond) {
   auto framedFirst = [](const std::string& record) {
     std::uint32_t sum = 0xffffffffu;
@@ -250,7 +250,7 @@
   net::Book book;
   explicit BookBed(std::size_t most = 60000, bool aside = false)
       : book(facts, folder.path.string(), most, aside) {}
-  std::optional<CallbackId> take(const std::string& ref, std::size_t bytes = 100) {
+  std::optional<MessageId> take(const std::string& ref, std::size_t bytes = 100) {
     return book.take(book.decode("00", ref, "c=order,d=500,dest=7,k=5c", std::string(bytes, 'b'), 1000));
   }
 };
@@ -293,7 +293,7 @@
 TEST(Book, StaysWithinItsDiskWhateverComesAndRefusesWhatDoesNotFit) {
   BookBed bed;
   bed.book.restore();
-  std::vector<CallbackId> held;
+  std::vector<MessageId> held;
   std::size_t refused = 0;
   for (int n = 0; n < 3000; ++n) {
     if (auto id = bed.take("c" + std::to_string(n), n % 700 == 0 ? 25000 : 300)) {
@@ -344,7 +344,7 @@
   bool under = false;
   for (int n = 0; n < 9000; ++n) {
     auto any = [&](const auto& of) {
-      return of.empty() ? CallbackId{0}
+      return of.empty() ? MessageId{0}
                         : std::next(of.begin(), static_cast<long>(chance() % of.size()))->first;
     };
     auto held = [&] { return any(bed.book.held()); };
@@ -458,7 +458,7 @@
   EXPECT_EQ(world.count("POST /reports"), 0u);
 }
 
-// Danger: an effect twice, or a callback lost, by a wrong reading of how its launch ended.
+// Danger: an effect twice, or a message lost, by a wrong reading of how its launch ended.
 TEST(Node, ReadsEachEndAsTheProtocolSays) {
   struct Case {
     std::string answer;
@@ -523,7 +523,7 @@
   EXPECT_TRUE(within(1000, [&] { return endpoint.calls().size() == 1; }));
 }
 
-// Danger: what was out at the kill may have run. A pure callback goes again; an effectful one never does, and
+// Danger: what was out at the kill may have run. A pure message goes again; an effectful one never does, and
 // the platform hears of it, however often its first answers fail.
 TEST(Node, KilledOutrightItOwesEachEndAfterItsReturn) {
   std::atomic<bool> silent{true};
@@ -820,7 +820,7 @@
   std::string late;
   EXPECT_TRUE(within(9000, [&] { return (late = node.ask(command({"PING"}))) == "+PONG\r\n"; }));
   for (int fd : idle) ::close(fd);
-  // A client that has not waited hands it in elsewhere: it is not taken on. Stopped, the dispatcher finds the
+  // A client that has not waited hands it in elsewhere: it is not accepted. Stopped, the dispatcher finds the
   // command and the end behind it at the same time.
   ::kill(node.pid, SIGSTOP);
   std::thread later([&] {
@@ -855,7 +855,7 @@
   EXPECT_TRUE(wait >= 20 && wait <= 2000) << wait;
 }
 
-// Danger: a process held up for a while reads a callback late, and its end would be overdue by as much.
+// Danger: a process held up for a while reads a message late, and its end would be overdue by as much.
 TEST(Node, HeldUpItCountsATimeFromWhenTheClientSentIt) {
   StandIn world(platform);
   world.start();
@@ -875,7 +875,7 @@
 }
 
 // Danger: held up, a dispatcher has more answers to read than one look at the kernel brings. What is decided
-// on half of them launches callbacks again that were delivered. Whether they were in time it cannot know:
+// on half of them launches messages again that were delivered. Whether they were in time it cannot know:
 // each end is told once to the platform too, which does no harm.
 TEST(Node, HeldUpItReadsAllAnswersBeforeItGivesAnyUp) {
   constexpr int kMany = 600;
@@ -1089,7 +1089,7 @@
 }
 
 // What a restart costs: ready is to be ready soon where hundreds come back together on few cores. Each held
-// callback was launched at an endpoint that no list names any more, the dearest case.
+// message was launched at an endpoint that no list names any more, the dearest case.
 TEST(Node, IsReadySoonWithAFullJournal) {
   StandIn world(platform);  // discovery is silent
   for (std::uint32_t many : {1000u, 10000u}) {
@@ -1122,7 +1122,7 @@
   }
 }
 
-// SIGTERM crosses a second one, a new configuration, and half an answer to an effectful callback.
+// SIGTERM crosses a second one, a new configuration, and half an answer to an effectful message.
 TEST(Node, ToldToEndTwiceAndToRereadItTellsTheNewPlatformAndKeepsTheRest) {
   StandIn endpoint([](auto&, auto&) { return "HTTP/1.1 2"; });
   StandIn first([](auto&, auto&) { return ""; });  // silent on notices too
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -218,7 +218,7 @@
   }
   void to(Millis at) { rules.roundBegins(now = at); }
   void take(std::uint32_t id, std::uint16_t type, std::uint16_t d = 1) {
-    rules.taken(CallbackId{id}, TrafficTypeId{type}, {}, {}, DestinationId{d}, now + 10000);
+    rules.taken(MessageId{id}, TrafficTypeId{type}, {}, {}, DestinationId{d}, now + 10000);
   }
   std::vector<Decision> pull() {
     std::vector<Decision> found;
@@ -234,9 +234,9 @@
         all.push_back(d);
         if (d.act == Act::probe)
           rules.probeEnded(d.endpoint, own(d.endpoint) ? Ending::timeout : Ending::completed, {});
-        if (d.act != Act::launch || silent.contains(d.callback.value)) continue;
+        if (d.act != Act::launch || silent.contains(d.message.value)) continue;
         Ending ending = own(d.endpoint) ? Ending::connectFailed : Ending::completed;
-        rules.launchEnded(d.callback, d.launch, ending, 10, ending == Ending::completed, 0, {});
+        rules.launchEnded(d.message, d.launch, ending, 10, ending == Ending::completed, 0, {});
       }
       to(now + 20);
     }
@@ -252,19 +252,19 @@
   ASSERT_EQ(first.front().act, Act::launch);
   ASSERT_TRUE(RulesBed::own(first.front().endpoint));
   bed.to(1500);
-  bed.rules.launchEnded(CallbackId{1}, 0, Ending::timeout, 500, false, 0, {});  // it may have run
+  bed.rules.launchEnded(MessageId{1}, 0, Ending::timeout, 500, false, 0, {});  // it may have run
   for (std::uint32_t n = 2; n < 20; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(6000);
   ASSERT_TRUE(bed.rules.state().rooms.lost(kOwn));
   int elsewhere = 0, givenUp = 0;
   for (const Decision& d : all) {
-    if (d.callback == CallbackId{1} && d.act == Act::launch) {
+    if (d.message == MessageId{1} && d.act == Act::launch) {
       EXPECT_TRUE(RulesBed::own(d.endpoint));
     }
-    if (d.callback == CallbackId{1} && d.act == Act::giveUp) ++givenUp;
+    if (d.message == MessageId{1} && d.act == Act::giveUp) ++givenUp;
     elsewhere += d.act == Act::launch && !RulesBed::own(d.endpoint);
   }
-  EXPECT_EQ(givenUp, 1);    // once its window has closed, long before its outer limit
+  EXPECT_EQ(givenUp, 1);    // once its window has closed, long before its deadline
   EXPECT_GE(elsewhere, 8);  // it has delivered nothing yet, and goes by what it was asked
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -44,19 +44,19 @@
                                          {Effect::pure, false, true}}) {
     Bed bed(plainTerms(effect));
     bed.take(1);
-    bed.rules.launchedBefore(CallbackId{1}, endpoint(1), bed.now - 3000, neverRan);
+    bed.rules.launchedBefore(MessageId{1}, endpoint(1), bed.now - 3000, neverRan);
     EXPECT_EQ(bed.pull(Act::launch).size(), again ? 1u : 0u);
   }
   Bed late(plainTerms(Effect::receipted));
   late.take(1);
-  late.rules.launchedBefore(CallbackId{1}, endpoint(1), late.now - 3700, false);
+  late.rules.launchedBefore(MessageId{1}, endpoint(1), late.now - 3700, false);
   EXPECT_EQ(late.pull(Act::giveUp).size(), 1u);
   DeploymentTerms terms = plainTerms(Effect::effectful);
   terms.types[0].ordered = true;
   Bed ordered(terms);
   ordered.take(1, 0, 5);
   ordered.take(2, 0, 5);
-  ordered.rules.launchedBefore(CallbackId{1}, endpoint(1), ordered.now - 100, false);
+  ordered.rules.launchedBefore(MessageId{1}, endpoint(1), ordered.now - 100, false);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
   ordered.to(ordered.now + terms.orderPause - 1);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
@@ -100,7 +100,7 @@
   terms.launchesMost = 2;
   Bed bed(terms);
   bed.take(1);
-  auto may = [&](int launch) { return bed.rules.mayBegin(CallbackId{1}, launch); };
+  auto may = [&](int launch) { return bed.rules.mayBegin(MessageId{1}, launch); };
   Decision first = bed.pull(Act::launch).at(0);
   bed.to(bed.now + 3000);
   EXPECT_TRUE(may(0));
@@ -116,7 +116,7 @@
   EXPECT_FALSE(may(1));
   bed.list(1), bed.list(2);
   EXPECT_TRUE(may(1));
-  bed.rules.clientGone(CallbackId{1});
+  bed.rules.clientGone(MessageId{1});
   EXPECT_FALSE(may(1));
 }
 
@@ -151,7 +151,7 @@
   bed.take(1);
   bed.end(bed.pull(Act::launch).at(0), Ending::error);
   for (std::uint32_t id = 2; id <= 4; ++id) bed.take(id);
-  for (const Decision& d : bed.pull(Act::shed)) EXPECT_NE(d.callback, CallbackId{1});
+  for (const Decision& d : bed.pull(Act::shed)) EXPECT_NE(d.message, MessageId{1});
 }
 
 TEST(Holding, ShedsBeforeTheFrontTurnsCallbacksAway) {
@@ -160,7 +160,7 @@
   Bed bed(terms, 0);
   for (std::uint32_t id = 1; id <= 10; ++id) bed.take(id);
   EXPECT_FALSE(bed.pull(Act::shed).empty());
-  EXPECT_LT(bed.rules.state().held, 10);
+  EXPECT_LT(bed.rules.state().messagesInFlight, 10);
 }
 
 TEST(Returns, AnOutageIsTriedByProbesAndTheRampIsSlow) {
@@ -320,7 +320,7 @@
   busy.warm(20);
   busy.take(1);
   Decision first = busy.pull(Act::launch).at(0);
-  busy.rules.goesOutOn(first.callback, first.launch, 2000);
+  busy.rules.goesOutOn(first.message, first.launch, 2000);
   busy.end(first, Ending::reset);
   EXPECT_LE(busy.rules.state().idleTrusted, 1000);
   // Connections that break while they are hardly idle, or as they come up, tell nothing of idle ones.
@@ -360,13 +360,13 @@
     bed.take(1);
     Decision first = bed.pull(Act::launch).at(0);
     bed.to(bed.now + 100);
-    bed.rules.launchEnded(first.callback, first.launch, Ending::completed, 100, true, 0,
+    bed.rules.launchEnded(first.message, first.launch, Ending::completed, 100, true, 0,
                           c.reports ? Report{25, 0.9} : Report{});
     bed.to(bed.now + 1000);
     bed.take(2);
     Decision second = bed.pull(Act::launch).at(0);
-    bed.rules.goesOutOn(second.callback, second.launch, c.kept ? 1000 : 0);
-    bed.rules.launchEnded(second.callback, second.launch, Ending::full, 40, false, c.wait, c.with);
+    bed.rules.goesOutOn(second.message, second.launch, c.kept ? 1000 : 0);
+    bed.rules.launchEnded(second.message, second.launch, Ending::full, 40, false, c.wait, c.with);
     EXPECT_EQ(bed.rules.state().idleTrusted < 10000, c.cuts) << c.name;
   }
 }
@@ -422,7 +422,7 @@
   bed.warm(60);
   bed.take(1);
   for (std::uint16_t n : {2, 3}) {
-    bed.rules.taken(CallbackId{n}, TrafficTypeId{0}, TenantId{0}, KeyId{0}, DestinationId{n},
+    bed.rules.taken(MessageId{n}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{n},
                     bed.now + 10000);
   }
   EXPECT_EQ(bed.pull(Act::launch).size(), 2u);
@@ -439,7 +439,7 @@
   bed.to(bed.now + 350);
   auto copy = bed.pull(Act::launch);
   ASSERT_EQ(copy.size(), 1u);
-  EXPECT_EQ(copy[0].callback, CallbackId{1});
+  EXPECT_EQ(copy[0].message, MessageId{1});
   EXPECT_NE(copy[0].endpoint, first[0].endpoint);
   bed.to(bed.now + 20);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
@@ -513,7 +513,7 @@
   for (std::uint32_t id = 1; id <= 12; ++id) {
     worn.take(id);
     for (const Decision& d : worn.pull(Act::launch)) {
-      worn.rules.goesOutOn(d.callback, d.launch, 100);
+      worn.rules.goesOutOn(d.message, d.launch, 100);
       worn.end(d, Ending::reset, 1);
     }
   }
@@ -638,15 +638,14 @@
   Bed bed(terms, 1);
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
-  bed.rules.launchEnded(first.callback, first.launch, Ending::completed, 100, true, 0,
-                        {4});  // 2 of them ours
+  bed.rules.launchEnded(first.message, first.launch, Ending::completed, 100, true, 0, {4});  // 2 of them ours
   bed.to(bed.now + 20);
   std::set<int> calls;
   int launches = 0;
   for (std::uint32_t id = 2; id <= 202; ++id) {
     bed.take(id);
     for (const Decision& d : bed.pull(Act::launch)) {
-      calls.insert(bed.rules.state().callbacks.at(d.callback).launches.back().call);
+      calls.insert(bed.rules.state().messages.at(d.message).launches.back().call);
       ++launches;
       bed.end(d, Ending::completed);
     }
@@ -662,15 +661,14 @@
   for (double left : {1.0, 0.0}) {
     Bed bed;
     bed.take(1);
-    bed.rules.launchEnded(bed.pull(Act::launch).at(0).callback, 0, Ending::completed, 100, true, 0,
-                          {4, left});
+    bed.rules.launchEnded(bed.pull(Act::launch).at(0).message, 0, Ending::completed, 100, true, 0, {4, left});
     std::size_t launches = 0;
     for (std::uint32_t id = 2; id <= 200; ++id) {
       bed.to(bed.now + 50);
       bed.take(id);
       for (const Decision& d : bed.pull(Act::launch)) {
         ++launches;
-        bed.rules.launchEnded(d.callback, d.launch, Ending::completed, 40, true, 0, {4, left});
+        bed.rules.launchEnded(d.message, d.launch, Ending::completed, 40, true, 0, {4, left});
       }
     }
     // In 10 s our even part is 20 calls; more only while there is room for all.
@@ -695,7 +693,7 @@
     rules.listEnds(true);
     int launches = 0;
     for (std::uint32_t id = 1; id <= 4; ++id) {
-      rules.taken(CallbackId{id}, TrafficTypeId{0}, TenantId{0}, KeyId{0}, DestinationId{1}, 110000);
+      rules.taken(MessageId{id}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1}, 110000);
     }
     while (auto d = rules.next()) launches += d->act == Act::launch ? 1 : 0;
     rules.roundBegins(101500);  // half of our gap later
@@ -716,7 +714,7 @@
     for (const Decision& d : bed.pull(Act::launch)) {
       used.insert(d.endpoint);
       bool first = d.endpoint == *used.begin();
-      bed.rules.launchEnded(d.callback, d.launch, id == 1 || !first ? Ending::completed : Ending::full, 40,
+      bed.rules.launchEnded(d.message, d.launch, id == 1 || !first ? Ending::completed : Ending::full, 40,
                             id == 1 || !first, 0, id == 1 || !first ? Report{100, 1} : Report{});
     }
     bed.to(bed.now + 200);
@@ -734,7 +732,7 @@
   Decision last = bed.pull(Act::launch).at(0);
   bed.rules.listBegins();
   bed.rules.listEnds(true);
-  bed.rules.launchEnded(last.callback, last.launch, Ending::completed, 100, true, 0, {4, 1});
+  bed.rules.launchEnded(last.message, last.launch, Ending::completed, 100, true, 0, {4, 1});
   EXPECT_EQ(bed.rules.state().paths.begin()->second.pace,
             0);  // a call of several never goes above the even part
 }
@@ -760,9 +758,9 @@
   bed.take(3);
   auto launches = bed.pull(Act::launch);
   ASSERT_EQ(launches.size(), 2u);
-  EXPECT_EQ(launches[0].callback, CallbackId{1});
-  EXPECT_EQ(launches[1].callback, CallbackId{3});
-  bed.rules.clientGone(CallbackId{1});
+  EXPECT_EQ(launches[0].message, MessageId{1});
+  EXPECT_EQ(launches[1].message, MessageId{3});
+  bed.rules.clientGone(MessageId{1});
   EXPECT_TRUE(bed.pull(Act::launch).empty());  // over, but its launch has no outcome yet
   bed.end(launches[0], Ending::withdrawn);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
@@ -794,17 +792,17 @@
   const InstanceState& s = bed.rules.state();
   EXPECT_LE(s.endpoints.size(), 43u);  // those of four cold spans, and the one with a launch out
   EXPECT_LE(s.paths.size(), 43u);
-  EXPECT_LE(s.keys.size(), 3u);
+  EXPECT_LE(s.orderedQueues.size(), 3u);
   EXPECT_TRUE(s.endpoints.contains(endpoint(1000)));
   bed.end(held, Ending::reset);
 }
 
 TEST(OddInput, LateAndUnknownIdsArePassedOver) {
   Bed bed;
-  bed.rules.launchEnded(CallbackId{99}, 0, Ending::completed, 10, true, 0, {});
-  bed.rules.clientGone(CallbackId{98});
+  bed.rules.launchEnded(MessageId{99}, 0, Ending::completed, 10, true, 0, {});
+  bed.rules.clientGone(MessageId{98});
   bed.rules.probeEnded(endpoint(77), Ending::completed, {});
-  bed.rules.answerStarted(CallbackId{97}, 3);
+  bed.rules.answerStarted(MessageId{97}, 3);
   EXPECT_FALSE(bed.rules.next().has_value());
 }
 
