--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -23,24 +23,24 @@
   throw wire::Malformed("unknown phase " + std::to_string(code));
 }
 
-Ending endingOf(std::uint16_t code) {
+AttemptOutcome endingOf(std::uint16_t code) {
   switch (code) {
     case 10:
-      return Ending::completed;
+      return AttemptOutcome::completed;
     case 20:
-      return Ending::error;
+      return AttemptOutcome::error;
     case 30:
-      return Ending::full;
+      return AttemptOutcome::rejected;
     case 40:
-      return Ending::timeout;
+      return AttemptOutcome::timeout;
     case 50:
-      return Ending::connectFailed;
+      return AttemptOutcome::connectFailed;
     case 60:
-      return Ending::reset;
+      return AttemptOutcome::reset;
     case 70:
-      return Ending::withdrawn;
+      return AttemptOutcome::cancelled;
     case 80:
-      return Ending::notSent;
+      return AttemptOutcome::notSent;
   }
   throw wire::Malformed("unknown completion code " + std::to_string(code));
 }
@@ -205,18 +205,18 @@
       MessageId id{in.get<std::uint32_t>("rid")};
       int launch = in.get<std::uint8_t>("round-no");
       in.endpoint();
-      Ending ending = endingOf(in.get<std::uint16_t>("ending"));
+      AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
       Millis spent = finite(in.get<double>("spent-s"), "spent-s") * kMillisPerSecond;
       bool over = in.get<std::uint8_t>("terminal") != 0;
       Millis wait = in.get<std::uint32_t>("hold-ms");
-      if (ending != Ending::full) wait = 0;  // with others it is no time
+      if (ending != AttemptOutcome::rejected) wait = 0;  // with others it is no time
       Report told = report(in, instance);
       tell([&](Rules& rules) { rules.launchEnded(id, launch, ending, spent, over, wait, told); });
       break;
     }
     case wire::kProbeResult: {
       EndpointId endpoint = in.endpoint();
-      Ending ending = endingOf(in.get<std::uint16_t>("ending"));
+      AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
       in.get<double>("spent-s");
       Report told = report(in, instance);
       tell([&](Rules& rules) { rules.probeEnded(endpoint, ending, told); });
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -30,7 +30,7 @@
     case Act::withdraw:
       begin(kWithdraw, who);
       put(d.message.value);
-      put(static_cast<std::uint8_t>(d.launch));
+      put(static_cast<std::uint8_t>(d.attempt));
       break;
     case Act::shed:
       begin(kTurnAway, who);
--- a/src/core/decision.h
+++ b/src/core/decision.h
@@ -17,8 +17,8 @@
   Act act{};
   MessageId message{};
   EndpointId endpoint{};
-  int launch{};
-  Millis span{};  // launch: its time-out; shed: stay away for; wake: the time of the clock
+  int attempt{};
+  Millis span{};  // attempt: its time-out; shed: stay away for; wake: the time of the clock
 };
 
 }  // namespace stonewing
--- a/src/core/facts.cpp
+++ b/src/core/facts.cpp
@@ -111,7 +111,7 @@
   std::string decay = orElse<std::string>(family, "decay", "linear");
   if (decay != "linear" && decay != "halving") throw Malformed("setting 'decay' has unknown value " + decay);
   terms.decay = decay == "halving" ? Decay::halving : Decay::linear;
-  terms.slots = get<int>(family, "call-slots");
+  terms.maxConcurrentRequests = get<int>(family, "call-slots");
   if (facts.contains("orgs")) {
     for (const json& org : get<json>(facts, "orgs")) {
       terms.tenantQuotaPerSecond.push_back(get<double>(org, "quota-per-s"));
@@ -119,11 +119,11 @@
   }
   terms.overShareGain = orElse(facts, "over-share-worth", 1.0);
   const json limits = get<json>(facts, "limits");
-  terms.heldMost = get<int>(limits, "open-cap");
-  terms.launchesMost = get<int>(limits, "max-attempts");
-  terms.mayCopy = orElse(limits, "may-duplicate", false);
-  terms.mayProbe = orElse(limits, "probes", false);
-  terms.mayWithdraw = orElse(limits, "cancel", false);
+  terms.maxInFlight = get<int>(limits, "open-cap");
+  terms.maxAttempts = get<int>(limits, "max-attempts");
+  terms.mayHedge = orElse(limits, "may-duplicate", false);
+  terms.mayHealthCheck = orElse(limits, "probes", false);
+  terms.mayCancel = orElse(limits, "cancel", false);
   terms.shedAdvice = orElse(limits, "retry-after", false);
   terms.longestAdvice = orElse(limits, "max-retry-after-s", 0.0) * kMillisPerSecond;
   terms.connectionIdle = orElse(limits, "conn-idle-s", 0.0) * kMillisPerSecond;
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -21,16 +21,16 @@
 struct Path;
 struct Destination;
 
-struct Launch {
+struct Attempt {
   Endpoint* endpoint{};
-  Millis sent{};
-  Millis idle{0};  // how long its connection had been idle; 0 for a new one
-  int call{};
-  bool copy{false};
-  bool out{true};
-  bool neverRan{false};
-  bool withdrawn{false};
-  bool spilled{false};  // into another room than its destination's best, which is in trouble
+  Millis sentAt{};
+  Millis connectionIdleTime{0};  // how long its connection had been idle; 0 for a new one
+  int requestId{};
+  bool isHedge{false};
+  bool pending{true};
+  bool provablyNotExecuted{false};
+  bool cancelled{false};
+  bool isSpillover{false};  // into another room than its destination's best, which is in trouble
 };
 
 struct Message {
@@ -43,13 +43,13 @@
   bool overQuota{false};
   bool finished{false};
   bool responseStarted{false};
-  bool copied{false};
-  std::vector<Launch> launches;
+  bool hedged{false};
+  std::vector<Attempt> attempts;
   std::optional<WaitClass>
-      waitClass{};  // the line it stands in; none while a launch is out, or once it is over
+      waitClass{};  // the line it stands in; none while an attempt is out, or once it is over
 
   bool hasNoPendingAttempt() const {
-    return std::none_of(launches.begin(), launches.end(), [](const Launch& l) { return l.out; });
+    return std::none_of(attempts.begin(), attempts.end(), [](const Attempt& l) { return l.pending; });
   }
 };
 
@@ -87,11 +87,11 @@
   Path* path{};
   double weight{0};
   Phase phase{Phase::gone};
-  int callsOut{0};
+  int requestsInFlight{0};
   int failures{0};
   Millis failedAt{0};
   Millis okAt{0};
-  int unheard{0};  // launches called off since its last completion, and when the first of them was sent
+  int unheard{0};  // attempts called off since its last completion, and when the first of them was sent
   Millis unheardSince{0};
   bool silent{false};  // nothing has come back for long, from its oldest calls out nor later ones
   Millis goneAt{-1};   // not listed any more since then; -1 while it is
@@ -99,7 +99,7 @@
   Millis gap{-1};      // last time from a call to the next
   Millis launchedAt{-1};
   int batchRound{-1};
-  int batchCall{0};
+  int batchRequestId{0};
   int batchSize{0};
   Samples samples;
 
@@ -118,7 +118,7 @@
   Destination* destination{};
   double window{1};
   int timely{0};
-  int callsOut{0};
+  int requestsInFlight{0};
   Millis lastCut{0};
   Millis waitUntil{0};
   Millis pauseUntil{0};
@@ -154,13 +154,13 @@
   DestinationId id{};
   std::vector<Endpoint*> ranking;
   int acceptedCount{0};
-  int callsOut{0};
+  int requestsInFlight{0};
   WaitQueue waitQueue;
 };
 
-struct Call {
+struct Request {
   Endpoint* endpoint{};
-  int open{0};
+  int openAttempts{0};
 };
 
 // What is left of a tenant's quota here.
@@ -175,19 +175,19 @@
   Millis pausedUntil{0};
 };
 
-// The nodes of its maps stay where they are: launches, endpoints and messages point at them.
+// The nodes of its maps stay where they are: attempts, endpoints and messages point at them.
 struct InstanceState {
   explicit InstanceState(Rooms asked) : rooms(std::move(asked)) {}
   Rooms rooms;
   Millis now{0};
   Millis began{-1};
   int round{0};
-  int slotsUsed{0};
+  int requestsInFlight{0};
   int messagesInFlight{0};
-  int nextCall{1};
+  int nextRequestId{1};
   double retryBudget{0};
-  int callsMade{0};
-  double patience{1};              // falls with launches that stay unanswered
+  int requestCount{0};
+  double patience{1};              // falls with attempts that stay unanswered
   bool reported{false};            // an answer has carried a report
   Millis idleTrusted{0};           // connections idle for no longer than this are thought to work
   std::deque<Endpoint*> released;  // endpoints whose last call has ended
@@ -197,16 +197,16 @@
   std::map<PathId, Path> paths;
   std::map<DestinationId, Destination> destinations;
   std::set<Destination*> waitedFor;                  // destinations with messages that wait
-  std::set<MessageId> out;                           // messages with a launch out
+  std::set<MessageId> messagesWithPendingAttempts;   // messages with an attempt out
   std::set<std::pair<Millis, MessageId>> deadlines;  // of all that are not over
-  std::set<std::pair<Millis, MessageId>> spentFrom;  // when a settled one may have no launch left
+  std::set<std::pair<Millis, MessageId>> spentFrom;  // when a settled one may have no attempt left
   // Endpoints that may need a probe: those where something has changed, and the others by when they are due.
   std::set<EndpointId> trials;
   std::set<std::pair<Millis, EndpointId>> trialsDue;
-  std::map<int, Call> calls;
+  std::map<int, Request> requests;
   std::map<OrderingKey, OrderedQueue> orderedQueues;
   std::vector<TenantQuota> tenantQuotas;
-  std::deque<std::pair<MessageId, int>> losers;
+  std::deque<std::pair<MessageId, int>> losingAttempts;
   std::set<EndpointId> listing;
   Samples samples;
 
@@ -230,11 +230,11 @@
     return at == messages.end() ? nullptr : &at->second;
   }
   // Endpoints come and go all day under new ids. One that no list has named for so long, and that nothing
-  // held was launched at, is forgotten with its path, if that was its own, and a key with its rest.
+  // held was attempted at, is forgotten with its path, if that was its own, and a key with its rest.
   void forgetGone(Millis goneFor) {
     std::set<const Endpoint*> named(released.begin(), released.end());
     for (const auto& [id, c] : messages) {
-      for (const Launch& l : c.launches) named.insert(l.endpoint);
+      for (const Attempt& l : c.attempts) named.insert(l.endpoint);
     }
     for (auto at = endpoints.begin(); at != endpoints.end();) {
       Endpoint& e = at->second;
@@ -262,30 +262,30 @@
     rooms.works(now, e.id, e.zone, delivered);
   }
   // A call of its own begins at an endpoint, for this round.
-  void openCall(Endpoint& e) {
+  void openRequest(Endpoint& e) {
     if (e.launchedAt >= 0) e.gap = now - e.launchedAt;
     e.launchedAt = now;
-    ++callsMade;
+    ++requestCount;
     e.batchRound = round;
     e.batchSize = 1;
-    e.batchCall = nextCall++;
-    calls[e.batchCall].endpoint = &e;
-    ++e.callsOut;
-    ++e.destination->callsOut;
-    ++e.path->callsOut;
-    ++slotsUsed;
+    e.batchRequestId = nextRequestId++;
+    requests[e.batchRequestId].endpoint = &e;
+    ++e.requestsInFlight;
+    ++e.destination->requestsInFlight;
+    ++e.path->requestsInFlight;
+    ++requestsInFlight;
   }
-  // Puts a message where it now belongs; to be called after each change of its launches, and when it is
+  // Puts a message where it now belongs; to be called after each change of its attempts, and when it is
   // over.
   void place(MessageId id, Message& c) {
     bool settled = c.hasNoPendingAttempt();
     if (settled) {
-      out.erase(id);
+      messagesWithPendingAttempts.erase(id);
     } else {
-      out.insert(id);
+      messagesWithPendingAttempts.insert(id);
     }
     std::optional<WaitClass> wanted;
-    if (settled && !c.finished) wanted = WaitClass{c.type, c.overQuota, !c.launches.empty()};
+    if (settled && !c.finished) wanted = WaitClass{c.type, c.overQuota, !c.attempts.empty()};
     if (c.finished) deadlines.erase({c.deadline, id});
     if (wanted == c.waitClass) return;
     WaitQueue& waiting = c.destination->waitQueue;
@@ -299,7 +299,7 @@
       waitedFor.insert(c.destination);
     }
   }
-  // Nothing more is to be done for a message that is over and has no launch out.
+  // Nothing more is to be done for a message that is over and has no attempt out.
   void forgetSettled(MessageId id) {
     Message* c = find(id);
     if (c == nullptr || !c->finished || !c->hasNoPendingAttempt()) return;
@@ -311,17 +311,17 @@
     messages.erase(id);
   }
   // A call is over, and its slot free, with the last outcome in it.
-  void releaseCall(const Launch& launch) {
-    rooms.ended(launch.spilled);
-    auto at = calls.find(launch.call);
-    if (at == calls.end() || --at->second.open > 0) return;
+  void releaseRequest(const Attempt& launch) {
+    rooms.ended(launch.isSpillover);
+    auto at = requests.find(launch.requestId);
+    if (at == requests.end() || --at->second.openAttempts > 0) return;
     Endpoint& e = *at->second.endpoint;
-    --e.callsOut;
-    --e.destination->callsOut;
-    --e.path->callsOut;
-    if (e.callsOut == 0) released.push_back(&e);
-    --slotsUsed;
-    calls.erase(at);
+    --e.requestsInFlight;
+    --e.destination->requestsInFlight;
+    --e.path->requestsInFlight;
+    if (e.requestsInFlight == 0) released.push_back(&e);
+    --requestsInFlight;
+    requests.erase(at);
   }
 };
 
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -14,9 +14,21 @@
 enum class Decay { linear, halving };
 enum class Phase { gone, ready, draining };
 // withheld: not sent, for want of something of the host's own.
-enum class Ending { completed, error, full, timeout, connectFailed, reset, withdrawn, notSent, withheld };
+enum class AttemptOutcome {
+  completed,
+  error,
+  rejected,
+  timeout,
+  connectFailed,
+  reset,
+  cancelled,
+  notSent,
+  localResourceExhausted
+};
 
-constexpr bool unsent(Ending ending) { return ending == Ending::notSent || ending == Ending::withheld; }
+constexpr bool isUnsent(AttemptOutcome ending) {
+  return ending == AttemptOutcome::notSent || ending == AttemptOutcome::localResourceExhausted;
+}
 
 // One row a traffic type; only what the rules read.
 struct TrafficType {
@@ -39,7 +51,7 @@
 
 struct KindTerms {
   bool routesApart{false};
-  int perCall{1};
+  int maxBatchSize{1};
 };
 
 // What an operator states of rooms; they are the zones of the list.
@@ -49,8 +61,8 @@
   Tiers tiers;
   std::map<DestinationId, Tiers> destinations;  // in place of the above, for these
   double spillShare{1};      // of what the better of the two rooms completed here, for strangers in a room
-  double spillSlots{1};      // of the slots, for strangers everywhere
-  double spillPerSecond{0};  // launches of strangers into one room; 0: no such bound
+  double spillSlots{1};      // of the concurrent requests, for strangers everywhere
+  double spillPerSecond{0};  // attempts of strangers into one room; 0: no such bound
   Millis climb{0};           // until a room that returned is fed in full; 0: the cold span
   double climbFrom{0};       // share of what it is asked to take that it is fed at once; 0: cold-from
 };
@@ -62,15 +74,15 @@
   std::vector<double> tenantQuotaPerSecond;
   double overShareGain{1};
   Decay decay{Decay::linear};
-  int slots{1};
-  int heldMost{1};
-  int launchesMost{1};
+  int maxConcurrentRequests{1};
+  int maxInFlight{1};
+  int maxAttempts{1};
   int instances{1};
   std::uint32_t me{0};
   ZoneId zone{};
-  bool mayCopy{false};
-  bool mayProbe{false};
-  bool mayWithdraw{false};
+  bool mayHedge{false};
+  bool mayHealthCheck{false};
+  bool mayCancel{false};
   bool shedAdvice{false};
   bool weightsTold{false};
   bool limitReported{false};
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -150,7 +150,7 @@
       if (event(n).what == What::noticed) results.insert(event(n).status);
     }
     if (results.size() > 1) report(Rule::oneAnswer, c, "two notices tell two different ends");
-    // An answer that crossed the withdrawal of its launch was never heard.
+    // An answer that crossed the withdrawal of its attempt was never heard.
     Millis heard = ends.noticed ? event(*ends.noticed).at : 1e15;
     for (std::size_t n : of(c)) {
       const Event& e = event(n);
@@ -169,7 +169,8 @@
     }
   }
 
-  // Rule 2: no effect twice. A launch may have run unless its answer, written before, proves that it did not.
+  // Rule 2: no effect twice. A attempt may have run unless its answer, written before, proves that it did
+  // not.
   void effects(std::uint32_t c) {
     const TrafficType& t = type(c);
     if (t.effect == Effect::pure) return;
@@ -343,7 +344,7 @@
     }
   }
 
-  // Rule 6: a wait binds every launch of the dispatcher that was told it, at the whole destination.
+  // Rule 6: a wait binds every attempt of the dispatcher that was told it, at the whole destination.
   void waits() {
     std::map<std::pair<std::uint16_t, int>, std::pair<Millis, std::size_t>> until;
     std::map<std::pair<std::uint16_t, int>, Millis> binds;
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -19,7 +19,7 @@
 struct Recipe {
   const char* name;
   Choice choice;
-  int launches;  // of a message, copies not counted
+  int launches;  // of a message, hedges not counted
   bool breaker;
   bool copies;
 };
@@ -33,7 +33,7 @@
 
 constexpr int kBreakerFailures = 5;
 constexpr Millis kBreakerRest = 5000;
-constexpr double kTimeoutShare = 0.5;  // of the time left, for one launch
+constexpr double kTimeoutShare = 0.5;  // of the time left, for one attempt
 constexpr Millis kBackoff = 50;
 constexpr std::size_t kSamplesKept = 200;
 constexpr double kQuantile = 0.95;
@@ -55,11 +55,11 @@
     rules_.launchedBefore(id, endpoint, sent, neverRan);
   }
   void goesOutOn(MessageId id, int launch, Millis idle) override { rules_.goesOutOn(id, launch, idle); }
-  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
+  void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
                    Report report) override {
     rules_.launchEnded(id, launch, ending, spent, over, wait, report);
   }
-  void probeEnded(EndpointId id, Ending ending, Report report) override {
+  void probeEnded(EndpointId id, AttemptOutcome ending, Report report) override {
     rules_.probeEnded(id, ending, report);
   }
   void clientGone(MessageId id) override { rules_.clientGone(id); }
@@ -67,7 +67,7 @@
   std::optional<Decision> next() override { return rules_.next(); }
   bool mayBegin(MessageId id, int launch) const override { return rules_.mayBegin(id, launch); }
   int callOf(MessageId id, int launch) const override {
-    return rules_.state().messages.at(id).launches.at(static_cast<std::size_t>(launch)).call;
+    return rules_.state().messages.at(id).attempts.at(static_cast<std::size_t>(launch)).requestId;
   }
   int held() const override { return rules_.state().messagesInFlight; }
 
@@ -111,14 +111,15 @@
 
   void goesOutOn(MessageId, int, Millis) override {}
 
-  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
+  void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool isOver, Millis wait,
                    Report) override {
     auto at = held_.find(id);
     if (at == held_.end() || !at->second.launches.at(static_cast<std::size_t>(launch)).out) return;
     Held& h = at->second;
     Sent& s = h.launches[static_cast<std::size_t>(launch)];
     s.out = false;
-    s.neverRan = ending == Ending::full || ending == Ending::connectFailed || ending == Ending::notSent;
+    s.neverRan = ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed ||
+                 ending == AttemptOutcome::notSent;
     --slots_;
     Endpoint& e = endpoints_[s.endpoint];
     --e.out;
@@ -126,20 +127,20 @@
       Millis& until = destinations_[h.destination].waitUntil;
       until = std::max(until, now_ + wait);
     }
-    if (ending == Ending::completed) {
+    if (ending == AttemptOutcome::completed) {
       e.failures = 0;
       sample(spent);
-    } else if (ending != Ending::withdrawn && ++e.failures >= kBreakerFailures && recipe_.breaker) {
+    } else if (ending != AttemptOutcome::cancelled && ++e.failures >= kBreakerFailures && recipe_.breaker) {
       e.restUntil = now_ + kBreakerRest;
       e.failures = 0;
     }
     h.notBefore = now_ + kBackoff * std::exp2(static_cast<double>(h.launches.size()) - 1) * (0.5 + draw());
-    if (isOver || ending == Ending::completed) return over(id);
+    if (isOver || ending == AttemptOutcome::completed) return over(id);
     changed_.insert(id);
     freed_ = true;
   }
 
-  void probeEnded(EndpointId, Ending, Report) override {}
+  void probeEnded(EndpointId, AttemptOutcome, Report) override {}
   void clientGone(MessageId id) override { over(id); }
   void woken() override { wakeAsked_ = -1; }
   bool mayBegin(MessageId id, int launch) const override {
@@ -280,7 +281,7 @@
     }
     if (h.key.value != 0 && lines_[h.key].front() != id) return std::nullopt;
     int repeats = static_cast<int>(h.launches.size()) - (h.copied ? 1 : 0);
-    if (!out && repeats >= std::min(recipe_.launches, terms_.launchesMost)) return give(id);
+    if (!out && repeats >= std::min(recipe_.launches, terms_.maxAttempts)) return give(id);
     if (h.notBefore > now_) {
       later_.insert({h.notBefore, id});
       return std::nullopt;
@@ -290,7 +291,7 @@
       later_.insert({d.waitUntil, id});
       return std::nullopt;
     }
-    if (slots_ >= terms_.slots) {
+    if (slots_ >= terms_.maxConcurrentRequests) {
       waiting_.insert(id);
       return std::nullopt;
     }
--- a/src/lab/gates.h
+++ b/src/lab/gates.h
@@ -19,7 +19,7 @@
   Millis stallAt{-1};  // the loop stands still once, for stallFor; -1: it does not
   Millis stallFor{0};
   Millis read{0.010};    // what reading one command costs the loop
-  Millis take{0.040};    // taking it on: its record, its decision, its launch
+  Millis take{0.040};    // taking it on: its record, its decision, its attempt
   Millis refuse{0.005};  // answering -BUSY
   Millis end{0.025};     // its end, once the endpoint has answered
   Millis turn{0.030};    // a turn by itself
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -196,7 +196,7 @@
       case Kind::connected:
         return connected(s.a);
       case Kind::connectFailed:
-        return ended(s.a, Ending::connectFailed, 0, false);
+        return ended(s.a, AttemptOutcome::connectFailed, 0, false);
       case Kind::callArrives:
         return callArrives(s.a);
       case Kind::townDue:
@@ -297,7 +297,7 @@
     std::map<int, std::vector<Decision>> gathered;
     while (auto decision = policy.next()) {
       if (decision->act == Act::launch) {
-        gathered[policy.callOf(decision->message, decision->launch)].push_back(*decision);
+        gathered[policy.callOf(decision->message, decision->attempt)].push_back(*decision);
       } else {
         carryOut(d, *decision);
       }
@@ -311,7 +311,7 @@
     auto endpoint = static_cast<std::uint32_t>(decision.endpoint.value - 1);
     switch (decision.act) {
       case Act::withdraw:
-        return withdraw(callback, decision.launch);
+        return withdraw(callback, decision.attempt);
       case Act::shed:
       case Act::giveUp:
         from.held.erase(callback);
@@ -386,10 +386,10 @@
     }
     for (const Decision& l : launches) {
       std::uint32_t callback = l.message.value - 1;
-      call.members.push_back({callback, l.launch});
+      call.members.push_back({callback, l.attempt});
       from.held[callback].launches.push_back({call.endpoint, now_, false});
-      from.policy->goesOutOn(l.message, l.launch, idle);
-      out_[place(callback, l.launch)] = number;
+      from.policy->goesOutOn(l.message, l.attempt, idle);
+      out_[place(callback, l.attempt)] = number;
       at(now_ + l.span, Kind::timeout, number, static_cast<std::uint32_t>(call.members.size() - 1));
       ++cost_.launches;
     }
@@ -417,14 +417,14 @@
     Call& call = at->second;
     if (town_.vanished(call.endpoint, call.dispatcher))
       return this->at(now_ + plan_.fleet.connectWithin, Kind::connectFailed, number);
-    if (town_.refuses(call.endpoint)) return ended(number, Ending::connectFailed, 0, false);
+    if (town_.refuses(call.endpoint)) return ended(number, AttemptOutcome::connectFailed, 0, false);
     const Policy& policy = *dispatchers_[call.dispatcher].policy;
     bool may = std::any_of(call.members.begin(), call.members.end(), [&](const Member& m) {
       return !m.told && policy.mayBegin(idOf(m.callback), m.launch);
     });
     if (!may) {
       town_.disconnected(call.endpoint);
-      return ended(number, Ending::notSent, 0, false);
+      return ended(number, AttemptOutcome::notSent, 0, false);
     }
     call.begun = true;
     this->at(now_ + oneWay(call.dispatcher, call.endpoint), Kind::callArrives, number);
@@ -489,16 +489,17 @@
         town_.disconnected(call.endpoint);
       }
     }
-    Ending ending = said == Said::ok      ? Ending::completed
-                    : said == Said::reset ? Ending::reset
-                                          : Ending::error;
-    if (said == Said::wait || said == Said::turnedAway) ending = Ending::full;
-    if (said == Said::cut && call.members.size() == 1) ending = Ending::completed;  // its first line was true
+    AttemptOutcome ending = said == Said::ok      ? AttemptOutcome::completed
+                            : said == Said::reset ? AttemptOutcome::reset
+                                                  : AttemptOutcome::error;
+    if (said == Said::wait || said == Said::turnedAway) ending = AttemptOutcome::rejected;
+    if (said == Said::cut && call.members.size() == 1)
+      ending = AttemptOutcome::completed;  // its first line was true
     ended(number, ending, wait, true);
   }
 
   // Tells the policy how a call ended, for all in it that were not told yet.
-  void ended(std::uint32_t number, Ending ending, Millis wait, bool withReport) {
+  void ended(std::uint32_t number, AttemptOutcome ending, Millis wait, bool withReport) {
     auto at = calls_.find(number);
     if (at == calls_.end()) return;
     Call call = std::move(at->second);
@@ -511,29 +512,32 @@
     });
   }
 
-  void tell(Policy& p, const Call& call, const Member& m, Ending ending, Millis wait, bool withReport) {
+  void tell(Policy& p, const Call& call, const Member& m, AttemptOutcome ending, Millis wait,
+            bool withReport) {
     Dispatcher& to = dispatchers_[call.dispatcher];
     out_.erase(place(m.callback, m.launch));
     auto held = to.held.find(m.callback);
     if (m.told) {
       // Given up on, and now it was delivered after all.
-      if (ending == Ending::completed && held != to.held.end()) {
+      if (ending == AttemptOutcome::completed && held != to.held.end()) {
         p.clientGone(idOf(m.callback));
         to.held.erase(held);
       }
       return;
     }
-    bool mayHaveRun = ending != Ending::full && ending != Ending::connectFailed && ending != Ending::notSent;
-    if (sabotage_.repeatsEffects && mayHaveRun && ending != Ending::completed) ending = Ending::connectFailed;
+    bool mayHaveRun = ending != AttemptOutcome::rejected && ending != AttemptOutcome::connectFailed &&
+                      ending != AttemptOutcome::notSent;
+    if (sabotage_.repeatsEffects && mayHaveRun && ending != AttemptOutcome::completed)
+      ending = AttemptOutcome::connectFailed;
     if (held != to.held.end() && !mayHaveRun) {
       held->second.launches.at(static_cast<std::size_t>(m.launch)).neverRan = true;
     }
-    bool isOver = ending == Ending::completed || held == to.held.end();
+    bool isOver = ending == AttemptOutcome::completed || held == to.held.end();
     Report report;
     if (withReport && plan_.world.reports) report = town_.report(now_, call.endpoint);
     p.launchEnded(idOf(m.callback), m.launch, ending, now_ - call.sent, isOver,
                   sabotage_.ignoresWaits ? 0 : wait, report);
-    if (ending == Ending::completed) to.held.erase(m.callback);
+    if (ending == AttemptOutcome::completed) to.held.erase(m.callback);
   }
 
   void timedOut(std::uint32_t number, std::uint32_t member) {
@@ -542,7 +546,7 @@
     Call& call = at->second;
     Dispatcher& to = dispatchers_[call.dispatcher];
     if (to.life != call.life) return;
-    endMember(number, member, call.begun ? Ending::timeout : Ending::notSent);
+    endMember(number, member, call.begun ? AttemptOutcome::timeout : AttemptOutcome::notSent);
   }
 
   void withdraw(std::uint32_t callback, int launch) {
@@ -560,12 +564,12 @@
     }
   }
 
-  void endMember(std::uint32_t number, std::uint32_t member, Ending ending) {
+  void endMember(std::uint32_t number, std::uint32_t member, AttemptOutcome ending) {
     Call& call = calls_.at(number);
     auto asked = std::find(withdrawn_.begin(), withdrawn_.end(), std::pair{number, member});
     if (asked != withdrawn_.end()) {
       withdrawn_.erase(asked);
-      if (call.begun) ending = Ending::withdrawn;
+      if (call.begun) ending = AttemptOutcome::cancelled;
     }
     Member m = call.members[member];
     call.members[member].told = true;
@@ -630,10 +634,10 @@
   void probeReply(std::uint32_t d, std::uint32_t endpoint, int status, Millis life) {
     Dispatcher& to = dispatchers_[d];
     if (!to.up || to.life != static_cast<std::uint32_t>(life)) return;
-    Ending ending = status == 200   ? Ending::completed
-                    : status == 503 ? Ending::full
-                    : status == 0   ? Ending::connectFailed
-                                    : Ending::timeout;
+    AttemptOutcome ending = status == 200   ? AttemptOutcome::completed
+                            : status == 503 ? AttemptOutcome::rejected
+                            : status == 0   ? AttemptOutcome::connectFailed
+                                            : AttemptOutcome::timeout;
     Report report;
     if (status == 200 && plan_.world.reports) report = town_.report(now_, endpoint);
     round(d, [&](Policy& p) { p.probeEnded(endpointIdOf(endpoint), ending, report); });
@@ -821,7 +825,7 @@
   std::vector<Phase> phases_;
   std::vector<bool> pending_;  // of each message: its client waits for an answer
   std::unordered_map<std::uint32_t, Call> calls_;
-  std::unordered_map<std::uint64_t, std::uint32_t> out_;  // of a launch: its call
+  std::unordered_map<std::uint64_t, std::uint32_t> out_;  // of an attempt: its call
   std::vector<std::pair<std::uint32_t, std::uint32_t>> withdrawn_;
   std::unordered_map<std::uint32_t, Millis> townAt_;
   std::uint32_t nextCall_{1};
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -30,14 +30,14 @@
                      DestinationId destination, Millis outerLimit) = 0;
   virtual void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) = 0;
   virtual void goesOutOn(MessageId id, int launch, Millis idle) = 0;
-  virtual void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
-                           Report report) = 0;
-  virtual void probeEnded(EndpointId id, Ending ending, Report report) = 0;
+  virtual void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over,
+                           Millis wait, Report report) = 0;
+  virtual void probeEnded(EndpointId id, AttemptOutcome ending, Report report) = 0;
   virtual void clientGone(MessageId id) = 0;
   virtual void woken() = 0;
   virtual std::optional<Decision> next() = 0;
   virtual bool mayBegin(MessageId id, int launch) const = 0;
-  virtual int callOf(MessageId id, int launch) const = 0;  // launches of one call share its number
+  virtual int callOf(MessageId id, int launch) const = 0;  // attempts of one call share its number
   virtual int held() const = 0;
 };
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -82,7 +82,7 @@
   return endpoints;
 }
 
-// What a room takes without falling, launches and probes a second: nothing while a trouble has it, and along
+// What a room takes without falling, attempts and probes a second: nothing while a trouble has it, and along
 // its warming after one that was longer than a blip.
 double bearable(const Plan& plan, const std::string& room, std::size_t endpoints, Millis at) {
   double warm = 1;
@@ -129,7 +129,7 @@
   return figure;
 }
 
-// Launches that arrive in a room from dispatchers of other rooms.
+// Attempts that arrive in a room from dispatchers of other rooms.
 Figure strangersOf(const Report& r, double step) {
   Figure figure{"Launches from other rooms, by where they arrive",
                 "seconds",
--- a/src/lab/tally.h
+++ b/src/lab/tally.h
@@ -42,7 +42,7 @@
 };
 
 Tally tally(const Plan& plan, const Trace& trace, Millis slice = 500);
-// Launches that reached the endpoints of a room or destination, for each slice.
+// Attempts that reached the endpoints of a room or destination, for each slice.
 std::vector<std::uint64_t> arrivalsPerSlice(const Plan& plan, const Trace& trace,
                                             const std::vector<int>& endpoints, Millis slice);
 
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -16,13 +16,13 @@
   busy,            // -BUSY; span: the time to come back, 0 for none
   failed,          // an error, or a connection that ended
   unanswered,      // nothing within the client's patience
-  arrived,         // the last byte of a launch has come to an endpoint; call: its number
+  arrived,         // the last byte of an attempt has come to an endpoint; call: its number
   replied,         // its answer is written; status, span: the wait in it, ran: whether it has run
   abandoned,       // its connection ended from the dispatcher's side; ran: whether it has run, or may yet
   effect,          // it took effect (a repeat within its receipt's window takes none)
   probed,          // a probe has come; status: what it is answered, 0 for nothing
   refusedConnect,  // a connection was refused or not taken
-  noticed,         // the platform has a notice; status 1: given up, 2: shed with span to come back
+  noticed,         // the platform has a notice; status 1: failed, 2: shed with span to come back
   told,            // a dispatcher was told of an endpoint; status: 0 gone, 1 in service, 2 terminating
   up,              // a dispatcher answers PING; status 1: it goes on after SIGSTOP
   down,            // it was killed, told to end or has ended; status 1: stopped
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -27,7 +27,7 @@
   std::string known(int dispatcher) const;
   // A trouble among endpoints or in discovery begins or ends; those of dispatchers are not ours.
   void strike(const TroublePlan& trouble, bool begins);
-  // Messages that the platform is told of, with the result (1 given up, 2 shed) and the time to come back.
+  // Messages that the platform is told of, with the result (1 failed, 2 shed) and the time to come back.
   std::function<void(std::uint32_t callback, int result, Millis wait)> onNotice;
   static std::string refOf(std::uint32_t callback);
   // Takes any message by a name of ours as one of the first type: a load in another process draws its own.
--- a/src/net/book.cpp
+++ b/src/net/book.cpp
@@ -117,14 +117,14 @@
          sizeof(std::uint32_t) + held.body->size();
 }
 
-std::string Book::launchRecord(MessageId id, const LaunchNote& launch) {
+std::string Book::launchRecord(MessageId id, const AttemptRecord& launch) {
   std::string record = recordOf(Tag::launched, id);
   putText(record, launch.endpoint.name);
   putBytes(record, launch.endpoint.destination.value);
   putBytes(record, launch.endpoint.kind.value);
   putBytes(record, launch.endpoint.zone.value);
   putBytes(record, launch.sentWall);
-  putBytes(record, static_cast<std::uint8_t>(launch.neverRan));
+  putBytes(record, static_cast<std::uint8_t>(launch.provablyNotExecuted));
   return record;
 }
 
@@ -174,20 +174,20 @@
       return;
     }
     case Tag::launched: {
-      LaunchNote launch;
+      AttemptRecord launch;
       launch.endpoint.name = getText(in, "endpoint");
       launch.endpoint.destination.value = in.get<std::uint16_t>("destination");
       launch.endpoint.kind.value = in.get<std::uint8_t>("kind");
       launch.endpoint.zone.value = in.get<std::uint8_t>("zone");
       launch.sentWall = in.get<Millis>("sent");
-      launch.neverRan = in.get<std::uint8_t>("never ran") != 0;
-      if (Held* held = find(id)) held->launches.push_back(std::move(launch));
+      launch.provablyNotExecuted = in.get<std::uint8_t>("never ran") != 0;
+      if (Held* held = find(id)) held->attempts.push_back(std::move(launch));
       return;
     }
     case Tag::neverRan: {
       auto n = in.get<std::uint32_t>("launch");
       Held* held = find(id);
-      if (held != nullptr && n < held->launches.size()) held->launches[n].neverRan = true;
+      if (held != nullptr && n < held->attempts.size()) held->attempts[n].provablyNotExecuted = true;
       return;
     }
     case Tag::owed: {
@@ -219,8 +219,8 @@
   while (bytes.size() < most && (held != held_.end() || owed != owed_.end())) {
     if (owed == owed_.end() || (held != held_.end() && held->first < owed->first)) {
       put(takenRecord(held->first, held->second));
-      for (const LaunchNote& launch : held->second.launches) {
-        if (launch.noted) put(launchRecord(held->first, launch));
+      for (const AttemptRecord& launch : held->second.attempts) {
+        if (launch.journaled) put(launchRecord(held->first, launch));
       }
       rewritten_ = MessageId{held->first.value + 1};
       ++held;
@@ -323,18 +323,18 @@
       drop(one.message);
       --over_;  // it never was accepted
     } else if (one.tag == Tag::launched) {
-      lostLaunches_.insert({one.message, one.launch});
+      lostLaunches_.insert({one.message, one.attempt});
       if (Held* held = find(one.message)) {
-        LaunchNote& launch = held->launches[static_cast<std::size_t>(one.launch)];
-        launch.neverRan = true;
-        launch.noted = false;
+        AttemptRecord& launch = held->attempts[static_cast<std::size_t>(one.attempt)];
+        launch.provablyNotExecuted = true;
+        launch.journaled = false;
       }
     }
   }
   if (!lost.empty()) log::error("journal.not_written", {{"records", lost.size()}});
   if (journal_.besideFailed()) rewriteFailed();
   if (!journal_.besideOpen()) return;
-  // Danger: the rewrite already shows what the file would not take; launches would be counted apart.
+  // Danger: the rewrite already shows what the file would not take; attempts would be counted apart.
   if (shownLost) {
     journal_.dropBeside();
     return rewriteFailed();
@@ -384,30 +384,30 @@
 bool Book::launched(MessageId id, const EndpointNote& endpoint, Millis wall) {
   Held* held = find(id);
   if (held == nullptr) return false;
-  LaunchNote sent{endpoint, wall, false};
+  AttemptRecord sent{endpoint, wall, false};
   std::string record = launchRecord(id, sent);
-  // Room first: a rewrite must not find the launch, whose record comes after it.
+  // Room first: a rewrite must not find the attempt, whose record comes after it.
   roomFor(record.size() + Journal::kFrame);
-  held->launches.push_back(std::move(sent));
-  int launch = static_cast<int>(held->launches.size()) - 1;
+  held->attempts.push_back(std::move(sent));
+  int launch = static_cast<int>(held->attempts.size()) - 1;
   if (keep(std::move(record), {Tag::launched, id, launch, {}})) return true;
-  held->launches.back().neverRan = true;  // it keeps its number, as the module counts it
-  held->launches.back().noted = false;
+  held->attempts.back().provablyNotExecuted = true;  // it keeps its number, as the module counts it
+  held->attempts.back().journaled = false;
   return false;
 }
 
 void Book::neverRan(MessageId id, int launch) {
   Held* held = find(id);
   auto n = static_cast<std::uint32_t>(launch);
-  if (held == nullptr || n >= held->launches.size()) return;
-  held->launches[n].neverRan = true;
-  if (!held->launches[n].noted) return;
-  // Danger: the journal counts launches by its own records. Counted by ours, one that it never took would
+  if (held == nullptr || n >= held->attempts.size()) return;
+  held->attempts[n].provablyNotExecuted = true;
+  if (!held->attempts[n].journaled) return;
+  // Danger: the journal counts attempts by its own records. Counted by ours, one that it never took would
   // have another one, which may have run, pass for one that did not.
   std::string record = recordOf(Tag::neverRan, id);
-  auto first = held->launches.begin();
-  putBytes(record, static_cast<std::uint32_t>(
-                       std::count_if(first, first + launch, [](const LaunchNote& l) { return l.noted; })));
+  auto first = held->attempts.begin();
+  putBytes(record, static_cast<std::uint32_t>(std::count_if(
+                       first, first + launch, [](const AttemptRecord& l) { return l.journaled; })));
   note(std::move(record),
        {Tag::neverRan, id, launch, {}});  // unwritten, it may have run for the next process
 }
--- a/src/net/book.h
+++ b/src/net/book.h
@@ -25,12 +25,12 @@
   ZoneId zone{};
 };
 
-struct LaunchNote {
+struct AttemptRecord {
   EndpointNote endpoint;
   Millis sentWall{};
-  bool neverRan{false};
+  bool provablyNotExecuted{false};
   // False: the journal would not take it, so that it was never sent and does not count there.
-  bool noted{true};
+  bool journaled{true};
 };
 
 // A message that is held, with what the module does not need to know of it.
@@ -43,7 +43,7 @@
   OrderingKey key{};
   DestinationId destination{};
   Millis outerWall{};  // its deadline, Unix time
-  std::vector<LaunchNote> launches;
+  std::vector<AttemptRecord> attempts;
   std::string taken;  // its record in the journal, without the body
 };
 
@@ -57,7 +57,7 @@
 };
 
 // All that was accepted and is not over, in memory and in the journal. What changes in a turn is written by
-// one commit, before it is acted on: before a client hears +OK, a launch's bytes go out or the platform is
+// one commit, before it is acted on: before a client hears +OK, an attempt's bytes go out or the platform is
 // told. So a kill at any moment loses nothing that a client or the platform was promised.
 class Book {
  public:
@@ -74,7 +74,7 @@
   std::optional<MessageId> take(Held held);
   // Writes what was noted since the last time, and goes on with a rewrite of the journal where one is due.
   // Calls and clients then ask what was kept. What the file would not take: a message is dropped again, a
-  // launch counts as never sent, an end is still acted on. Begun only where nothing is under way.
+  // attempt counts as never sent, an end is still acted on. Begun only where nothing is under way.
   void begin();
   // Whether nothing is under way any more; waits for so long, in milliseconds.
   bool landed(Millis patience);
@@ -96,7 +96,7 @@
   bool lostLaunch(MessageId id, int launch) const { return lostLaunches_.contains({id, launch}); }
   bool holds(std::string_view ref) const { return byRef_.contains(std::string(ref)); }
   MessageId idOf(const std::string& ref) const { return byRef_.at(ref); }  // of one that is held
-  // False: it could not be noted, and the launch must not go out. True: the next commit will tell.
+  // False: it could not be noted, and the attempt must not go out. True: the next commit will tell.
   bool launched(MessageId id, const EndpointNote& endpoint, Millis wall);
   void neverRan(MessageId id, int launch);
   // Over, and nothing more is owed.
@@ -126,7 +126,7 @@
   struct Noted {
     Tag tag{};
     MessageId message{};
-    int launch{};
+    int attempt{};
     std::string record{};  // only while a rewrite is under way, which it may have to reach too
   };
   bool note(std::string record, Noted noted);
@@ -141,7 +141,7 @@
   std::size_t liveBytes() const;
   static std::size_t takenSize(const Held& held);  // of its record
   static std::string takenRecord(MessageId id, const Held& held);
-  static std::string launchRecord(MessageId id, const LaunchNote& launch);
+  static std::string launchRecord(MessageId id, const AttemptRecord& launch);
   static std::string owedRecord(MessageId id, const Notice& notice);
   void drop(MessageId id);
 
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -24,7 +24,7 @@
   return wait ? static_cast<Millis>(*wait) : 0;
 }
 
-const char* nameOf(Ending ending) {
+const char* nameOf(AttemptOutcome ending) {
   constexpr const char* kNames[] = {"completed", "error",     "full",     "timeout", "connect_failed",
                                     "reset",     "withdrawn", "not_sent", "withheld"};
   return kNames[static_cast<int>(ending)];
@@ -45,7 +45,7 @@
       catalog_(catalog),
       facts_(facts),
       connectWithin_(facts.connectWithin > 0 ? facts.connectWithin : kForever),
-      mayCopy_(terms.mayCopy),
+      mayCopy_(terms.mayHedge),
       mostLinks_(mostLinks),
       mostProbes_(mostProbes) {
   // What is written near the end of that time may cross the other side's close, and would end as a break that
@@ -62,17 +62,17 @@
 
 void Calls::launch(const Decision& d) {
   const Held* held = book_.find(d.message);
-  int call = rules_.state().messages.at(d.message).launches.at(static_cast<std::size_t>(d.launch)).call;
+  int call = rules_.state().messages.at(d.message).attempts.at(static_cast<std::size_t>(d.attempt)).requestId;
   auto& [endpoint, members] = gathered_[call];
   endpoint = d.endpoint;
-  members.push_back({d.message, d.launch, loop_.now() + d.span, held != nullptr ? held->ref : ""});
+  members.push_back({d.message, d.attempt, loop_.now() + d.span, held != nullptr ? held->ref : ""});
 }
 
 void Calls::flush() {
   for (auto& [call, gathered] : std::exchange(gathered_, {})) {
     auto& [endpoint, members] = gathered;
     Line& line = lineTo(endpoint);
-    // Danger: endpoints book a call of several under its first message. Where that one ended while the call
+    // Danger: endpoints book a batch under its first message. Where that one ended while the call
     // waited there, the others passed for never delivered, though the answer said ok for each. The one with
     // most time left stands first: it ends last.
     std::stable_sort(members.begin(), members.end(),
@@ -81,17 +81,17 @@
     line.sent = loop_.now();
     for (const Member& m : line.members) {
       log::debug("launch.sent", {{"callback", m.ref},
-                                 {"launch", m.launch},
+                                 {"launch", m.attempt},
                                  {"endpoint", nameAt(endpoint)},
                                  {"time_out_ms", m.due - loop_.now()}});
-      rules_.goesOutOn(m.message, m.launch, line.up() ? loop_.now() - line.usedAt : 0);
+      rules_.goesOutOn(m.message, m.attempt, line.up() ? loop_.now() - line.usedAt : 0);
     }
     // Noted before its last byte: after a kill it may have run. What cannot be noted is not sent.
     for (const Member& m : line.members) {
       const Site* site = catalog_.find(endpoint);
       if (site == nullptr || !book_.launched(m.message, site->note, wallNow())) withhold(line);
     }
-    for (const Member& m : line.members) carries_[{m.message, m.launch}] = &line;
+    for (const Member& m : line.members) carries_[{m.message, m.attempt}] = &line;
     noted_.push_back(&line);
   }
 }
@@ -105,7 +105,7 @@
       continue;
     }
     for (const Member& m : line->members) {
-      if (book_.find(m.message) == nullptr || book_.lostLaunch(m.message, m.launch)) withhold(*line);
+      if (book_.find(m.message) == nullptr || book_.lostLaunch(m.message, m.attempt)) withhold(*line);
     }
     if (!line->failed && !stillWanted(*line)) continue;
     if (!line->failed && line->up()) write(*line);
@@ -114,22 +114,22 @@
   }
 }
 
-// Danger: a write of the journal that hung has kept a launch back. Sent as if nothing had been, it could
+// Danger: a write of the journal that hung has kept an attempt back. Sent as if nothing had been, it could
 // reach an endpoint that drains by now or has told to wait, or go out past the window of a repeat; and its
 // endpoint would pass for one that was silent so long. And, however short that write: the kept connection has
-// ended meanwhile, and the launch passes for one that may have run; or its endpoint has said something on it
-// that nobody asked for, and the launch passes for answered by that.
+// ended meanwhile, and the attempt passes for one that may have run; or its endpoint has said something on it
+// that nobody asked for, and the attempt passes for answered by that.
 bool Calls::stillWanted(Line& line) {
-  auto may = [&](const Member& m) { return loop_.now() < m.due && rules_.mayBegin(m.message, m.launch); };
+  auto may = [&](const Member& m) { return loop_.now() < m.due && rules_.mayBegin(m.message, m.attempt); };
   bool spoilt = line.up() && !line.stillGood();
   bool keptBack = loop_.now() > line.sent;
   if (spoilt || (keptBack && !std::all_of(line.members.begin(), line.members.end(), may))) {
-    letGo(line, Ending::notSent);
+    letGo(line, AttemptOutcome::notSent);
     return false;
   }
   if (!keptBack) return true;
   line.sent = loop_.now();
-  for (const Member& m : line.members) rules_.goesOutNow(m.message, m.launch);
+  for (const Member& m : line.members) rules_.goesOutNow(m.message, m.attempt);
   return true;
 }
 
@@ -166,7 +166,7 @@
 void Calls::write(Line& line) {
   for (const Member& m : line.members)
     log::debug("launch.written",
-               {{"callback", m.ref}, {"launch", m.launch}, {"together", line.members.size()}});
+               {{"callback", m.ref}, {"launch", m.attempt}, {"together", line.members.size()}});
   Millis latest = loop_.now();
   for (const Member& m : line.members) latest = std::max(latest, m.due);
   std::string common = "Host: " + catalog_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
@@ -226,7 +226,7 @@
 void Calls::release(Line& line) {
   unsettle(line);
   std::erase(noted_, &line);
-  for (const Member& m : line.members) carries_.erase({m.message, m.launch});
+  for (const Member& m : line.members) carries_.erase({m.message, m.attempt});
   if (std::exchange(line.probing, false)) --probesOut_;
   auto at = line.self;
   line.close();
@@ -234,37 +234,39 @@
   lines_.erase(at);
 }
 
-// Danger: while the loop is behind, the answer of a launch that is called off may lie unread; closed on it,
-// the message would be launched again after it was delivered.
+// Danger: while the loop is behind, the answer of an attempt that is called off may lie unread; closed on it,
+// the message would be attempted again after it was delivered.
 void Calls::withdraw(const Decision& d) {
-  auto at = carries_.find({d.message, d.launch});
+  auto at = carries_.find({d.message, d.attempt});
   if (at == carries_.end()) return;
   at->second->catchUp();
-  at = carries_.find({d.message, d.launch});
+  at = carries_.find({d.message, d.attempt});
   if (at == carries_.end()) return;  // its end was there already
   Line& line = *at->second;
   for (Member& m : line.members) {
-    if (m.message != d.message || m.launch != d.launch || m.told) continue;
+    if (m.message != d.message || m.attempt != d.attempt || m.told) continue;
     m.off = keepsCall(line, m);
-    if (m.off) log::debug("launch.to_be_called_off", {{"callback", m.ref}, {"launch", m.launch}});
+    if (m.off) log::debug("launch.to_be_called_off", {{"callback", m.ref}, {"launch", m.attempt}});
     if (m.off) break;
-    tell(line, m, line.lastByteWritten() ? unanswered(line, Ending::withdrawn) : Ending::notSent, false, 0);
+    tell(line, m,
+         line.lastByteWritten() ? unanswered(line, AttemptOutcome::cancelled) : AttemptOutcome::notSent,
+         false, 0);
     break;
   }
   if (calledOff(line)) release(line);
 }
 
-// Until when a message is to be delivered, whatever its launch may take.
+// Until when a message is to be delivered, whatever its attempt may take.
 Millis Calls::timeUp(const Member& m) const {
   auto at = rules_.state().messages.find(m.message);
   return at == rules_.state().messages.end() || at->second.finished ? 0 : at->second.deadline;
 }
 
 // Danger: one message of a call cannot be called off alone; the call stays out at the endpoint for the
-// others. Told as withdrawn it would be launched again beside it: a second copy, which not every deployment
-// allows, and for the first of the call an end by its other launch while the rest is out. It is told with the
-// call, or once its time is up. Where copies are allowed the rest need not wait: at endpoints that hang one
-// that may not be repeated would keep all others there.
+// others. Told as cancelled it would be attempted again beside it: a second hedge, which not every deployment
+// allows, and for the first of the call an end by its other attempt while the rest is out. It is told with
+// the call, or once its time is up. Where hedges are allowed the rest need not wait: at endpoints that hang
+// one that may not be repeated would keep all others there.
 bool Calls::keepsCall(const Line& line, const Member& m) const {
   auto waits = [&](const Member& o) { return &o != &m && !o.told && !o.off; };
   bool bound = !mayCopy_ || &m == &line.members.front();
@@ -279,15 +281,15 @@
   auto told = [](const Member& m) { return m.told; };
   bool halfWritten = line.busy() && line.up() && !line.lastByteWritten();
   if (halfWritten && std::any_of(line.members.begin(), line.members.end(), told)) {
-    tellAll(line, Ending::notSent);
+    tellAll(line, AttemptOutcome::notSent);
   }
-  // Danger: its first message may also end by another launch, and the endpoint still answers ok for the
+  // Danger: its first message may also end by another attempt, and the endpoint still answers ok for the
   // rest, which counts for none of them. Called off with it they may go out again.
   auto done = [](const Member& m) { return m.told || m.off; };
   bool first = !line.members.empty() && line.members.front().told;
   if (line.lastByteWritten() && (first || std::all_of(line.members.begin(), line.members.end(), done))) {
     for (Member& m : line.members) {
-      if (!m.told) tell(line, m, unanswered(line, Ending::withdrawn), false, 0);
+      if (!m.told) tell(line, m, unanswered(line, AttemptOutcome::cancelled), false, 0);
     }
   }
   return !line.members.empty() && std::all_of(line.members.begin(), line.members.end(), told);
@@ -296,7 +298,8 @@
 // Danger: hundreds of endpoints that are out are probed at once, and their connections take the descriptors
 // of all others.
 void Calls::probe(EndpointId endpoint) {
-  if (probesOut_ >= mostProbes_) return rules_.probeEnded(endpoint, Ending::withheld, {});
+  if (probesOut_ >= mostProbes_)
+    return rules_.probeEnded(endpoint, AttemptOutcome::localResourceExhausted, {});
   Line& line = lineTo(endpoint);
   line.probing = true;
   ++probesOut_;
@@ -336,10 +339,10 @@
   return told;
 }
 
-void Calls::tell(Line& line, Member& m, Ending ending, bool over, Millis wait) {
+void Calls::tell(Line& line, Member& m, AttemptOutcome ending, bool over, Millis wait) {
   bool told = std::exchange(m.told, true);
-  carries_.erase({m.message, m.launch});
-  bool ends = over || ending == Ending::completed;
+  carries_.erase({m.message, m.attempt});
+  bool ends = over || ending == AttemptOutcome::completed;
   // Danger: an answer written when the message's time was just up delivers nothing, and its end is still
   // owed. On arrival that cannot be told from one written just before. A notice for one that is over does no
   // harm.
@@ -356,12 +359,12 @@
     }
     return;
   }
-  if (ending == Ending::full || ending == Ending::connectFailed || unsent(ending)) {
-    book_.neverRan(m.message, m.launch);
+  if (ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending)) {
+    book_.neverRan(m.message, m.attempt);
   }
   Report report = line.status() != 0 ? reportIn(line.header("X-Load"), facts_.reported) : Report{};
   log::debug("launch.ended", {{"callback", m.ref},
-                              {"launch", m.launch},
+                              {"launch", m.attempt},
                               {"endpoint", nameAt(line.endpoint)},
                               {"ending", nameOf(ending)},
                               {"spent_ms", loop_.now() - line.sent},
@@ -369,11 +372,11 @@
                               {"limit", report.limit},
                               {"left", report.left}});
   bool known = ends || book_.find(m.message) == nullptr;
-  rules_.launchEnded(m.message, m.launch, ending, loop_.now() - line.sent, known, wait, report);
+  rules_.launchEnded(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
 }
 
-void Calls::tellAll(Line& line, Ending ending, bool over, Millis wait) {
+void Calls::tellAll(Line& line, AttemptOutcome ending, bool over, Millis wait) {
   for (Member& m : line.members) tell(line, m, ending, over, wait);
 }
 
@@ -390,15 +393,15 @@
   for (Member& m : line.members) {
     std::string_view end = ends.contains(m.ref) ? ends[m.ref] : "";
     if (end == "ok") {
-      tell(line, m, Ending::completed, true, wait);  // a wait binds, whatever it came with
+      tell(line, m, AttemptOutcome::completed, true, wait);  // a wait binds, whatever it came with
     } else if (end == "later") {
-      tell(line, m, Ending::full, false, wait);
+      tell(line, m, AttemptOutcome::rejected, false, wait);
     } else if (end == "gone") {
-      tell(line, m, Ending::notSent, true, wait);
+      tell(line, m, AttemptOutcome::notSent, true, wait);
     } else if (end == "exhausted") {
-      tell(line, m, Ending::notSent, false, wait);
+      tell(line, m, AttemptOutcome::notSent, false, wait);
     } else {
-      tell(line, m, Ending::error, false, wait);  // also where nothing is said of it: it may have run
+      tell(line, m, AttemptOutcome::error, false, wait);  // also where nothing is said of it: it may have run
     }
   }
 }
@@ -410,29 +413,29 @@
   int status = line.status();
   Millis wait = waitIn(line);
   if (line.probing) {
-    Ending ending = status == 200   ? Ending::completed
-                    : status == 429 ? Ending::full
-                    : status == 503 ? Ending::full
-                                    : Ending::error;
+    AttemptOutcome ending = status == 200   ? AttemptOutcome::completed
+                            : status == 429 ? AttemptOutcome::rejected
+                            : status == 503 ? AttemptOutcome::rejected
+                                            : AttemptOutcome::error;
     probeEnded(line, ending, reportIn(line.header("X-Load"), facts_.reported));
   } else if (status == 200 && line.members.size() > 1) {
     readMany(line, wait);
   } else if (status == 200) {
-    tellAll(line, Ending::completed, true);
+    tellAll(line, AttemptOutcome::completed, true);
   } else if (status == 429) {
-    tellAll(line, Ending::full, false, wait);
+    tellAll(line, AttemptOutcome::rejected, false, wait);
   } else if (status == 503) {
     bool ours = line.header("X-Egress-Full") == "1";
-    tellAll(line, ours ? Ending::notSent : Ending::full, false, ours ? 0 : wait);
+    tellAll(line, ours ? AttemptOutcome::notSent : AttemptOutcome::rejected, false, ours ? 0 : wait);
   } else if (status == 504) {
-    tellAll(line, Ending::notSent);
+    tellAll(line, AttemptOutcome::notSent);
   } else if (status == 410) {
-    tellAll(line, Ending::notSent, true);
+    tellAll(line, AttemptOutcome::notSent, true);
   } else if (status == 400 || status == 413) {
     log::error("call.unreadable", {{"endpoint", nameAt(line.endpoint)}, {"status", status}});
-    tellAll(line, line.members.size() > 1 ? Ending::notSent : Ending::error);
+    tellAll(line, line.members.size() > 1 ? AttemptOutcome::notSent : AttemptOutcome::error);
   } else {
-    tellAll(line, Ending::error);
+    tellAll(line, AttemptOutcome::error);
   }
   line.members.clear();
   line.wholeBy = -1;
@@ -442,14 +445,14 @@
 
 // A connection may come up long after its call was decided. By then the endpoint may drain, may have told us
 // to wait, or a repeat's window may be over, and the rules count a call from its bytes: it is not sent.
-// Danger: of several in a call one may have ended meanwhile, its time up or its other launch answered.
+// Danger: of several in a call one may have ended meanwhile, its time up or its other attempt answered.
 // Written out when the call was decided, all would go once the connection is up, that one after its final
 // answer.
 bool Calls::mayBegin(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
   if (line.probing || !line.busy()) return true;  // or the journal does not have it yet
   for (Member& m : line.members) {
-    if (!m.told && !rules_.mayBegin(m.message, m.launch)) tell(line, m, Ending::notSent, false, 0);
+    if (!m.told && !rules_.mayBegin(m.message, m.attempt)) tell(line, m, AttemptOutcome::notSent, false, 0);
   }
   std::erase_if(line.members, [](const Member& m) { return m.told; });
   if (line.members.empty()) {
@@ -465,13 +468,13 @@
 // meanwhile. Broken off before that byte the call has not run.
 bool Calls::mayGoOn(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
-  auto may = [&](const Member& m) { return m.told || rules_.mayBegin(m.message, m.launch); };
+  auto may = [&](const Member& m) { return m.told || rules_.mayBegin(m.message, m.attempt); };
   if (line.probing || std::all_of(line.members.begin(), line.members.end(), may)) return true;
-  letGo(line, Ending::notSent);
+  letGo(line, AttemptOutcome::notSent);
   return false;
 }
 
-void Calls::probeEnded(Line& line, Ending ending, Report report) {
+void Calls::probeEnded(Line& line, AttemptOutcome ending, Report report) {
   line.probing = false;
   --probesOut_;
   rules_.probeEnded(line.endpoint, ending, report);
@@ -482,7 +485,7 @@
 // ramp follows.
 void Calls::withhold(Line& line) { line.failed = line.withheld = true; }
 
-void Calls::letGo(Line& line, Ending ending) {
+void Calls::letGo(Line& line, AttemptOutcome ending) {
   tellAll(line, ending);
   line.members.clear();
   release(line);
@@ -491,10 +494,10 @@
 // How a call ended that brought no good answer: before its last byte was written it cannot have run. A first
 // line that says 200 is true, whatever follows it. Anything else that came was spoilt by an endpoint that is
 // there and has run the call: no dead connection, of which the module would think less.
-Ending Calls::unanswered(const Line& line, Ending otherwise) const {
-  if (!line.lastByteWritten()) return Ending::connectFailed;
-  if (line.status() == 200 && line.members.size() == 1) return Ending::completed;
-  return line.heard() ? Ending::error : otherwise;
+AttemptOutcome Calls::unanswered(const Line& line, AttemptOutcome otherwise) const {
+  if (!line.lastByteWritten()) return AttemptOutcome::connectFailed;
+  if (line.status() == 200 && line.members.size() == 1) return AttemptOutcome::completed;
+  return line.heard() ? AttemptOutcome::error : otherwise;
 }
 
 // Danger: a head that does not end, or a body that is shorter than was said, would hold the call, its slot
@@ -508,7 +511,8 @@
 
 void Calls::broke(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
-  Ending ending = line.withheld ? Ending::withheld : unanswered(line, Ending::reset);
+  AttemptOutcome ending =
+      line.withheld ? AttemptOutcome::localResourceExhausted : unanswered(line, AttemptOutcome::reset);
   if (line.withheld)
     log::warn("launch.withheld",
               {{"endpoint", nameAt(line.endpoint)},
@@ -546,17 +550,19 @@
     return settle(line);
   }
   if (line.probing && loop_.now() >= line.sent + connectWithin_) {
-    probeEnded(line, Ending::timeout);
+    probeEnded(line, AttemptOutcome::timeout);
     return release(line);
   }
   for (Member& m : line.members) {
-    // A connection that never came up has launched nothing, and its time was not up either: not sent.
+    // A connection that never came up has attempted nothing, and its time was not up either: not sent.
     if (m.told || loop_.now() < m.due) continue;
     m.off = m.off || keepsCall(line, m);
     if (m.off && loop_.now() < timeUp(m)) {
       m.due = timeUp(m);
     } else {
-      tell(line, m, line.lastByteWritten() ? unanswered(line, Ending::timeout) : Ending::notSent, false, 0);
+      tell(line, m,
+           line.lastByteWritten() ? unanswered(line, AttemptOutcome::timeout) : AttemptOutcome::notSent,
+           false, 0);
     }
   }
   if (calledOff(line)) return release(line);
--- a/src/net/calls.h
+++ b/src/net/calls.h
@@ -18,14 +18,15 @@
 // What a load report tells of the limit; one that cannot be read tells nothing.
 Report reportIn(std::string_view report, const std::vector<std::string>& fields);
 
-// Carries launches and probes to endpoints over HTTP/1.1 and tells the rules how each ended.
+// Carries attempts and probes to endpoints over HTTP/1.1 and tells the rules how each ended.
 class Calls : public HttpLink::Owner {
  public:
-  // mostProbes: of them at once, so that with the slots they stay within mostLinks, connections to endpoints.
+  // mostProbes: of them at once, so that with the concurrent requests they stay within mostLinks, connections
+  // to endpoints.
   Calls(Loop& loop, Rules& rules, Book& book, const Catalog& catalog, const DeploymentTerms& terms,
         const HostFacts& facts, std::size_t mostLinks, std::size_t mostProbes);
 
-  // Launches of one pass that belong to one call go out together: noted with flush, sent once the book has
+  // Attempts of one pass that belong to one call go out together: noted with flush, sent once the book has
   // kept them.
   void launch(const Decision& decision);
   void withdraw(const Decision& decision);
@@ -41,7 +42,7 @@
  private:
   struct Member {
     MessageId message{};
-    int launch{};
+    int attempt{};
     Millis due{};
     std::string ref;
     bool told{false};  // its end was told; the call may go on for others
@@ -73,10 +74,10 @@
   void write(Line& line);
   bool stillWanted(Line& line);
   static void withhold(Line& line);
-  void letGo(Line& line, Ending ending);
-  void probeEnded(Line& line, Ending ending, Report report = {});
-  void tell(Line& line, Member& member, Ending ending, bool over, Millis wait);
-  void tellAll(Line& line, Ending ending, bool over = false, Millis wait = 0);
+  void letGo(Line& line, AttemptOutcome ending);
+  void probeEnded(Line& line, AttemptOutcome ending, Report report = {});
+  void tell(Line& line, Member& member, AttemptOutcome ending, bool over, Millis wait);
+  void tellAll(Line& line, AttemptOutcome ending, bool over = false, Millis wait = 0);
   void readMany(Line& line, Millis wait);
   bool calledOff(Line& line);
   bool keepsCall(const Line& line, const Member& member) const;
@@ -87,7 +88,7 @@
   Millis dueOf(const Line& line) const;
   void unsettle(Line& line);
   void look(Line& line);
-  Ending unanswered(const Line& line, Ending otherwise) const;
+  AttemptOutcome unanswered(const Line& line, AttemptOutcome otherwise) const;
   Millis connectBy(const Line& line) const;
 
   Loop& loop_;
@@ -107,7 +108,7 @@
   std::set<std::pair<Millis, Line*>> dues_;
   std::set<std::tuple<EndpointId, Millis, Line*>> idle_;  // by endpoint, then when last used
   std::set<std::pair<Millis, Line*>> oldest_;             // the idle ones by when last used
-  std::map<std::pair<MessageId, int>, Line*> carries_;    // the line of a launch that was not told yet
+  std::map<std::pair<MessageId, int>, Line*> carries_;    // the line of an attempt that was not told yet
   Millis idleMostSeen_{1e15};
   std::map<int, std::pair<EndpointId, std::vector<Member>>> gathered_;  // by the number of the call
   std::vector<Line*> noted_;                                            // to be sent
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// After a call that failed, was refused or was given up a change counts as told 6 s after discovery has it
+// After a call that failed, was refused or was failed a change counts as told 6 s after discovery has it
 // and can be reached, whatever was allowed before. So the longest chain of steps has to end within that: a
 // watch that has fallen silent, the pause after it, a refusal, the pause after that and an answer, with time
 // for the turns between them; or a connection that does not come up, the longest pause, and the same refusal.
@@ -164,7 +164,7 @@
 void Catalog::remember(const std::map<MessageId, Held>& held) {
   rules_.listBegins();
   for (const auto& [callback, one] : held) {
-    for (const LaunchNote& launch : one.launches) {
+    for (const AttemptRecord& launch : one.attempts) {
       const EndpointNote& note = launch.endpoint;
       EndpointId id = idOf(note.name);
       if (!sites_.try_emplace(id, Site{note, {}, {}}).second) continue;
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -28,7 +28,7 @@
   // Tells the rules a list, or changes. Throws Malformed and tells nothing where it cannot be read. False:
   // some entries could not be used, and the whole list is to be asked for.
   bool told(const nlohmann::json& answer);
-  // Endpoints that no list names any more, but that restored messages were launched at.
+  // Endpoints that no list names any more, but that restored messages were attempted at.
   void remember(const std::map<MessageId, Held>& held);
 
   const Site* find(EndpointId id) const {
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -241,7 +241,7 @@
 }
 
 void HttpLink::write() {
-  // A server may answer, or end, before it has read all: what it said is read before the link is given up.
+  // A server may answer, or end, before it has read all: what it said is read before the link is failed.
   if (out_.write(fd_) == Outgoing::Wrote::broken) {
     read(true);
     if (fd_ >= 0 && busy_) fail();
--- a/src/net/intake.cpp
+++ b/src/net/intake.cpp
@@ -35,9 +35,8 @@
 constexpr Millis kSilent = 2200;
 constexpr Millis kIdle = 5000;
 constexpr Millis kFresh = 50;
-constexpr Millis kClientWaits = 400;  // for an answer to what it has sent
-constexpr std::size_t kPlacesFreed =
-    16;  // a part of the places that idle clients give up before all are taken
+constexpr Millis kClientWaits = 400;      // for an answer to what it has sent
+constexpr std::size_t kPlacesFreed = 16;  // a part of the places that idle clients fail before all are taken
 constexpr std::size_t kDroppedMost = 1024 * 1024;  // of what still comes behind an error
 
 // "*3\r\n" or "$12\r\n" at `at`.
--- a/src/net/journal.h
+++ b/src/net/journal.h
@@ -42,7 +42,7 @@
 
   // A rewrite beside the file, in as many steps as its owner likes; what is committed meanwhile goes to the
   // file as ever. A kill at any step leaves the old or the new. Each returns false where it could not be
-  // done; the rewrite is then given up and the file is as it was. Written aside, the bytes go with the next
+  // done; the rewrite is then failed and the file is as it was. Written aside, the bytes go with the next
   // begin, and what became of them shows at its finish.
   bool beginBeside();
   bool addBeside(std::string_view framed);
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -176,7 +176,7 @@
 
 AdmissionTerms admissionTerms(const DeploymentTerms& terms) {
   AdmissionTerms t;
-  t.heldMost = terms.heldMost;
+  t.heldMost = terms.maxInFlight;
   t.mayAdvise = terms.shedAdvice;
   t.longestAdvice = terms.longestAdvice;
   t.gainMost = 0;
@@ -221,7 +221,7 @@
 }
 
 DeploymentTerms within(DeploymentTerms terms, const Descriptors& descriptors) {
-  terms.slots = descriptors.slots;
+  terms.maxConcurrentRequests = descriptors.slots;
   return terms;
 }
 
@@ -237,7 +237,7 @@
     : orders_(withinLimits(orders)),
       reread_(std::move(reread)),
       terms_(termsOf(orders_)),
-      descriptors_(descriptorsOf(orders_.sockets, terms_.slots)),
+      descriptors_(descriptorsOf(orders_.sockets, terms_.maxConcurrentRequests)),
       facts_(readHostFacts(orders.settings)),
       rules_(within(terms_, descriptors_), orders.seed),
       admission_(admissionTerms(terms_), orders.seed + 1),
@@ -264,9 +264,9 @@
                       {"owed", book_.owed().size()}});
 }
 
-// Danger: a wall clock that was set back between two processes makes a launch of the first lie in the future,
-// and the window of its repeat open for as much longer. When it was is not known then: its window passes for
-// over.
+// Danger: a wall clock that was set back between two processes makes an attempt of the first lie in the
+// future, and the window of its repeat open for as much longer. When it was is not known then: its window
+// passes for over.
 void Dispatcher::restore() {
   rules_.roundBegins(loop_.now());
   if (!orders_.known.empty()) {
@@ -282,12 +282,12 @@
   for (const auto& [id, held] : book_.held()) {
     rules_.taken(id, held.type, held.tenant, held.key, held.destination, held.outerWall + toSteady);
     log::debug("callback.restored", {{"callback", held.ref},
-                                     {"launches", held.launches.size()},
+                                     {"launches", held.attempts.size()},
                                      {"left_ms", held.outerWall + toSteady - loop_.now()}});
-    for (const LaunchNote& launch : held.launches) {
+    for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
       if (sent > loop_.now() + kClockOff) sent = 0;
-      rules_.launchedBefore(id, catalog_.idOf(launch.endpoint.name), sent, launch.neverRan);
+      rules_.launchedBefore(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
     }
   }
 }
@@ -314,7 +314,7 @@
     catalog_.tick();
     intake_.tick();
     move();
-    // Many answers do not wait for the decisions; a few share one write of the journal with their launches.
+    // Many answers do not wait for the decisions; a few share one write of the journal with their attempts.
     if (intake_.waiting() >= kManyAnswers || book_.under()) keep();
     // What is decided while a write hangs could not be acted on, and would be decided on what is old by then.
     if (state_ < State::waiting && !book_.under()) decide();
@@ -510,7 +510,7 @@
 void Dispatcher::act() {
   for (MessageId id : book_.lostTakes()) {
     log::debug("callback.not_kept", {{"callback", id.value}});
-    rules_.clientGone(id);  // its launch, if there is one, is not sent either
+    rules_.clientGone(id);  // its attempt, if there is one, is not sent either
   }
   // Danger: a write that hung in the loop, or long decisions, have made the turn old. What goes out counts
   // from now.
@@ -545,7 +545,7 @@
   log::debug("callback.ended", {{"callback", held->ref},
                                 {"result", result},
                                 {"destination", held->destination.value},
-                                {"launches", held->launches.size()},
+                                {"launches", held->attempts.size()},
                                 {"wait_ms", wait}});
 }
 
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -43,9 +43,9 @@
 struct Descriptors {
   std::size_t own{};     // for the journal, discovery, the platform, the log and the loop
   std::size_t links{};   // connections to endpoints
-  std::size_t probes{};  // of these, beside the slots
+  std::size_t probes{};  // of these, beside the concurrent requests
   std::size_t clients{};
-  int slots{};  // launches at once: the deployment's, or what the connections bear
+  int slots{};  // attempts at once: the deployment's, or what the connections bear
 };
 // Throws Malformed where there are too few for any work.
 Descriptors descriptorsOf(std::size_t sockets, int slots);
@@ -71,7 +71,7 @@
     restoring,  // what an earlier process left is accepted again
     serving,
     leaving,    // told to end: clients are still taken, and on their way elsewhere
-    finishing,  // no clients; what is held is launched
+    finishing,  // no clients; what is held is attempted
     waiting,    // nothing new goes out; answers that are out may still come
     ended,
   };
--- a/src/rooms/rooms.cpp
+++ b/src/rooms/rooms.cpp
@@ -18,7 +18,7 @@
 constexpr double kLossPart = 0.5;  // of where the last climb began, after a further loss
 constexpr int kLossesMost = 4;
 constexpr double kTogether =
-    2;  // launches in a fall span by all dispatchers into a room they know nothing of
+    2;  // attempts in a fall span by all dispatchers into a room they know nothing of
 constexpr double kJitterLeast = 0.75;  // of a span; a half more at the most
 constexpr double kUnlistedFrom = 0.5;  // where a climb begins after the list alone had dropped the room
 constexpr Millis kNever = 1e15;
@@ -28,7 +28,7 @@
 Rooms::Rooms(const DeploymentTerms& terms, std::uint64_t seed)
     : terms_(terms.rooms),
       own_(terms.zone),
-      slots_(terms.slots),
+      slots_(terms.maxConcurrentRequests),
       fallSpan_(std::max(1.0, terms.fallSpan)),
       patience_(terms.longestPromise()),
       least_(kTogether / fallSpan_ * 1000 / terms.instances),
@@ -105,7 +105,7 @@
 bool Rooms::launched(Millis now, DestinationId destination, ZoneId room) {
   Room& r = rooms_[room];
   if (climbing(now, room)) {
-    // Launches keep apart by what it is fed: across all its destinations together.
+    // Attempts keep apart by what it is fed: across all its destinations together.
     r.fedFrom = std::max(r.fedFrom, now) + 1000 / fedPerSecond(now, room) * jitter();
   }
   if (!spilled(destination, room)) return false;
@@ -208,7 +208,7 @@
 bool Rooms::lost(ZoneId room) const {
   const Room* r = find(room);
   if (r == nullptr || r->state != State::lost) return false;
-  // Danger: with every room lost it is us who are cut off; nothing would be launched any more.
+  // Danger: with every room lost it is us who are cut off; nothing would be attempted any more.
   return std::any_of(rooms_.begin(), rooms_.end(), [](const auto& other) {
     return other.second.state != State::lost && !other.second.endpoints.empty();
   });
--- a/src/rooms/rooms.h
+++ b/src/rooms/rooms.h
@@ -36,12 +36,12 @@
   void fails(Millis now, EndpointId endpoint, DestinationId destination, ZoneId room, int times);
   // A message for the destination was accepted.
   void asked(Millis now, DestinationId destination);
-  // So many more messages of a destination wait without a launch out.
+  // So many more messages of a destination wait without an attempt out.
   void waits(DestinationId destination, int more);
   void probed(Millis now, ZoneId room);
 
-  // Since when a launch for that destination into that room is allowed, or from when on; never in the past of
-  // what binds. 1e15: not until something is heard.
+  // Since when an attempt for that destination into that room is allowed, or from when on; never in the past
+  // of what binds. 1e15: not until something is heard.
   Millis launchFrom(DestinationId destination, ZoneId room) const;
   Millis probeFrom(ZoneId room) const;
   bool lost(ZoneId room) const;
@@ -54,7 +54,7 @@
   bool overfull(DestinationId destination) const;
   // How long what waits for a lost home takes to go elsewhere; 0 where the home is not lost.
   Millis backlog(DestinationId destination) const;
-  // Launches a second that a room is given now: what it is fed as it climbs, or as a room of strangers.
+  // Attempts a second that a room is given now: what it is fed as it climbs, or as a room of strangers.
   double fedPerSecond(Millis now, ZoneId room) const;
   double spillPerSecond(ZoneId home, ZoneId room) const;
 
@@ -76,14 +76,14 @@
     Millis unlistedAt{-1};  // the list named it no more
     double done{0};         // fading count of what was delivered
     Millis doneAt{0};
-    double away{0};  // the same of launches whose home it is, elsewhere
+    double away{0};  // the same of attempts whose home it is, elsewhere
     Millis awayAt{0};
     double asked{0};  // and of messages accepted whose home it is
     Millis askedAt{0};
     double before{0};         // deliveries a second, as it was lost
     int losses{0};            // without a whole climb between them
-    Millis fedFrom{0};        // no launch before, as it climbs
-    Millis strangersFrom{0};  // no launch of a stranger before
+    Millis fedFrom{0};        // no attempt before, as it climbs
+    Millis strangersFrom{0};  // no attempt of a stranger before
     Millis probeFrom{0};
     int waiting{0};  // messages whose home it is
   };
@@ -109,7 +109,7 @@
   int slots_;
   Millis fallSpan_;
   Millis patience_;  // for how long a message that waits for a place among strangers can still be in time
-  double least_;     // launches a second into a room of which nothing is known
+  double least_;     // attempts a second into a room of which nothing is known
   std::mt19937 chance_;
   std::map<ZoneId, Room> rooms_;
   std::map<DestinationId, ZoneId> homes_;  // by the list
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -19,25 +19,25 @@
 constexpr std::size_t kEnoughPooled = 12;  // a destination sees few messages at one instance
 constexpr Millis kRecompute = 2000;
 constexpr double kQuantile = 0.95;
-constexpr double kBudgetRatio = 0.1;  // retry budget earned by each first launch
-constexpr double kDelayLeast = 0.3;   // clamp of the copy's delay, of the latency objective
+constexpr double kBudgetRatio = 0.1;  // retry budget earned by each first attempt
+constexpr double kDelayLeast = 0.3;   // clamp of the hedge's delay, of the latency objective
 constexpr double kDelayMost = 1.5;
 constexpr double kDelayUnknown = 0.6;  // in place of p95 while nothing was measured
-constexpr double kCopySlots = 0.5;     // no copies with more of the slots out
-constexpr double kWindowStart = 0.5;   // of the slots
+constexpr double kCopySlots = 0.5;     // no hedges with more of the concurrent requests out
+constexpr double kWindowStart = 0.5;   // of the concurrent requests
 constexpr double kWindowTop = 0.75;
 constexpr double kCut = 0.75;
 constexpr double kLate = 2;  // a late answer, in p95 of the destination
 
 constexpr double kSilent = 3;         // no answer for this many p95: the path is silent
-constexpr double kStuck = 4;          // a launch is called off after so many p95, where answers come late
+constexpr double kStuck = 4;          // an attempt is called off after so many p95, where answers come late
 constexpr double kStuckLost = 1.8;    // and where they do not come at all
-constexpr double kPatienceCut = 0.4;  // by a launch called off
+constexpr double kPatienceCut = 0.4;  // by an attempt called off
 constexpr double kPatienceGrowth = 1.0 / 32;  // by an answer
 constexpr double kOkSharePart = 1.0 / 8;      // of each answer in the running share that completes
 constexpr double kOkShareHard = 0.4;          // in place of it for a failed connection
 constexpr double kOkShareOutage = 0.5;
-constexpr int kUnheard = 4;            // launches called off since its last answer that count as silence
+constexpr int kUnheard = 4;            // attempts called off since its last answer that count as silence
 constexpr int kFailuresToAvoid = 2;    // of one endpoint while others of its destination work
 constexpr double kRefusalsMost = 4;    // doublings of the pause after refusals
 constexpr double kRelief = 0.35;       // of a doubling, taken back by a completion
@@ -107,7 +107,7 @@
   e.phase = phase;
   bool apart = kind.value < terms_.kinds.size() && terms_.kinds[kind.value].routesApart;
   auto [at, fresh] = s_.paths.try_emplace(apart ? InstanceState::ownPath(id) : PathId{destination.value});
-  if (fresh) at->second.window = std::max(1.0, std::floor(terms_.slots * kWindowStart));
+  if (fresh) at->second.window = std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowStart));
   e.path = &at->second;
   e.path->destination = e.destination;
   s_.listing.insert(id);
@@ -161,90 +161,99 @@
   s_.spentFrom.insert({latestLaunch(c), id});
 }
 
-// After a restart: what was out may have run, for the rules on effects and for the count of launches.
+// After a restart: what was out may have run, for the rules on effects and for the count of attempts.
 void Rules::launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) {
   Message& c = s_.messages.at(id);
-  c.launches.push_back(
-      {.endpoint = &s_.endpoints.at(endpoint), .sent = sent, .out = false, .neverRan = neverRan});
+  c.attempts.push_back({.endpoint = &s_.endpoints.at(endpoint),
+                        .sentAt = sent,
+                        .pending = false,
+                        .provablyNotExecuted = neverRan});
   if (!neverRan && type(c).ordered) s_.orderedQueues[c.orderingKey].pausedUntil = s_.now + terms_.orderPause;
   s_.spentFrom.insert({s_.now, id});
   s_.place(id, c);
 }
 
-void Rules::launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool isOver, Millis wait,
-                        Report report) {
+void Rules::launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool isOver,
+                        Millis wait, Report report) {
   Message* c = s_.find(id);
-  if (c == nullptr || launch >= static_cast<int>(c->launches.size()) || !c->launches[launch].out) return;
-  Launch& l = c->launches[launch];
+  if (c == nullptr || launch >= static_cast<int>(c->attempts.size()) || !c->attempts[launch].pending) return;
+  Attempt& l = c->attempts[launch];
   Endpoint& e = *l.endpoint;
   Path& p = *e.path;
-  l.out = c->responseStarted = false;
+  l.pending = c->responseStarted = false;
   quietUntil_ = -1;
-  l.neverRan = ending == Ending::full || ending == Ending::connectFailed || unsent(ending);
-  s_.releaseCall(l);
+  l.provablyNotExecuted =
+      ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending);
+  s_.releaseRequest(l);
   e.usedAt = s_.now;
   Millis leastTrust = kTrustLeast * terms_.connectionIdle;  // connections also break that were hardly idle
   // A new connection refused with no report, where answers hold one: not by the limit, the table is full.
-  bool shutOut = ending == Ending::full && s_.reported && report.limit < 0 && wait <= 0 && l.idle <= 0;
-  if (shutOut || (ending == Ending::connectFailed && p.okAt > s_.now - terms_.coldSpan)) {
+  bool shutOut = ending == AttemptOutcome::rejected && s_.reported && report.limit < 0 && wait <= 0 &&
+                 l.connectionIdleTime <= 0;
+  if (shutOut || (ending == AttemptOutcome::connectFailed && p.okAt > s_.now - terms_.coldSpan)) {
     s_.idleTrusted *= kTrustCut;  // calls complete there, so its table is full
-  } else if (l.idle > leastTrust && ending == Ending::reset) {
-    s_.idleTrusted = std::min(s_.idleTrusted, kTrustCut * l.idle);
-  } else if (l.idle > kTrustCut * s_.idleTrusted && ending == Ending::completed) {
+  } else if (l.connectionIdleTime > leastTrust && ending == AttemptOutcome::reset) {
+    s_.idleTrusted = std::min(s_.idleTrusted, kTrustCut * l.connectionIdleTime);
+  } else if (l.connectionIdleTime > kTrustCut * s_.idleTrusted && ending == AttemptOutcome::completed) {
     s_.idleTrusted = std::min(terms_.connectionIdle, kTrustGrowth * s_.idleTrusted);
   }
   s_.idleTrusted = std::max(s_.idleTrusted, leastTrust);
   noteReport(p, e, report);
-  bool own = ending == Ending::full && report.limit < 0 && p.limitTold >= 0 && wait <= 0;  // not by the limit
+  bool own = ending == AttemptOutcome::rejected && report.limit < 0 && p.limitTold >= 0 &&
+             wait <= 0;                                // not by the limit
   p.waitUntil = std::max(p.waitUntil, s_.now + wait);  // also where only some of a call were refused
   // Sooner than any answer, on a kept connection: that one had ended, which tells nothing of the endpoint.
-  bool worn = ending == Ending::reset && l.idle > 0 && spent < usual(p, type(*c)).p50;
-  bool cutShort = ending == Ending::timeout && s_.now >= c->deadline;  // perhaps only sent late
-  if (ending == Ending::completed) {
-    noteOk(p, e, l.sent, spent);
+  bool worn = ending == AttemptOutcome::reset && l.connectionIdleTime > 0 && spent < usual(p, type(*c)).p50;
+  bool cutShort = ending == AttemptOutcome::timeout && s_.now >= c->deadline;  // perhaps only sent late
+  if (ending == AttemptOutcome::completed) {
+    noteOk(p, e, l.sentAt, spent);
   } else if (own && p.endpoints.size() > 1) {
     s_.failing(e, e.failures + 1);
-  } else if (ending == Ending::full) {
-    noteRefusal(p, e, wait, l.sent);
-  } else if (ending != Ending::withdrawn && !unsent(ending) && !worn &&
-             !(cutShort && s_.now - l.sent <= kLate * usual(p, type(*c)).p95)) {
-    noteFailure(p, e, l.sent, ending);
-  }
-  if (ending == Ending::timeout || ending == Ending::reset || ending == Ending::withdrawn) {
+  } else if (ending == AttemptOutcome::rejected) {
+    noteRefusal(p, e, wait, l.sentAt);
+  } else if (ending != AttemptOutcome::cancelled && !isUnsent(ending) && !worn &&
+             !(cutShort && s_.now - l.sentAt <= kLate * usual(p, type(*c)).p95)) {
+    noteFailure(p, e, l.sentAt, ending);
+  }
+  if (ending == AttemptOutcome::timeout || ending == AttemptOutcome::reset ||
+      ending == AttemptOutcome::cancelled) {
     auto line = s_.orderedQueues.find(c->orderingKey);
     if (type(*c).ordered && line != s_.orderedQueues.end())
       line->second.pausedUntil = s_.now + terms_.orderPause;
   }
-  bool atOnce = worn || (l.neverRan && ending != Ending::withheld);  // what we lacked we may lack still
+  bool atOnce =
+      worn || (l.provablyNotExecuted &&
+               ending != AttemptOutcome::localResourceExhausted);  // what we lacked we may lack still
   c->retryNotBefore = s_.now + (atOnce ? 0 : kRetryPause * usual(p, type(*c)).p50);
   s_.place(id, *c);
   Millis at = anyMayHaveRun(*c) ? spentAt(*c) : std::min(spentAt(*c), latestLaunch(*c));
   if (c->hasNoPendingAttempt() && at < c->deadline) s_.spentFrom.insert({at, id});
-  if (ending != Ending::withdrawn && !unsent(ending)) seen_ = {};
-  if (isOver || ending == Ending::completed) over(id);
+  if (ending != AttemptOutcome::cancelled && !isUnsent(ending)) seen_ = {};
+  if (isOver || ending == AttemptOutcome::completed) over(id);
   s_.forgetSettled(id);
 }
 
-// When a settled message may have no launch left: now, or when the window of one that may have run closes.
+// When a settled message may have no attempt left: now, or when the window of one that may have run closes.
 Millis Rules::spentAt(const Message& c) const {
   const TrafficType& t = type(c);
   if (t.effect == Effect::pure || !repeatAllowed(c, nullptr))
     return repeatAllowed(c, nullptr) ? c.deadline : s_.now;
   Millis at = c.deadline;
-  for (const Launch& l : c.launches) {
-    if (mayHaveRun(l)) at = std::min(at, l.sent + t.repeatWindow * (1 - kWindowMargin));
+  for (const Attempt& l : c.attempts) {
+    if (mayHaveRun(l)) at = std::min(at, l.sentAt + t.repeatWindow * (1 - kWindowMargin));
   }
   return at;
 }
 
-// The message is finished: launches still out are losers, to be withdrawn.
+// The message is finished: attempts still out are losers, to be cancelled.
 MessageId Rules::over(MessageId id) {
   Message* c = s_.find(id);
   if (c == nullptr || c->finished) return id;
   c->finished = true;
   --s_.messagesInFlight;
-  for (std::size_t n = 0; n < c->launches.size(); ++n) {
-    if (c->launches[n].out && !c->launches[n].withdrawn) s_.losers.emplace_back(id, static_cast<int>(n));
+  for (std::size_t n = 0; n < c->attempts.size(); ++n) {
+    if (c->attempts[n].pending && !c->attempts[n].cancelled)
+      s_.losingAttempts.emplace_back(id, static_cast<int>(n));
   }
   s_.place(id, *c);
   s_.forgetSettled(id);
@@ -274,7 +283,7 @@
   return std::min(clamped, (c.deadline - sent) / 2);
 }
 
-// One episode cuts once: launches sent before the last cut belong to the same trouble.
+// One episode cuts once: attempts sent before the last cut belong to the same trouble.
 void Rules::cut(Path& p, Millis sent) {
   if (sent < p.lastCut) return;
   p.lastCut = s_.now;
@@ -324,7 +333,7 @@
     cut(p, sent);
   } else if (++p.timely >= p.window) {
     p.timely = 0;
-    p.window = std::min(std::max(1.0, std::floor(terms_.slots * kWindowTop)), p.window + 1);
+    p.window = std::min(std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowTop)), p.window + 1);
   }
   addSample(e.samples, spent);
   addSample(p.samples, spent);
@@ -346,10 +355,11 @@
 }
 
 // One failure proves little, nor do a few in a row where a part of the calls breaks: an outage fails most.
-void Rules::noteFailure(Path& p, Endpoint& e, Millis sent, Ending ending) {
-  bool hard = ending == Ending::connectFailed;  // holds a slot for the whole time-out, and is no chance
+void Rules::noteFailure(Path& p, Endpoint& e, Millis sent, AttemptOutcome ending) {
+  bool hard =
+      ending == AttemptOutcome::connectFailed;  // holds a slot for the whole time-out, and is no chance
   s_.failing(e, e.failures + (hard ? kFailuresToAvoid : 1));
-  if (hard || ending == Ending::timeout) cut(p, sent);  // an error or a break tells nothing of load
+  if (hard || ending == AttemptOutcome::timeout) cut(p, sent);  // an error or a break tells nothing of load
   if (p.outage) p.told = true;
   if (p.outage || p.okAt > sent) return;  // others complete: crowded or unlucky, not out
   p.okShare *= 1 - (hard ? kOkShareHard : kOkSharePart);
@@ -376,16 +386,17 @@
   if (!p.outage && (wait > kShutWait * terms_.fallSpan || nothingElse)) outageBegins(p, true);
 }
 
-void Rules::probeEnded(EndpointId id, Ending ending, Report report) {
+void Rules::probeEnded(EndpointId id, AttemptOutcome ending, Report report) {
   auto at = s_.endpoints.find(id);
   if (at == s_.endpoints.end()) return;
   Path& p = *at->second.path;
   p.probeOut = false;
   lookAgain(p);
-  if (ending == Ending::withheld) at->second.failedAt = s_.now;  // it rests again, and has told nothing
-  if (ending == Ending::withheld) return;
+  if (ending == AttemptOutcome::localResourceExhausted)
+    at->second.failedAt = s_.now;  // it rests again, and has told nothing
+  if (ending == AttemptOutcome::localResourceExhausted) return;
   noteReport(p, at->second, report);
-  if (ending != Ending::completed) {
+  if (ending != AttemptOutcome::completed) {
     p.told = true;
     s_.failing(at->second, at->second.failures + 1);
   } else {
@@ -465,7 +476,7 @@
     lookAgain(p);
   }
   if (!p.outage && !p.cold) return true;
-  if (p.outage && terms_.mayProbe) return false;
+  if (p.outage && terms_.mayHealthCheck) return false;
   reached(p.cold ? std::min(p.nextPush, p.coldSince + terms_.coldSpan) : p.nextPush);
   return s_.now >= p.nextPush;
 }
@@ -484,28 +495,28 @@
 }
 
 bool Rules::anyMayHaveRun(const Message& c) const {
-  return std::any_of(c.launches.begin(), c.launches.end(), [&](const Launch& l) { return mayHaveRun(l); });
+  return std::any_of(c.attempts.begin(), c.attempts.end(), [&](const Attempt& l) { return mayHaveRun(l); });
 }
 
 // No effect twice. A margin of the window is left, for a repeat that reaches the endpoint late.
-bool Rules::repeatAllowed(const Message& c, const Endpoint* to, const Launch* self) const {
+bool Rules::repeatAllowed(const Message& c, const Endpoint* to, const Attempt* self) const {
   const TrafficType& t = type(c);
-  if (static_cast<int>(c.launches.size()) - (self != nullptr) >= terms_.launchesMost) return false;
+  if (static_cast<int>(c.attempts.size()) - (self != nullptr) >= terms_.maxAttempts) return false;
   if (t.effect == Effect::pure) return true;
-  for (const Launch& l : c.launches) {
+  for (const Attempt& l : c.attempts) {
     if (!mayHaveRun(l) || &l == self) continue;
     if (t.effect == Effect::effectful) return false;
-    if (s_.now >= l.sent + t.repeatWindow * (1 - kWindowMargin)) return false;
+    if (s_.now >= l.sentAt + t.repeatWindow * (1 - kWindowMargin)) return false;
     if (to != nullptr && t.zoneGroup && l.endpoint->zone != to->zone) return false;
   }
   return true;
 }
 
-// A launch begins when its connection is up, which may be late: it must be one that would be allowed now.
+// A attempt begins when its connection is up, which may be late: it must be one that would be allowed now.
 bool Rules::mayBegin(MessageId id, int launch) const {
   auto at = s_.messages.find(id);
   if (at == s_.messages.end() || at->second.finished) return false;
-  const Launch& l = at->second.launches.at(static_cast<std::size_t>(launch));
+  const Attempt& l = at->second.attempts.at(static_cast<std::size_t>(launch));
   const Endpoint& e = *l.endpoint;
   return e.phase == Phase::ready && s_.now >= e.path->waitUntil && repeatAllowed(at->second, &e, &l);
 }
@@ -518,14 +529,14 @@
 }
 
 bool Rules::keyFree(MessageId id, const Message& c) {
-  if (!type(c).ordered || c.orderingKey.value == 0 || !c.launches.empty()) return true;
+  if (!type(c).ordered || c.orderingKey.value == 0 || !c.attempts.empty()) return true;
   const OrderedQueue& line = s_.orderedQueues[c.orderingKey];
   if (line.messages.empty() || line.messages.front() != id) return false;
   return reached(line.pausedUntil);
 }
 
 int Rules::perCall(const Endpoint& e) const {
-  return e.kind.value < terms_.kinds.size() ? terms_.kinds[e.kind.value].perCall : 1;
+  return e.kind.value < terms_.kinds.size() ? terms_.kinds[e.kind.value].maxBatchSize : 1;
 }
 
 // Further messages in a call weigh less than a call; to a cold path a full call would be a push of its own.
@@ -541,16 +552,17 @@
   bool single = p.refusals > 0 && !paced(p);
   int most = single ? 1 : std::max(1, static_cast<int>(p.window));
   if (single) {  // calls that hang say nothing of a limit, and must not keep the rest shut
-    for (const Endpoint* o : p.endpoints) most += o->silent ? o->callsOut : 0;
+    for (const Endpoint* o : p.endpoints) most += o->silent ? o->requestsInFlight : 0;
   }
-  if (s_.slotsUsed >= terms_.slots || p.callsOut >= most) return false;
-  int out = e.destination->callsOut;  // also those at endpoints that drain
-  return out < std::max(1, static_cast<int>(terms_.slots * kWindowTop));
+  if (s_.requestsInFlight >= terms_.maxConcurrentRequests || p.requestsInFlight >= most) return false;
+  int out = e.destination->requestsInFlight;  // also those at endpoints that drain
+  return out < std::max(1, static_cast<int>(terms_.maxConcurrentRequests * kWindowTop));
 }
 
 // Failing while others of its destination work: until a probe is answered or, with none allowed, for a while.
 bool Rules::avoided(const Endpoint& e) {
-  return e.failures >= kFailuresToAvoid && (terms_.mayProbe || s_.now < restEnds(e) || e.callsOut > 0);
+  return e.failures >= kFailuresToAvoid &&
+         (terms_.mayHealthCheck || s_.now < restEnds(e) || e.requestsInFlight > 0);
 }
 
 Millis Rules::restEnds(const Endpoint& e) const {
@@ -564,15 +576,16 @@
   for (Endpoint* to : c.destination->ranking) {
     Endpoint& e = *to;
     Path& p = *e.path;
-    bool used = std::any_of(c.launches.begin(), c.launches.end(),
-                            [&](const Launch& l) { return l.endpoint == to && (copy || l.out); });
+    bool used = std::any_of(c.attempts.begin(), c.attempts.end(),
+                            [&](const Attempt& l) { return l.endpoint == to && (copy || l.pending); });
     if (used || !repeatAllowed(c, &e)) continue;
-    if (copy && (p.outage || p.cold || p.refusals > 0 || p.window < p.callsOut + 2 || avoided(e))) continue;
+    if (copy && (p.outage || p.cold || p.refusals > 0 || p.window < p.requestsInFlight + 2 || avoided(e)))
+      continue;
     if (!roomOpen(e) || (!joins(e) && (!pathOpen(p) || !room(p, e)))) continue;
     int enough = std::max(
         1, static_cast<int>(std::ceil(p.window / static_cast<double>(c.destination->ranking.size()))));
-    bool has = !joins(e) && e.callsOut >= enough;
-    auto place = std::tuple(avoided(e), has, has ? e.callsOut : 0);
+    bool has = !joins(e) && e.requestsInFlight >= enough;
+    auto place = std::tuple(avoided(e), has, has ? e.requestsInFlight : 0);
     if (best == nullptr || place < bestPlace) {
       best = to;
       bestPlace = place;
@@ -584,12 +597,12 @@
 Decision Rules::launch(MessageId id, Endpoint& e, bool copy) {
   Message& c = s_.messages[id];
   Path& p = *e.path;
-  Millis idle = e.usedAt >= 0 && e.callsOut == 0 ? s_.now - e.usedAt : 0;
+  Millis idle = e.usedAt >= 0 && e.requestsInFlight == 0 ? s_.now - e.usedAt : 0;
   if (joins(e)) {
     ++e.batchSize;
     if (p.outage || p.cold) p.nextPush += kFurtherWeight * coldSpacing(p);
   } else {
-    s_.openCall(e);
+    s_.openRequest(e);
     pushed(p);
     easePace(p);
     if (paced(p)) {
@@ -599,25 +612,29 @@
       p.pauseUntil = std::max(p.pauseUntil, s_.now + pause(p));
     }
   }
-  ++s_.calls[e.batchCall].open;
-  // First launches earn, copies need a whole one, repeats of what may have run draw what there is.
-  if (c.launches.empty()) {
-    s_.retryBudget = std::min<double>(terms_.slots, s_.retryBudget + kBudgetRatio);
+  ++s_.requests[e.batchRequestId].openAttempts;
+  // First attempts earn, hedges need a whole one, repeats of what may have run draw what there is.
+  if (c.attempts.empty()) {
+    s_.retryBudget = std::min<double>(terms_.maxConcurrentRequests, s_.retryBudget + kBudgetRatio);
   } else if (copy || anyMayHaveRun(c)) {
     s_.retryBudget = std::max(0.0, s_.retryBudget - 1);
   }
   Millis span = c.deadline - s_.now;
-  if (!terms_.mayWithdraw && type(c).effect != Effect::effectful) {
+  if (!terms_.mayCancel && type(c).effect != Effect::effectful) {
     span = std::min(span, std::max(type(c).promised, kStuck * usual(p, type(c)).p95));
   }
-  c.copied = c.copied || copy;
+  c.hedged = c.hedged || copy;
   bool spilled = s_.rooms.launched(s_.now, e.destination->id, e.zone);
-  c.launches.push_back(
-      {.endpoint = &e, .sent = s_.now, .idle = idle, .call = e.batchCall, .copy = copy, .spilled = spilled});
+  c.attempts.push_back({.endpoint = &e,
+                        .sentAt = s_.now,
+                        .connectionIdleTime = idle,
+                        .requestId = e.batchRequestId,
+                        .isHedge = copy,
+                        .isSpillover = spilled});
   s_.place(id, c);
   reached(s_.now + silenceOf(c, p));
   asked_.launched = s_.round;
-  return {Act::launch, id, e.id, static_cast<int>(c.launches.size()) - 1, span};
+  return {Act::launch, id, e.id, static_cast<int>(c.attempts.size()) - 1, span};
 }
 
 // Whether that time has come; if not, we want to be woken then.
@@ -630,22 +647,22 @@
   return kSilent * std::max(usual(p, type(c)).p95, kDelayLeast * type(c).promised);
 }
 
-// A hung endpoint gives no late answer to learn from: a path with nothing answered for long since a launch
+// A hung endpoint gives no late answer to learn from: a path with nothing answered for long since an attempt
 // went out is taken for out. Looked at once a round, and again after an answer.
 void Rules::noticeSilence() {
   if (quiet() || std::exchange(seen_.silence, s_.round) == s_.round) return;
-  for (MessageId id : s_.out) {
+  for (MessageId id : s_.messagesWithPendingAttempts) {
     Message& c = s_.messages.at(id);
-    for (Launch& l : c.launches) {
-      if (!l.out || c.responseStarted) continue;
+    for (Attempt& l : c.attempts) {
+      if (!l.pending || c.responseStarted) continue;
       Endpoint& e = *l.endpoint;
       Path& p = *e.path;
       Millis silence = silenceOf(c, p);
-      if (reached(l.sent + silence) && !p.outage && p.okAt <= l.sent) outageBegins(p, p.told);
+      if (reached(l.sentAt + silence) && !p.outage && p.okAt <= l.sentAt) outageBegins(p, p.told);
       // One endpoint of several hangs: by a call that nothing overtook, or by several since the last answer.
-      // Danger: with all slots out launches are called off before one is out for so long.
-      Millis since = e.unheard >= kUnheard ? std::min(e.unheardSince, l.sent) : l.sent;
-      bool hangs = e.callsOut >= (e.okAt <= since ? 1 : kFailuresToAvoid);
+      // Danger: with all concurrent requests out attempts are called off before one is out for so long.
+      Millis since = e.unheard >= kUnheard ? std::min(e.unheardSince, l.sentAt) : l.sentAt;
+      bool hangs = e.requestsInFlight >= (e.okAt <= since ? 1 : kFailuresToAvoid);
       if (e.silent || !hangs || !reached(std::max(since, e.okAt) + silence)) continue;
       e.silent = true;
       s_.failing(e, std::max(e.failures, kFailuresToAvoid));
@@ -654,7 +671,7 @@
   }
 }
 
-// The latest at which a launch of it may still be answered in time, by what its fastest path usually takes.
+// The latest at which an attempt of it may still be answered in time, by what its fastest path usually takes.
 Millis Rules::latestLaunch(const Message& c) const {
   Millis latest = c.destination->ranking.empty() ? c.deadline : -1;
   for (const Endpoint* e : c.destination->ranking)
@@ -666,8 +683,8 @@
   return {Act::shed, over(id), {}, 0, terms_.shedAdvice ? std::min(away, terms_.longestAdvice) : 0};
 }
 
-// Danger: what waits in vain and never ran passes for given up, as if it had been tried. In a large fleet
-// each dispatcher has few calls to a destination, and many wait so. It is shed, once no launch can be
+// Danger: what waits in vain and never ran passes for failed, as if it had been tried. In a large fleet
+// each dispatcher has few calls to a destination, and many wait so. It is shed, once no attempt can be
 // answered in time. Not before, though its path may be known to open too late: its client would come again
 // and push there.
 std::optional<Decision> Rules::dueAnswer() {
@@ -693,7 +710,7 @@
 // Beyond the most that may be held the front turns messages away unseen: make room by what is worth least.
 // In a line the oldest has the least left.
 std::optional<Decision> Rules::makeRoom() {
-  bool full = s_.messagesInFlight > std::max(1, static_cast<int>(terms_.heldMost * (1 - kRoomKept)));
+  bool full = s_.messagesInFlight > std::max(1, static_cast<int>(terms_.maxInFlight * (1 - kRoomKept)));
   if (!full && !s_.rooms.named()) return std::nullopt;
   std::optional<MessageId> least;
   double leastGain = 0;
@@ -724,47 +741,48 @@
 }
 
 std::optional<Decision> Rules::withdrawLoser() {
-  while (!s_.losers.empty()) {
-    auto [id, n] = s_.losers.front();
-    s_.losers.pop_front();
+  while (!s_.losingAttempts.empty()) {
+    auto [id, n] = s_.losingAttempts.front();
+    s_.losingAttempts.pop_front();
     Message* c = s_.find(id);
-    if (c == nullptr || !terms_.mayWithdraw || !c->launches[n].out) continue;
-    c->launches[n].withdrawn = true;
-    if (!c->launches[n].copy) c->launches[n].endpoint->calledOff(c->launches[n].sent);
+    if (c == nullptr || !terms_.mayCancel || !c->attempts[n].pending) continue;
+    c->attempts[n].cancelled = true;
+    if (!c->attempts[n].isHedge) c->attempts[n].endpoint->calledOff(c->attempts[n].sentAt);
     return Decision{Act::withdraw, id, {}, n, 0};
   }
   return std::nullopt;
 }
 
-// A launch that later ones have overtaken is lost: call it off while a repeat is still allowed. With all
-// slots out, so is any long overdue, even when that ends its message. The more stay unanswered the sooner,
-// for lost answers would hold all slots.
+// A attempt that later ones have overtaken is lost: call it off while a repeat is still allowed. With all
+// concurrent requests out, so is any long overdue, even when that ends its message. The more stay unanswered
+// the sooner, for lost answers would hold all concurrent requests.
 std::optional<Decision> Rules::freeStuck() {
-  if (!terms_.mayWithdraw) return std::nullopt;
-  bool wanted = s_.slotsUsed >= terms_.slots;
+  if (!terms_.mayCancel) return std::nullopt;
+  bool wanted = s_.requestsInFlight >= terms_.maxConcurrentRequests;
   if (!wanted && quiet()) return std::nullopt;
   look();
   if (wanted && !std::exchange(seen_.stuckWanted, wanted)) seen_.stuckFrom = {};
-  for (auto at = s_.out.lower_bound(seen_.stuckFrom); at != s_.out.end(); ++at) {
+  for (auto at = s_.messagesWithPendingAttempts.lower_bound(seen_.stuckFrom);
+       at != s_.messagesWithPendingAttempts.end(); ++at) {
     MessageId id = *at;
     seen_.stuckFrom = MessageId{id.value + 1};
     Message& c = s_.messages.at(id);
     if (c.finished || c.responseStarted) continue;
     bool repeat = repeatAllowed(c, nullptr);
-    for (std::size_t n = 0; n < c.launches.size(); ++n) {
-      Launch& l = c.launches[n];
-      if (!l.out || l.withdrawn) continue;
+    for (std::size_t n = 0; n < c.attempts.size(); ++n) {
+      Attempt& l = c.attempts[n];
+      if (!l.pending || l.cancelled) continue;
       const Path& p = *l.endpoint->path;
       Millis p95 = usual(p, type(c)).p95;
-      Millis stuck = l.sent + (kStuckLost + (kStuck - kStuckLost) * s_.patience) * p95;
+      Millis stuck = l.sentAt + (kStuckLost + (kStuck - kStuckLost) * s_.patience) * p95;
       reached(stuck);
-      bool overtaken = repeat && !p.outage && p.okSentAt > l.sent;
-      bool lost = repeat || s_.now - l.sent > (p.outage || l.endpoint->silent ? kStuck : 2 * kStuck) * p95;
+      bool overtaken = repeat && !p.outage && p.okSentAt > l.sentAt;
+      bool lost = repeat || s_.now - l.sentAt > (p.outage || l.endpoint->silent ? kStuck : 2 * kStuck) * p95;
       if (s_.now < stuck || !(overtaken || (wanted && lost))) continue;
-      l.withdrawn = true;
-      l.endpoint->calledOff(l.sent);
+      l.cancelled = true;
+      l.endpoint->calledOff(l.sentAt);
       s_.patience *= 1 - kPatienceCut;
-      seen_.stuckFrom = id;  // another launch of it may be stuck too
+      seen_.stuckFrom = id;  // another attempt of it may be stuck too
       return Decision{Act::withdraw, id, {}, static_cast<int>(n), 0};
     }
   }
@@ -772,18 +790,21 @@
 }
 
 std::optional<Decision> Rules::copyDue() {
-  // Copies are the first to stop: while slots are short they would take what first launches need.
-  bool may = terms_.mayCopy && s_.retryBudget >= 1 && s_.slotsUsed < terms_.slots * kCopySlots;
+  // Hedges are the first to stop: while concurrent requests are short they would take what first attempts
+  // need.
+  bool may = terms_.mayHedge && s_.retryBudget >= 1 &&
+             s_.requestsInFlight < terms_.maxConcurrentRequests * kCopySlots;
   if ((std::exchange(asked_.copies, may) && quiet()) || !may) return std::nullopt;
   look();
-  for (auto at = s_.out.lower_bound(seen_.copyFrom); at != s_.out.end(); ++at) {
+  for (auto at = s_.messagesWithPendingAttempts.lower_bound(seen_.copyFrom);
+       at != s_.messagesWithPendingAttempts.end(); ++at) {
     MessageId id = *at;
     seen_.copyFrom = MessageId{id.value + 1};
     Message& c = s_.messages.at(id);
-    if (c.finished || c.responseStarted || c.copied || type(c).effect == Effect::effectful) continue;
-    if (!c.launches.back().out || c.launches.back().withdrawn) continue;
-    const Launch& l = c.launches.back();
-    Millis due = l.sent + copyDelay(c, *l.endpoint, *l.endpoint->path, l.sent);
+    if (c.finished || c.responseStarted || c.hedged || type(c).effect == Effect::effectful) continue;
+    if (!c.attempts.back().pending || c.attempts.back().cancelled) continue;
+    const Attempt& l = c.attempts.back();
+    Millis due = l.sentAt + copyDelay(c, *l.endpoint, *l.endpoint->path, l.sentAt);
     if (!reached(due)) continue;
     if (Endpoint* to = choose(c, true)) return launch(id, *to, true);
   }
@@ -837,7 +858,7 @@
     }
   }
   if (!best) return std::nullopt;
-  if (bestTo->callsOut == 0 && bestTo->usedAt >= 0 && s_.now - bestTo->usedAt > s_.idleTrusted) {
+  if (bestTo->requestsInFlight == 0 && bestTo->usedAt >= 0 && s_.now - bestTo->usedAt > s_.idleTrusted) {
     bestTo->usedAt = -1;
     return Decision{Act::closeIdle, {}, bestTo->id, 0, 0};
   }
@@ -852,17 +873,17 @@
     Endpoint& e = *s_.released.front();
     s_.released.pop_front();
     Millis spread =
-        (s_.now - s_.began) * static_cast<double>(s_.endpoints.size()) / std::max(1, s_.callsMade);
-    if (e.callsOut > 0 || e.usedAt < 0 || (e.gap >= 0 ? e.gap : spread) <= s_.idleTrusted) continue;
+        (s_.now - s_.began) * static_cast<double>(s_.endpoints.size()) / std::max(1, s_.requestCount);
+    if (e.requestsInFlight > 0 || e.usedAt < 0 || (e.gap >= 0 ? e.gap : spread) <= s_.idleTrusted) continue;
     e.usedAt = -1;
     return Decision{Act::closeIdle, {}, e.id, 0, 0};
   }
   return std::nullopt;
 }
 
-// Whether a destination is back shows by a probe at a time, so that no message is bound to a lost launch.
+// Whether a destination is back shows by a probe at a time, so that no message is bound to a lost attempt.
 std::optional<Decision> Rules::trial() {
-  if (!terms_.mayProbe) return std::nullopt;
+  if (!terms_.mayHealthCheck) return std::nullopt;
   while (!s_.trialsDue.empty() && reached(s_.trialsDue.begin()->first)) {
     s_.trials.insert(s_.trialsDue.extract(s_.trialsDue.begin()).value().second);
   }
@@ -894,7 +915,7 @@
 }
 
 std::optional<Decision> Rules::wake() {
-  quietUntil_ = asked_.launched == s_.round ? -1 : wakeWanted_;  // a launch may show in those before it
+  quietUntil_ = asked_.launched == s_.round ? -1 : wakeWanted_;  // an attempt may show in those before it
   if (wakeWanted_ < 0 || (s_.wakeAsked > s_.now && s_.wakeAsked <= wakeWanted_)) return std::nullopt;
   s_.wakeAsked = wakeWanted_;
   return Decision{Act::wake, {}, {}, 0, wakeWanted_};
--- a/src/rules.h
+++ b/src/rules.h
@@ -21,23 +21,24 @@
   void listEnds(bool whole);
   void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
              Millis outerLimit);
-  // Of a message just taken, by an earlier process; in the order of its launches.
+  // Of a message just taken, by an earlier process; in the order of its attempts.
   void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan);
-  // Of a launch just decided, where the host knows it: how long the connection it goes out on had been idle.
+  // Of an attempt just decided, where the host knows it: how long the connection it goes out on had been
+  // idle.
   void goesOutOn(MessageId id, int launch, Millis idle) {
-    if (Message* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).idle = idle;
+    if (Message* c = s_.find(id)) c->attempts.at(static_cast<std::size_t>(launch)).connectionIdleTime = idle;
   }
   // Its bytes, kept back since it was decided, go out now.
   void goesOutNow(MessageId id, int launch) {
-    if (Message* c = s_.find(id)) c->launches.at(static_cast<std::size_t>(launch)).sent = s_.now;
+    if (Message* c = s_.find(id)) c->attempts.at(static_cast<std::size_t>(launch)).sentAt = s_.now;
   }
   void answerStarted(MessageId id, int launch) {
     Message* c = s_.find(id);
-    if (c != nullptr && launch < static_cast<int>(c->launches.size())) c->responseStarted = true;
+    if (c != nullptr && launch < static_cast<int>(c->attempts.size())) c->responseStarted = true;
   }
-  void launchEnded(MessageId id, int launch, Ending ending, Millis spent, bool over, Millis wait,
+  void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
                    Report report);
-  void probeEnded(EndpointId id, Ending ending, Report report);
+  void probeEnded(EndpointId id, AttemptOutcome ending, Report report);
   void clientGone(MessageId id) { over(id); }
   // Also when it comes a rounding early: then what is due is asked for again.
   void woken() { s_.wakeAsked = -1; }
@@ -46,7 +47,7 @@
   bool overShare(TenantId tenant) const {
     return tenant.value < s_.tenantQuotas.size() && s_.tenantQuotas[tenant.value].tokens < 1;
   }
-  // Whether a launch that was decided earlier may still be sent.
+  // Whether an attempt that was decided earlier may still be sent.
   bool mayBegin(MessageId id, int launch) const;
 
   const InstanceState& state() const { return s_; }
@@ -54,9 +55,9 @@
  private:
   const TrafficType& type(const Message& c) const { return terms_.types.at(c.type.value); }
   double gainAt(const Message& c, Millis at) const;
-  bool mayHaveRun(const Launch& l) const { return l.out || !l.neverRan; }
+  bool mayHaveRun(const Attempt& l) const { return l.pending || !l.provablyNotExecuted; }
   bool anyMayHaveRun(const Message& c) const;
-  bool repeatAllowed(const Message& c, const Endpoint* to, const Launch* self = nullptr) const;
+  bool repeatAllowed(const Message& c, const Endpoint* to, const Attempt* self = nullptr) const;
   bool shedAllowed(const Message& c) const;
   bool keyFree(MessageId id, const Message& c);
   MessageId over(MessageId id);
@@ -76,7 +77,7 @@
     return (p.limitTold > 0 || (p.limitTold < 0 && terms_.limitReported)) && shareTold(p) > 0;
   }
   Millis paceGap(const Path& p) const;
-  void noteFailure(Path& p, Endpoint& e, Millis sent, Ending ending);
+  void noteFailure(Path& p, Endpoint& e, Millis sent, AttemptOutcome ending);
   void noteRefusal(Path& p, Endpoint& e, Millis wait, Millis sent);
   double shareTold(const Path& p) const;
   double shareOfCapacity(const Path& p) const;
@@ -115,7 +116,7 @@
   std::mt19937 chance_;
   InstanceState s_;
   Millis wakeWanted_{-1};
-  // Walks over the launches that are out go once through a round, however many decisions it brings: where
+  // Walks over the attempts that are out go once through a round, however many decisions it brings: where
   // each has got to. An answer makes all that was seen void.
   struct Seen {
     int silence{-1};  // the round in which silence was looked for
@@ -127,13 +128,13 @@
   void look() {
     if (seen_.round != s_.round) seen_ = {seen_.silence, s_.round, {}, {}, false};
   }
-  // Between two inputs that tell something of a launch, a path or the list, nothing of those that are out
+  // Between two inputs that tell something of an attempt, a path or the list, nothing of those that are out
   // comes due before the time at which the last round wanted to be woken: until then none is walked.
   Millis quietUntil_{-1};
   bool quiet() { return !reached(quietUntil_); }
   struct Asked {
-    bool copies{false};  // whether copies might go out, the last time
-    int launched{-1};    // the last round with a launch
+    bool copies{false};  // whether hedges might go out, the last time
+    int launched{-1};    // the last round with an attempt
   } asked_;
 };
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -144,7 +144,7 @@
   terms.types[1].gain = 1.7;
   terms.types[1].promised = 600;
   terms.types[0].lateShare = chance() % 3 == 0 ? 0 : 0.3;
-  terms.slots = 1;
+  terms.maxConcurrentRequests = 1;
   Bed bed(terms);
   std::map<std::uint32_t, std::pair<std::uint16_t, Millis>> waits;
   for (std::uint32_t id = 1; id <= 40; ++id) {
@@ -174,8 +174,8 @@
 TEST(Passes, CostByWhatIsDueAndNotByWhatIsHeld) {
   auto spent = [](int held) {
     DeploymentTerms terms = plainTerms();
-    terms.slots = 20;
-    terms.heldMost = 100000;
+    terms.maxConcurrentRequests = 20;
+    terms.maxInFlight = 100000;
     Bed bed(terms);
     for (int n = 0; n < held; ++n) bed.take(static_cast<std::uint32_t>(n + 1));
     bed.pull(Act::launch);
@@ -191,14 +191,14 @@
   EXPECT_LT(many, 20 * few + 0.01);  // a walk costs a hundred times as much
 }
 
-// Danger: a launch that is out and passed over is copied or called off too late, or its silence never seen.
+// Danger: an attempt that is out and passed over is hedged or called off too late, or its silence never seen.
 // The same day is played beside it with an empty part of a list in each round, which has all walked anew.
 RC_GTEST_PROP(Passes, DecideTheSameWhereNothingIsWalked, (std::uint32_t seed)) {
   std::mt19937 chance(seed);
   DeploymentTerms terms = plainTerms(chance() % 2 == 0 ? Effect::pure : Effect::receipted);
-  terms.mayProbe = chance() % 3 != 0;
-  terms.kinds[0].perCall = chance() % 4 == 0 ? 4 : 1;
-  terms.slots = 4 + static_cast<int>(chance() % 12);
+  terms.mayHealthCheck = chance() % 3 != 0;
+  terms.kinds[0].maxBatchSize = chance() % 4 == 0 ? 4 : 1;
+  terms.maxConcurrentRequests = 4 + static_cast<int>(chance() % 12);
   terms.types[0].outer = 4000;
   Bed quiet(terms, 1 + seed % 3), walked(terms, 1 + seed % 3);
   auto both = [&](auto what) { what(quiet), what(walked); };
@@ -225,15 +225,15 @@
     for (auto d = next(quiet); d; d = next(quiet)) {
       auto other = next(walked);
       RC_ASSERT(other &&
-                std::tie(d->act, d->message, d->endpoint, d->launch, d->span) ==
-                    std::tie(other->act, other->message, other->endpoint, other->launch, other->span));
-      if (d->act == Act::withdraw) both([&](Bed& bed) { bed.end(*d, Ending::withdrawn); });
+                std::tie(d->act, d->message, d->endpoint, d->attempt, d->span) ==
+                    std::tie(other->act, other->message, other->endpoint, other->attempt, other->span));
+      if (d->act == Act::withdraw) both([&](Bed& bed) { bed.end(*d, AttemptOutcome::cancelled); });
       if (d->act == Act::probe)
         due.emplace(now + 30, [e = d->endpoint, ill](Bed& bed) {
-          bed.rules.probeEnded(e, ill ? Ending::timeout : Ending::completed, {});
+          bed.rules.probeEnded(e, ill ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         });
       if (d->act != Act::launch || (ill && chance() % 8 != 0)) continue;
-      Ending ending = chance() % 10 == 0 ? Ending::error : Ending::completed;
+      AttemptOutcome ending = chance() % 10 == 0 ? AttemptOutcome::error : AttemptOutcome::completed;
       due.emplace(now + 20 + chance() % 200, [l = *d, ending](Bed& bed) { bed.end(l, ending); });
     }
     RC_ASSERT(!next(walked).has_value());
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -36,11 +36,11 @@
   DeploymentTerms t;
   t.types = {trafficType(effect)};
   t.kinds = {{false, 1}};
-  t.slots = 8;
-  t.heldMost = 100;
-  t.launchesMost = 6;
+  t.maxConcurrentRequests = 8;
+  t.maxInFlight = 100;
+  t.maxAttempts = 6;
   t.instances = 2;
-  t.mayCopy = t.mayProbe = t.mayWithdraw = t.shedAdvice = true;
+  t.mayHedge = t.mayHealthCheck = t.mayCancel = t.shedAdvice = true;
   t.longestAdvice = 2000;
   t.connectionIdle = 10000;
   t.coldFrom = 0.2;
@@ -70,8 +70,9 @@
     rules.taken(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
                 now + 10000);
   }
-  void end(const Decision& launch, Ending ending, Millis spent = 100, Millis wait = 0) {
-    rules.launchEnded(launch.message, launch.launch, ending, spent, ending == Ending::completed, wait, {});
+  void end(const Decision& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
+    rules.launchEnded(launch.message, launch.attempt, ending, spent, ending == AttemptOutcome::completed,
+                      wait, {});
   }
   std::vector<Decision> pull(Act act) {
     std::vector<Decision> found;
@@ -86,13 +87,13 @@
       take(from + static_cast<std::uint32_t>(n));
       auto launches = pull(Act::launch);
       to(now + 100);
-      for (const Decision& d : launches) end(d, Ending::completed);
+      for (const Decision& d : launches) end(d, AttemptOutcome::completed);
     }
   }
   void breakDown() {
     take(1);
     while (!rules.state().paths.begin()->second.outage) {
-      for (const Decision& d : pull(Act::launch)) end(d, Ending::connectFailed);
+      for (const Decision& d : pull(Act::launch)) end(d, AttemptOutcome::connectFailed);
       to(now + 50);
     }
   }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -27,7 +27,7 @@
 
 DeploymentTerms withCopies(bool may) {
   DeploymentTerms terms = readFacts(kSettings);
-  terms.mayCopy = may;
+  terms.mayHedge = may;
   return terms;
 }
 
@@ -72,7 +72,7 @@
     loop.wait(loop.now() + most);
     rules.roundBegins(loop.now());
   }
-  // One whose window of a second has just begun, with a launch that may have run.
+  // One whose window of a second has just begun, with an attempt that may have run.
   void takeRepeat(const std::string& ref, const std::string& body = "x") {
     take(ref, "repeat", 9000, body);
     rules.launchedBefore(ids[ref], catalog.idOf("s-1"), loop.now(), false);
@@ -124,7 +124,7 @@
   bool out(const std::string& ref) const {
     const auto& held = rules.state().messages;
     auto at = held.find(ids.at(ref));
-    return at != held.end() && at->second.launches.at(0).out;
+    return at != held.end() && at->second.attempts.at(0).pending;
   }
   // Whether the endpoint sees the end of the connection.
   bool closed() const {
@@ -145,16 +145,16 @@
   EXPECT_EQ(desk.got.substr(body), "last - 1\r\nx\r\nthen - 1\r\nx\r\nsoon - 1\r\nx\r\n");
 }
 
-// Seen on roll+brink+mass of a deployment that allows no second copy: "launch.ended launch=1
-// ending=withdrawn" out of a call of six, "launch.sent launch=2" 345 ms later, the other five answered on the
-// first call after that.
+// Seen on roll+brink+mass of a deployment that allows no second hedge: "attempt.ended attempt=1
+// ending=cancelled" out of a call of six, "attempt.sent attempt=2" 345 ms later, the other five answered on
+// the first call after that.
 TEST(CallsOfSeveral, AreCalledOffAsAWholeOrNotAtAll) {
   for (bool mayCopy : {false, true}) {
     Desk desk(mayCopy);
     for (const char* ref : {"one", "two", "three"}) desk.take(ref, "status", 9000);
     ASSERT_TRUE(desk.sent("three - 1\r\nx\r\n"));
     desk.callOff("two");
-    EXPECT_EQ(desk.out("two"), !mayCopy);  // beside its call another launch of it would be a copy
+    EXPECT_EQ(desk.out("two"), !mayCopy);  // beside its call another attempt of it would be a hedge
     desk.callOff("one");
     EXPECT_TRUE(desk.out("one"));  // the first
     desk.turn();
@@ -193,7 +193,7 @@
   EXPECT_FALSE(desk.closed());
 }
 
-// The first one may end by another launch. The rest cannot be delivered by this call any more.
+// The first one may end by another attempt. The rest cannot be delivered by this call any more.
 TEST(CallsOfSeveral, EndWithTheirFirst) {
   Desk desk;
   desk.take("first", "status", 9000);
@@ -205,7 +205,7 @@
   EXPECT_TRUE(within(1000, [&] { return desk.closed(); }));
 }
 
-// Seen on roll+brink+mass, 300 dispatchers, seed 54: "launch.sent time_out_ms=11999.0", "launch.ended
+// Seen on roll+brink+mass, 300 dispatchers, seed 54: "attempt.sent time_out_ms=11999.0", "attempt.ended
 // ending=completed spent_ms=11999.42", and a message that had never ended.
 TEST(Calls, AnsweredAtTheEndOfTheirTimeAreToldToThePlatformToo) {
   for (Millis left : {9000.0, 400.0}) {
@@ -223,7 +223,7 @@
   }
 }
 
-// Danger: clients hold all descriptors. A launch that could not have one passed for a failed connection, and
+// Danger: clients hold all descriptors. A attempt that could not have one passed for a failed connection, and
 // its destination for out.
 TEST(Calls, ThatLackADescriptorTellNothingOfTheEndpointAndGoOutLater) {
   Desk desk;
@@ -238,13 +238,13 @@
   for (int n = 0; n < 5; ++n) desk.turn();
   ::setrlimit(RLIMIT_NOFILE, &usual);
   EXPECT_FALSE(desk.out("one"));
-  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).attempts.at(0).provablyNotExecuted);
   EXPECT_EQ(desk.rules.state().endpoints.begin()->second.failures, 0);
   EXPECT_FALSE(desk.rules.state().paths.begin()->second.outage);
   EXPECT_TRUE(within(1000, [&] {
     desk.turn();
     desk.decide();
-    return desk.rules.state().messages.at(desk.ids["one"]).launches.size() == 2;
+    return desk.rules.state().messages.at(desk.ids["one"]).attempts.size() == 2;
   }));
 }
 
@@ -260,7 +260,7 @@
   EXPECT_EQ(desk.rules.state().endpoints.at(id).failures, 0);
 }
 
-// A connection is made free where one can be, and the launch goes out at once.
+// A connection is made free where one can be, and the attempt goes out at once.
 TEST(Calls, HaveRoomMadeForThem) {
   Desk desk;
   desk.take("one", "order", 9000);
@@ -287,8 +287,8 @@
     if (late) std::this_thread::sleep_for(std::chrono::milliseconds(1000));
     desk.round(0);
     EXPECT_EQ(desk.read("xxxx\n\n", 8'000'000), !late);
-    const Launch& launch = desk.rules.state().messages.at(desk.ids["one"]).launches.at(1);
-    EXPECT_EQ(launch.neverRan, late);
+    const Attempt& launch = desk.rules.state().messages.at(desk.ids["one"]).attempts.at(1);
+    EXPECT_EQ(launch.provablyNotExecuted, late);
   }
 }
 
@@ -316,8 +316,8 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   });
   for (int n = 0; n < 5; ++n) desk.turn();
-  const auto& launches = desk.rules.state().messages.at(desk.ids["two"]).launches;
-  EXPECT_TRUE(launches.at(0).neverRan);  // an effectful one, and it may go again
+  const auto& launches = desk.rules.state().messages.at(desk.ids["two"]).attempts;
+  EXPECT_TRUE(launches.at(0).provablyNotExecuted);  // an effectful one, and it may go again
 }
 
 // A connection that rests, and bytes of its endpoint on it that nobody asked for: half a line, or an answer
@@ -342,9 +342,9 @@
       char byte;
       EXPECT_LE(::recv(old, &byte, 1, MSG_DONTWAIT), 0) << "two went to it";
       ASSERT_TRUE(desk.book.holds("two")) << when << stray;  // and nothing has answered it
-      const Launch& launch = desk.rules.state().messages.at(desk.ids["two"]).launches.at(0);
-      EXPECT_EQ(launch.out, when < 2);
-      EXPECT_EQ(launch.neverRan, when == 2);
+      const Attempt& launch = desk.rules.state().messages.at(desk.ids["two"]).attempts.at(0);
+      EXPECT_EQ(launch.pending, when < 2);
+      EXPECT_EQ(launch.provablyNotExecuted, when == 2);
       ::close(old);
     }
   }
@@ -398,7 +398,7 @@
   static void answer(End& end) {
     put(std::exchange(end.asked, -1), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   }
-  std::size_t launches(const std::string& ref) { return rules.state().messages.at(ids[ref]).launches.size(); }
+  std::size_t launches(const std::string& ref) { return rules.state().messages.at(ids[ref]).attempts.size(); }
 };
 
 // A hedge is out, and both attempts are answered before the loop turns again; or the first is while the hedge
@@ -446,13 +446,13 @@
       pair.decide();
     }
     EXPECT_TRUE(pair.book.owed().empty());
-    EXPECT_EQ(pair.rules.state().slotsUsed, 0) << static_cast<int>(order);
+    EXPECT_EQ(pair.rules.state().requestsInFlight, 0) << static_cast<int>(order);
     // What comes next waits for an answer of its own, whichever connection it takes.
     pair.take("two", "status", 9000);
     pair.decide();
     for (int n = 0; n < 5; ++n) pair.turn();
     EXPECT_TRUE(pair.book.holds("two"));
-    EXPECT_EQ(pair.rules.state().slotsUsed, 1) << static_cast<int>(order);
+    EXPECT_EQ(pair.rules.state().requestsInFlight, 1) << static_cast<int>(order);
   }
 }
 
@@ -485,7 +485,7 @@
   desk.decide();
   desk.list("terminating");
   EXPECT_FALSE(desk.read("x"));
-  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).attempts.at(0).provablyNotExecuted);
   // Decided and not noted yet: it has gone altogether.
   Desk other;
   other.take("one", "order", 9000);
@@ -494,7 +494,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   });
   EXPECT_FALSE(other.read("x"));
-  EXPECT_TRUE(other.rules.state().messages.at(other.ids["one"]).launches.at(0).neverRan);
+  EXPECT_TRUE(other.rules.state().messages.at(other.ids["one"]).attempts.at(0).provablyNotExecuted);
   // Back under its name with another address: the kept connection leads to where it was.
   Desk moved;
   moved.take("one", "order", 9000);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -37,12 +37,12 @@
 Push worst(const World& w, std::uint32_t seed) {
   DeploymentTerms terms = plainTerms();
   terms.types[0].outer = 6000;
-  terms.slots = 20;
-  terms.heldMost = 2000;
+  terms.maxConcurrentRequests = 20;
+  terms.maxInFlight = 2000;
   terms.instances = w.dispatchers;
-  terms.mayProbe = w.probes;
-  terms.mayCopy = true;
-  terms.launchesMost = 12;
+  terms.mayHealthCheck = w.probes;
+  terms.mayHedge = true;
+  terms.maxAttempts = 12;
   terms.limitReported = w.reports;
   struct End {
     Millis at;
@@ -91,12 +91,12 @@
       auto n = static_cast<std::size_t>(e.who);
       if (e.d.span != born[n]) continue;  // of a process that is no more
       if (!e.good) told[n] = true;
-      Ending ending = e.good ? Ending::completed : Ending::connectFailed;
+      AttemptOutcome ending = e.good ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
       Report report = e.good && w.reports ? Report{w.capacity, 0.6} : Report{};
       if (e.d.act == Act::probe)
         all[n]->probeEnded(e.d.endpoint, ending, report);
       else
-        all[n]->launchEnded(e.d.message, e.d.launch, ending, now - e.sent, e.good, 0, report);
+        all[n]->launchEnded(e.d.message, e.d.attempt, ending, now - e.sent, e.good, 0, report);
     }
     for (std::size_t n = 0; n < all.size(); ++n) {
       double rate = w.capacity * w.load * shares[n] / sum * kStep / 1000;
@@ -107,11 +107,11 @@
       int lastCall = -1;
       while (auto d = all[n]->next()) {
         if (d->act == Act::withdraw)
-          all[n]->launchEnded(d->message, d->launch, Ending::withdrawn, 100, false, 0, {});
+          all[n]->launchEnded(d->message, d->attempt, AttemptOutcome::cancelled, 100, false, 0, {});
         if (d->act != Act::launch && d->act != Act::probe) continue;
         if (d->act == Act::launch) {
-          const auto& launches = all[n]->state().messages.at(d->message).launches;
-          int call = launches.at(static_cast<std::size_t>(d->launch)).call;
+          const auto& launches = all[n]->state().messages.at(d->message).attempts;
+          int call = launches.at(static_cast<std::size_t>(d->attempt)).requestId;
           if (std::exchange(lastCall, call) == call) continue;
         }
         Millis arrives = now + 40 + (w.late && draw() < 0.3 ? 1000 * draw() : 0);
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -77,7 +77,7 @@
 }
 
 TEST(Facts, SkipUnknownKeysAndNameAMissingOne) {
-  EXPECT_EQ(readFacts(kFacts).slots, 4);
+  EXPECT_EQ(readFacts(kFacts).maxConcurrentRequests, 4);
   std::string text = kFacts;
   text.replace(text.find("open-cap"), 8, "xxxx-xxx");
   try {
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -76,7 +76,7 @@
     RC_ASSERT(now >= waitUntil[path(d.endpoint)]);
     RC_ASSERT(repeatHarmless(c, &d.endpoint, now));
     RC_ASSERT(keyFree(d.message.value, now));
-    RC_ASSERT(static_cast<int>(c.sent.size()) < terms.launchesMost);
+    RC_ASSERT(static_cast<int>(c.sent.size()) < terms.maxAttempts);
     int out = 0;
     for (const Sent& s : c.sent) {
       out += s.out;
@@ -88,7 +88,7 @@
     for (const auto& [id, t] : all) {
       for (const Sent& s : t.sent) calls += s.out;
     }
-    RC_ASSERT(calls <= std::max(1, terms.slots * 3 / 4));
+    RC_ASSERT(calls <= std::max(1, terms.maxConcurrentRequests * 3 / 4));
   }
 };
 
@@ -104,11 +104,11 @@
     terms.kinds[0].routesApart = *rc::gen::arbitrary<bool>();
     if (*rc::gen::arbitrary<bool>()) terms.rooms.tiers = {{ZoneId{0}}, {ZoneId{1}}};
     terms.rooms.spillSlots = 0.5;
-    terms.slots = *rc::gen::inRange(1, 12);
-    terms.heldMost = *rc::gen::inRange(2, 30);
-    terms.mayCopy = *rc::gen::arbitrary<bool>();
-    terms.mayWithdraw = *rc::gen::arbitrary<bool>();
-    terms.mayProbe = *rc::gen::arbitrary<bool>();
+    terms.maxConcurrentRequests = *rc::gen::inRange(1, 12);
+    terms.maxInFlight = *rc::gen::inRange(2, 30);
+    terms.mayHedge = *rc::gen::arbitrary<bool>();
+    terms.mayCancel = *rc::gen::arbitrary<bool>();
+    terms.mayHealthCheck = *rc::gen::arbitrary<bool>();
     Bed bed(terms, 0);
     auto relist = [&](bool whole) {
       bed.rules.listBegins();
@@ -139,7 +139,7 @@
         auto key = static_cast<std::uint64_t>(*rc::gen::inRange(0, 3));
         model.all[nextId] = {terms.types[type], key, bed.now + 10000, 0, {}};
         bed.take(nextId, type, key);
-        // Some were accepted by an earlier process, and launched.
+        // Some were accepted by an earlier process, and attempted.
         if (*rc::gen::inRange(0, 4) == 0 && !model.list.empty()) {
           EndpointId to = model.list.rbegin()->first;
           Millis sent = bed.now - *rc::gen::element(20.0, 2500.0, 6000.0);
@@ -151,26 +151,28 @@
         ++nextId;
       }
       if (what == 10 && !probes.empty()) {
-        bed.rules.probeEnded(probes.back().endpoint, *rc::gen::element(Ending::completed, Ending::timeout),
-                             {});
+        bed.rules.probeEnded(probes.back().endpoint,
+                             *rc::gen::element(AttemptOutcome::completed, AttemptOutcome::timeout), {});
         probes.pop_back();
       }
       for (auto& [id, c] : model.all) {
         for (Sent& s : c.sent) {
           if (!s.out || (bed.now < c.outerLimit && *rc::gen::inRange(0, 3) != 0)) continue;
-          Ending ending =
+          AttemptOutcome ending =
               bed.now >= c.outerLimit
-                  ? Ending::timeout
-                  : *rc::gen::element(Ending::completed, Ending::completed, Ending::full, Ending::error,
-                                      Ending::connectFailed, Ending::reset, Ending::timeout);
-          Millis wait = ending == Ending::full ? *rc::gen::element(0.0, 700.0, 4000.0) : 0.0;
+                  ? AttemptOutcome::timeout
+                  : *rc::gen::element(AttemptOutcome::completed, AttemptOutcome::completed,
+                                      AttemptOutcome::rejected, AttemptOutcome::error,
+                                      AttemptOutcome::connectFailed, AttemptOutcome::reset,
+                                      AttemptOutcome::timeout);
+          Millis wait = ending == AttemptOutcome::rejected ? *rc::gen::element(0.0, 700.0, 4000.0) : 0.0;
           s.out = false;
           s.endedAt = bed.now;
-          s.proven = ending == Ending::full || ending == Ending::connectFailed;
-          s.mayRunOn = ending == Ending::timeout || ending == Ending::reset;
+          s.proven = ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed;
+          s.mayRunOn = ending == AttemptOutcome::timeout || ending == AttemptOutcome::reset;
           Millis& until = model.waitUntil[model.path(s.what.endpoint)];
           until = std::max(until, wait > 0 ? bed.now + wait : 0);
-          if (ending == Ending::completed) c.finals = std::max(c.finals, 1);
+          if (ending == AttemptOutcome::completed) c.finals = std::max(c.finals, 1);
           bed.end(s.what, ending, bed.now - s.at, wait);
         }
       }
@@ -180,9 +182,9 @@
           RC_ASSERT(!rooms.lost(ZoneId{model.list.at(d->endpoint).second}));
           int strangers = 0;
           for (const auto& [id, c] : bed.rules.state().messages) {
-            for (const Launch& l : c.launches) strangers += l.out && l.spilled;
+            for (const Attempt& l : c.attempts) strangers += l.pending && l.isSpillover;
           }
-          RC_ASSERT(strangers <= std::max(1, terms.slots / 2));
+          RC_ASSERT(strangers <= std::max(1, terms.maxConcurrentRequests / 2));
         }
         model.judge(*d, bed.now);
         if (d->act == Act::probe) probes.push_back(*d);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -279,11 +279,11 @@
   EXPECT_EQ(h.receipt, "5c");
   EXPECT_EQ(h.outerWall, 1500);
   EXPECT_EQ(h.body->size(), 100u);
-  ASSERT_EQ(h.launches.size(), 2u);
-  EXPECT_TRUE(h.launches[0].neverRan);
-  EXPECT_FALSE(h.launches[1].neverRan);
-  EXPECT_EQ(h.launches[1].sentWall, 1300);
-  EXPECT_EQ(h.launches[1].endpoint.kind, KindId{1});
+  ASSERT_EQ(h.attempts.size(), 2u);
+  EXPECT_TRUE(h.attempts[0].provablyNotExecuted);
+  EXPECT_FALSE(h.attempts[1].provablyNotExecuted);
+  EXPECT_EQ(h.attempts[1].sentWall, 1300);
+  EXPECT_EQ(h.attempts[1].endpoint.kind, KindId{1});
   ASSERT_EQ(again.owed().size(), 1u);
   EXPECT_EQ(again.owed().at(*dead).wait, 250);
   EXPECT_GT(again.take(again.decode("0", "new", "c=status,d=1,dest=1", "", 0))->value, told->value);
@@ -323,7 +323,7 @@
   std::ostringstream told;
   for (const auto& [id, held] : book.held()) {
     told << id.value << held.ref << *held.body;
-    for (const net::LaunchNote& l : held.launches) told << " at " << l.sentWall << l.neverRan;
+    for (const net::AttemptRecord& l : held.attempts) told << " at " << l.sentWall << l.provablyNotExecuted;
   }
   for (const auto& [id, notice] : book.owed()) told << id.value << notice.ref << notice.wait;
   return told.str();
@@ -387,8 +387,8 @@
   ::setrlimit(RLIMIT_FSIZE, &limit);
 }
 
-// Danger: of what a turn wrote together only a part fits. A launch that was not kept must not be sent, nor
-// may its number let another launch, which may have run, pass for one that never did.
+// Danger: of what a turn wrote together only a part fits. A attempt that was not kept must not be sent, nor
+// may its number let another attempt, which may have run, pass for one that never did.
 TEST(Book, OfATurnThatDoesNotFitItKeepsWhatDoesAndCountsLaunchesByThat) {
   BookBed bed;
   bed.book.restore();
@@ -412,11 +412,11 @@
   net::Book again(bed.facts, bed.folder.path.string(), 60000);
   again.restore();
   EXPECT_EQ(again.held().size(), 2u);
-  const auto& launches = again.find(*first)->launches;
+  const auto& launches = again.find(*first)->attempts;
   ASSERT_EQ(launches.size(), 2u);
   EXPECT_EQ(launches[0].sentWall, 2);
-  EXPECT_FALSE(launches[0].neverRan);
-  EXPECT_TRUE(launches[1].neverRan);
+  EXPECT_FALSE(launches[0].provablyNotExecuted);
+  EXPECT_TRUE(launches[1].provablyNotExecuted);
 }
 
 TEST(Book, NamesWhatIsWrongWithASubmit) {
@@ -458,7 +458,7 @@
   EXPECT_EQ(world.count("POST /reports"), 0u);
 }
 
-// Danger: an effect twice, or a message lost, by a wrong reading of how its launch ended.
+// Danger: an effect twice, or a message lost, by a wrong reading of how its attempt ended.
 TEST(Node, ReadsEachEndAsTheProtocolSays) {
   struct Case {
     std::string answer;
@@ -567,7 +567,7 @@
   EXPECT_EQ(reports, told);
 }
 
-// Danger: one call of several, some refused and with a wait: each has its own end, and the wait binds.
+// Danger: one batch, some refused and with a wait: each has its own end, and the wait binds.
 TEST(Node, ReadsTheEndOfEachInACallOfSeveral) {
   std::atomic<int> calls{0};
   StandIn endpoint([&](auto&, auto&) -> std::string {
@@ -875,7 +875,7 @@
 }
 
 // Danger: held up, a dispatcher has more answers to read than one look at the kernel brings. What is decided
-// on half of them launches messages again that were delivered. Whether they were in time it cannot know:
+// on half of them attempts messages again that were delivered. Whether they were in time it cannot know:
 // each end is told once to the platform too, which does no harm.
 TEST(Node, HeldUpItReadsAllAnswersBeforeItGivesAnyUp) {
   constexpr int kMany = 600;
@@ -1089,7 +1089,7 @@
 }
 
 // What a restart costs: ready is to be ready soon where hundreds come back together on few cores. Each held
-// message was launched at an endpoint that no list names any more, the dearest case.
+// message was attempted at an endpoint that no list names any more, the dearest case.
 TEST(Node, IsReadySoonWithAFullJournal) {
   StandIn world(platform);  // discovery is silent
   for (std::uint32_t many : {1000u, 10000u}) {
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -17,7 +17,7 @@
   DeploymentTerms t = plainTerms();
   t.types = {trafficType(Effect::pure), trafficType(Effect::receipted), trafficType(Effect::effectful)};
   t.types[1].zoneGroup = true;
-  t.slots = 20;
+  t.maxConcurrentRequests = 20;
   t.rooms.tiers = {{kOwn}, {kNear}, {kFar}};
   return t;
 }
@@ -72,7 +72,7 @@
   EXPECT_LT(bed.rooms.launchFrom(DestinationId{1}, kNear), 6000);
 }
 
-// Danger: a dispatcher that is cut off itself takes every room for lost, and launches nothing any more.
+// Danger: a dispatcher that is cut off itself takes every room for lost, and attempts nothing any more.
 TEST(Rooms, WithEveryRoomLostNoneIs) {
   RoomBed bed;
   for (ZoneId z : {kOwn, kNear, kFar}) bed.lose(1000, z);
@@ -94,7 +94,7 @@
   EXPECT_FALSE(bed.rooms.stranger(DestinationId{1}, kNear));
 }
 
-// Launches that go out as fast as they may, for so long.
+// Attempts that go out as fast as they may, for so long.
 int fed(RoomBed& bed, Millis from, Millis span) {
   int sent = 0;
   for (Millis t = from; t < from + span; t += 1) {
@@ -152,11 +152,11 @@
   EXPECT_TRUE(bed.rooms.climbing(40000, kOwn));
 }
 
-// The plain model goes through all launches from the start for each one.
+// The plain model goes through all attempts from the start for each one.
 TEST(Rooms, StrangersKeepToTheirPartWhateverComes) {
   EXPECT_TRUE(rc::check([] {
     DeploymentTerms terms = roomTerms();
-    terms.slots = *rc::gen::inRange(1, 30);
+    terms.maxConcurrentRequests = *rc::gen::inRange(1, 30);
     terms.rooms.spillSlots = *rc::gen::element(0.0, 0.3, 1.0);
     terms.rooms.spillPerSecond = *rc::gen::element(3.0, 20.0);
     RoomBed bed(terms);
@@ -194,7 +194,7 @@
         out += s.stranger && s.out;
         lately += s.stranger && s.room == room && s.at > now - 1000;
       }
-      RC_ASSERT(out <= std::max(1, static_cast<int>(terms.rooms.spillSlots * terms.slots)));
+      RC_ASSERT(out <= std::max(1, static_cast<int>(terms.rooms.spillSlots * terms.maxConcurrentRequests)));
       RC_ASSERT(lately <= 2 * terms.rooms.spillPerSecond + 1);
     }
   }));
@@ -233,10 +233,11 @@
       for (const Decision& d : pull()) {
         all.push_back(d);
         if (d.act == Act::probe)
-          rules.probeEnded(d.endpoint, own(d.endpoint) ? Ending::timeout : Ending::completed, {});
+          rules.probeEnded(d.endpoint, own(d.endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed,
+                           {});
         if (d.act != Act::launch || silent.contains(d.message.value)) continue;
-        Ending ending = own(d.endpoint) ? Ending::connectFailed : Ending::completed;
-        rules.launchEnded(d.message, d.launch, ending, 10, ending == Ending::completed, 0, {});
+        AttemptOutcome ending = own(d.endpoint) ? AttemptOutcome::connectFailed : AttemptOutcome::completed;
+        rules.launchEnded(d.message, d.attempt, ending, 10, ending == AttemptOutcome::completed, 0, {});
       }
       to(now + 20);
     }
@@ -252,7 +253,7 @@
   ASSERT_EQ(first.front().act, Act::launch);
   ASSERT_TRUE(RulesBed::own(first.front().endpoint));
   bed.to(1500);
-  bed.rules.launchEnded(MessageId{1}, 0, Ending::timeout, 500, false, 0, {});  // it may have run
+  bed.rules.launchEnded(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0, {});  // it may have run
   for (std::uint32_t n = 2; n < 20; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(6000);
   ASSERT_TRUE(bed.rules.state().rooms.lost(kOwn));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -18,7 +18,8 @@
 }
 
 TEST(Answers, AnEffectfulCallbackThatMayHaveRunIsGivenUpAtOnce) {
-  for (Ending ending : {Ending::error, Ending::timeout, Ending::reset, Ending::withdrawn}) {
+  for (AttemptOutcome ending :
+       {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
     Bed bed(plainTerms(Effect::effectful));
     bed.take(1);
     bed.end(bed.pull(Act::launch).at(0), ending);
@@ -27,7 +28,8 @@
 }
 
 TEST(Effects, AnEffectfulCallbackIsLaunchedAgainAfterProofThatItNeverRan) {
-  for (Ending ending : {Ending::full, Ending::connectFailed, Ending::notSent}) {
+  for (AttemptOutcome ending :
+       {AttemptOutcome::rejected, AttemptOutcome::connectFailed, AttemptOutcome::notSent}) {
     Bed bed(plainTerms(Effect::effectful));
     bed.take(1);
     bed.end(bed.pull(Act::launch).at(0), ending);
@@ -64,13 +66,13 @@
   EXPECT_EQ(ordered.pull(Act::launch).size(), 1u);
 }
 
-// Danger: what waits in vain passes for given up, as if it had been tried.
+// Danger: what waits in vain passes for failed, as if it had been tried.
 TEST(Answers, WhatCannotBeAnsweredInTimeAnyMoreAndNeverRanIsShed) {
   Bed bed;
   bed.take(1);
-  for (const Decision& d : bed.pull(Act::launch)) bed.end(d, Ending::full, 100, 9800);
+  for (const Decision& d : bed.pull(Act::launch)) bed.end(d, AttemptOutcome::rejected, 100, 9800);
   bed.take(2);
-  bed.to(bed.now + 9700);  // it might still be answered, were it launched now
+  bed.to(bed.now + 9700);  // it might still be answered, were it attempted now
   EXPECT_TRUE(bed.pull(Act::shed).empty());
   bed.to(bed.now + 200);
   EXPECT_EQ(bed.pull(Act::shed).size(), 2u);
@@ -97,14 +99,14 @@
 // Danger: a connection that comes up late; the endpoint sees the call when its bytes come.
 TEST(Effects, ALaunchDecidedEarlierBeginsOnlyIfItWouldBeAllowedNow) {
   DeploymentTerms terms = plainTerms(Effect::receipted);
-  terms.launchesMost = 2;
+  terms.maxAttempts = 2;
   Bed bed(terms);
   bed.take(1);
   auto may = [&](int launch) { return bed.rules.mayBegin(MessageId{1}, launch); };
   Decision first = bed.pull(Act::launch).at(0);
   bed.to(bed.now + 3000);
   EXPECT_TRUE(may(0));
-  bed.end(first, Ending::error);
+  bed.end(first, AttemptOutcome::error);
   bed.to(bed.now + 500);
   ASSERT_EQ(bed.pull(Act::launch).size(), 1u);
   bed.to(4599);
@@ -120,11 +122,11 @@
   EXPECT_FALSE(may(1));
 }
 
-// Danger: a call of several that ends well for some may tell a wait all the same.
+// Danger: a batch that ends well for some may tell a wait all the same.
 TEST(Waits, BindWhateverEndingTheyCameWith) {
   Bed bed;
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), Ending::completed, 100, 700);
+  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::completed, 100, 700);
   bed.take(2);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
   bed.to(bed.now + 700);
@@ -134,29 +136,29 @@
 TEST(Effects, AReceiptedRepeatStaysInItsWindow) {
   Bed bed(plainTerms(Effect::receipted));
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), Ending::error);
+  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::error);
   bed.to(2000);
   auto again = bed.pull(Act::launch);
   ASSERT_EQ(again.size(), 1u);
-  bed.end(again[0], Ending::error);
-  bed.to(4950);  // 3,950 ms after the first launch that may have run, of 4,000
+  bed.end(again[0], AttemptOutcome::error);
+  bed.to(4950);  // 3,950 ms after the first attempt that may have run, of 4,000
   EXPECT_TRUE(bed.pull(Act::launch).empty());
 }
 
 TEST(Effects, ACallbackThatMayHaveRunInAZoneGroupIsNotShed) {
   DeploymentTerms terms = plainTerms(Effect::receipted);
   terms.types[0].zoneGroup = true;
-  terms.heldMost = 2;
+  terms.maxInFlight = 2;
   Bed bed(terms);
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), Ending::error);
+  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::error);
   for (std::uint32_t id = 2; id <= 4; ++id) bed.take(id);
   for (const Decision& d : bed.pull(Act::shed)) EXPECT_NE(d.message, MessageId{1});
 }
 
 TEST(Holding, ShedsBeforeTheFrontTurnsCallbacksAway) {
   DeploymentTerms terms = plainTerms();
-  terms.heldMost = 10;
+  terms.maxInFlight = 10;
   Bed bed(terms, 0);
   for (std::uint32_t id = 1; id <= 10; ++id) bed.take(id);
   EXPECT_FALSE(bed.pull(Act::shed).empty());
@@ -171,14 +173,14 @@
   bed.to(bed.now + 4000);
   auto probes = bed.pull(Act::probe);
   ASSERT_EQ(probes.size(), 1u);
-  bed.rules.probeEnded(probes[0].endpoint, Ending::completed, {});
+  bed.rules.probeEnded(probes[0].endpoint, AttemptOutcome::completed, {});
   EXPECT_TRUE(bed.pull(Act::probe).empty());  // of the other endpoint: probes push too
   int sent = 0;
   Millis until = bed.now + 1500;
   while (bed.now < until) {
     for (const Decision& d : bed.pull(Act::launch)) {
       ++sent;
-      bed.end(d, Ending::completed);
+      bed.end(d, AttemptOutcome::completed);
     }
     bed.to(bed.now + 50);
   }
@@ -194,12 +196,12 @@
     bed.take(id);
     bed.to(bed.now + 100);
   }
-  bed.rules.probeEnded(endpoint(1), Ending::completed, {});
+  bed.rules.probeEnded(endpoint(1), AttemptOutcome::completed, {});
   int sent = 0;
   for (int n = 0; n < 40; ++n) {
     for (const Decision& d : bed.pull(Act::launch)) {
       ++sent;
-      bed.end(d, Ending::completed);
+      bed.end(d, AttemptOutcome::completed);
     }
     bed.to(bed.now + 100);
   }
@@ -209,12 +211,12 @@
 
 TEST(Returns, AColdDestinationGetsNoFullBatch) {
   DeploymentTerms terms = plainTerms();
-  terms.kinds[0].perCall = 20;
+  terms.kinds[0].maxBatchSize = 20;
   Bed bed(terms);
   bed.breakDown();
   for (std::uint32_t id = 10; id < 40; ++id) bed.take(id);
   bed.to(bed.now + 4000);
-  bed.rules.probeEnded(bed.pull(Act::probe).at(0).endpoint, Ending::completed, {});
+  bed.rules.probeEnded(bed.pull(Act::probe).at(0).endpoint, AttemptOutcome::completed, {});
   bed.to(bed.now + 1500);
   EXPECT_LE(bed.pull(Act::launch).size(), 5u);  // of 20
 }
@@ -224,7 +226,7 @@
   bed.warm(20);
   for (std::uint32_t id = 1; id <= 3; ++id) {
     bed.take(id);
-    bed.end(bed.pull(Act::launch).at(0), Ending::reset);
+    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::reset);
     bed.warm(2, 5000 + 10 * id);
   }
   EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
@@ -240,11 +242,11 @@
     while (auto next = bed.rules.next()) {
       const Decision& d = *next;
       if (d.act == Act::probe) {
-        bed.rules.probeEnded(d.endpoint, id < 30 ? Ending::timeout : Ending::completed, {});
+        bed.rules.probeEnded(d.endpoint, id < 30 ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         probed.insert(d.endpoint);
       }
       if (d.act != Act::launch) continue;
-      bed.end(d, d.endpoint == bad && id < 10 ? Ending::error : Ending::completed);
+      bed.end(d, d.endpoint == bad && id < 10 ? AttemptOutcome::error : AttemptOutcome::completed);
       if (id > 2 && id < 10) early.insert(d.endpoint);
       if (id > 60) later.insert(d.endpoint);
     }
@@ -263,7 +265,7 @@
   for (std::uint32_t id = 1; id <= 20; ++id) bed.take(id);
   auto burst = bed.pull(Act::launch);
   bed.to(bed.now + 20);
-  for (const Decision& d : burst) bed.end(d, Ending::full, 10, 300);
+  for (const Decision& d : burst) bed.end(d, AttemptOutcome::rejected, 10, 300);
   for (int n = 0; n < 200; ++n) {
     bed.to(bed.now + 20);
     auto launches = bed.pull(Act::launch);
@@ -271,7 +273,7 @@
     if (launches.empty()) continue;
     gaps.push_back(bed.now - last);
     last = bed.now;
-    bed.end(launches[0], Ending::full, 10, 300);
+    bed.end(launches[0], AttemptOutcome::rejected, 10, 300);
   }
   EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
   EXPECT_GE(gaps.size(), 2u);
@@ -284,7 +286,7 @@
   Bed bed(terms);
   bed.warm(60);
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), Ending::full, 10);
+  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::rejected, 10);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
   bed.to(bed.now + 1000);  // an even part would wait for several seconds
   EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
@@ -295,7 +297,7 @@
     Bed bed(plainTerms(), endpoints);
     bed.to(bed.now + 1000);
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), Ending::completed);
+    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::completed);
     EXPECT_EQ(bed.pull(Act::closeIdle).size(), endpoints == 2 ? 0u : 1u);
   }
 }
@@ -304,24 +306,24 @@
   Bed full;
   full.warm(20);
   full.take(1);
-  full.end(full.pull(Act::launch).at(0), Ending::connectFailed, 1500);
+  full.end(full.pull(Act::launch).at(0), AttemptOutcome::connectFailed, 1500);
   EXPECT_LT(full.rules.state().idleTrusted, 10000);
   Bed dead;
   dead.warm(20);
   dead.to(dead.now + 2000);
   dead.take(1);
-  dead.end(dead.pull(Act::launch).at(0), Ending::reset);
+  dead.end(dead.pull(Act::launch).at(0), AttemptOutcome::reset);
   EXPECT_LE(dead.rules.state().idleTrusted, 1000);
   dead.to(dead.now + 1200);
   dead.take(2);
-  EXPECT_FALSE(dead.pull(Act::closeIdle).empty());  // before a launch would go out on it
+  EXPECT_FALSE(dead.pull(Act::closeIdle).empty());  // before an attempt would go out on it
   // Danger: an endpoint that is busy on one connection has others that stand idle, and those die.
   Bed busy;
   busy.warm(20);
   busy.take(1);
   Decision first = busy.pull(Act::launch).at(0);
-  busy.rules.goesOutOn(first.message, first.launch, 2000);
-  busy.end(first, Ending::reset);
+  busy.rules.goesOutOn(first.message, first.attempt, 2000);
+  busy.end(first, AttemptOutcome::reset);
   EXPECT_LE(busy.rules.state().idleTrusted, 1000);
   // Connections that break while they are hardly idle, or as they come up, tell nothing of idle ones.
   Bed broken;
@@ -329,12 +331,12 @@
   for (std::uint32_t id = 1; id <= 20; ++id) {
     broken.to(broken.now + 50);
     broken.take(id);
-    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, Ending::reset, 10);
+    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::reset, 10);
   }
   EXPECT_EQ(broken.rules.state().idleTrusted, 10000);
   for (std::uint32_t id = 31; id <= 50; ++id) {
     broken.take(id);
-    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, Ending::connectFailed, 10);
+    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::connectFailed, 10);
   }
   EXPECT_GE(broken.rules.state().idleTrusted, 250);
 }
@@ -360,13 +362,14 @@
     bed.take(1);
     Decision first = bed.pull(Act::launch).at(0);
     bed.to(bed.now + 100);
-    bed.rules.launchEnded(first.message, first.launch, Ending::completed, 100, true, 0,
+    bed.rules.launchEnded(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
                           c.reports ? Report{25, 0.9} : Report{});
     bed.to(bed.now + 1000);
     bed.take(2);
     Decision second = bed.pull(Act::launch).at(0);
-    bed.rules.goesOutOn(second.message, second.launch, c.kept ? 1000 : 0);
-    bed.rules.launchEnded(second.message, second.launch, Ending::full, 40, false, c.wait, c.with);
+    bed.rules.goesOutOn(second.message, second.attempt, c.kept ? 1000 : 0);
+    bed.rules.launchEnded(second.message, second.attempt, AttemptOutcome::rejected, 40, false, c.wait,
+                          c.with);
     EXPECT_EQ(bed.rules.state().idleTrusted < 10000, c.cuts) << c.name;
   }
 }
@@ -382,7 +385,7 @@
       for (std::uint32_t id = 1; bed.rules.state().endpoints.at(endpoint(1)).failures < 2 && id < 40; ++id) {
         bed.take(id);
         for (const Decision& d : bed.pull(Act::launch))
-          bed.end(d, d.endpoint == endpoint(1) ? Ending::error : Ending::completed);
+          bed.end(d, d.endpoint == endpoint(1) ? AttemptOutcome::error : AttemptOutcome::completed);
         bed.to(bed.now + 200);
       }
       ASSERT_GE(bed.rules.state().endpoints.at(endpoint(1)).failures, 2);
@@ -395,7 +398,7 @@
       if (!d) break;
       if (d->act != Act::probe) continue;
       ++probes;
-      bed.rules.probeEnded(d->endpoint, Ending::withheld, {});
+      bed.rules.probeEnded(d->endpoint, AttemptOutcome::localResourceExhausted, {});
     }
     EXPECT_EQ(probes, 1) << out;
     EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).failures, failures);
@@ -403,7 +406,7 @@
   Bed bed(plainTerms(Effect::effectful));
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
-  bed.end(first, Ending::withheld, 0);
+  bed.end(first, AttemptOutcome::localResourceExhausted, 0);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
   EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).failures, 0);
   bed.to(bed.now + 500);
@@ -412,7 +415,7 @@
 
 TEST(Slots, LongOverdueLaunchesGiveWayToWaitingCallbacks) {
   DeploymentTerms terms = plainTerms();
-  terms.slots = 2;
+  terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
   bed.rules.listBegins();
   for (std::uint16_t n : {2, 3}) {
@@ -443,10 +446,10 @@
   EXPECT_NE(copy[0].endpoint, first[0].endpoint);
   bed.to(bed.now + 20);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
-  bed.end(copy[0], Ending::completed);
+  bed.end(copy[0], AttemptOutcome::completed);
   auto losers = bed.pull(Act::withdraw);
   ASSERT_EQ(losers.size(), 1u);
-  EXPECT_EQ(losers[0].launch, 0);
+  EXPECT_EQ(losers[0].attempt, 0);
 }
 
 TEST(Copies, WaitForTheOtherWhenOneFails) {
@@ -457,7 +460,7 @@
   bed.to(bed.now + 350);
   auto copy = bed.pull(Act::launch);
   ASSERT_EQ(copy.size(), 1u);
-  bed.end(first.at(0), Ending::error);
+  bed.end(first.at(0), AttemptOutcome::error);
   bed.to(bed.now + 100);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
 }
@@ -468,7 +471,7 @@
   poor.pull(Act::launch);
   poor.to(5900);
   EXPECT_TRUE(poor.pull(Act::launch).empty());
-  Bed busy;  // more than half of its slots out
+  Bed busy;  // more than half of its concurrent requests out
   busy.warm(60);
   for (std::uint32_t id = 1; id <= 5; ++id) busy.take(id);
   EXPECT_EQ(busy.pull(Act::launch).size(), 5u);
@@ -487,7 +490,7 @@
 TEST(Window, HoldsOneDestinationUnderThreeQuartersOfTheSlots) {
   Bed bed;
   for (std::uint32_t id = 1; id <= 20; ++id) bed.take(id);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 4u);  // half of 8 slots at the start
+  EXPECT_EQ(bed.pull(Act::launch).size(), 4u);  // half of 8 concurrent requests at the start
   Bed grown;
   grown.warm(60);
   for (std::uint32_t id = 1; id <= 20; ++id) grown.take(id);
@@ -513,8 +516,8 @@
   for (std::uint32_t id = 1; id <= 12; ++id) {
     worn.take(id);
     for (const Decision& d : worn.pull(Act::launch)) {
-      worn.rules.goesOutOn(d.message, d.launch, 100);
-      worn.end(d, Ending::reset, 1);
+      worn.rules.goesOutOn(d.message, d.attempt, 100);
+      worn.end(d, AttemptOutcome::reset, 1);
     }
   }
   EXPECT_FALSE(worn.rules.state().paths.begin()->second.outage);
@@ -523,7 +526,8 @@
     bed.warm(60);
     bed.breakDown();
     bed.to(bed.now + (lasts ? 6000 : 1000));
-    for (const Decision& d : bed.pull(Act::probe)) bed.rules.probeEnded(d.endpoint, Ending::completed, {});
+    for (const Decision& d : bed.pull(Act::probe))
+      bed.rules.probeEnded(d.endpoint, AttemptOutcome::completed, {});
     EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
     EXPECT_EQ(bed.rules.state().paths.begin()->second.cold, lasts);
   }
@@ -539,7 +543,7 @@
     bed.take(id);
     for (const Decision& d : bed.pull(Act::launch)) {
       if (hung == EndpointId{}) hung = d.endpoint;
-      if (d.endpoint != hung) bed.end(d, Ending::completed);
+      if (d.endpoint != hung) bed.end(d, AttemptOutcome::completed);
       late[d.endpoint] += id > 30 ? 1 : 0;
     }
     bed.to(bed.now + 100);
@@ -549,8 +553,9 @@
   EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
 }
 
-// Danger: with all slots out, launches are called off after a few p95 and sent again. None is ever out for as
-// long as silence takes to show, and endpoints that answer nothing are asked thousands of times a second.
+// Danger: with all concurrent requests out, attempts are called off after a few p95 and sent again. None is
+// ever out for as long as silence takes to show, and endpoints that answer nothing are asked thousands of
+// times a second.
 TEST(Returns, SilenceShowsThoughAllThatIsOutIsCalledOffAndSentAgain) {
   for (bool one : {false, true}) {
     Bed bed;
@@ -561,11 +566,11 @@
       for (std::uint32_t n : {1, 2}) bed.take(2 * turn + n);
       bed.to(bed.now + 10);
       while (auto d = bed.rules.next()) {
-        if (d->act == Act::withdraw) bed.end(*d, Ending::withdrawn);
+        if (d->act == Act::withdraw) bed.end(*d, AttemptOutcome::cancelled);
         if (d->act != Act::launch) continue;
         if (hung == EndpointId{}) hung = d->endpoint;
         late[d->endpoint] += turn >= 200 ? 1 : 0;
-        if (one && d->endpoint != hung) bed.end(*d, Ending::completed, 5);
+        if (one && d->endpoint != hung) bed.end(*d, AttemptOutcome::completed, 5);
       }
     }
     EXPECT_EQ(bed.rules.state().paths.begin()->second.outage, !one);
@@ -575,9 +580,9 @@
 }
 
 // Danger: the first in rank hangs, nobody else was asked yet, and the path is taken for out. Another endpoint
-// answers a probe, and the launches that still hang at the first take the path out again at once.
+// answers a probe, and the attempts that still hang at the first take the path out again at once.
 TEST(Returns, AnotherEndpointsProbeEndsAnOutageThatOneHungEndpointBegan) {
-  Bed bed(plainTerms(Effect::effectful));  // no copies
+  Bed bed(plainTerms(Effect::effectful));  // no hedges
   bed.warm(60);
   const Path& path = bed.rules.state().paths.begin()->second;
   bed.take(1);
@@ -586,13 +591,14 @@
   ASSERT_TRUE(path.outage);
   for (; path.outage && bed.now < 40000; bed.to(bed.now + 20)) {
     for (const Decision& d : bed.pull(Act::probe)) {
-      bed.rules.probeEnded(d.endpoint, d.endpoint == hung ? Ending::timeout : Ending::completed, {});
+      bed.rules.probeEnded(d.endpoint,
+                           d.endpoint == hung ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
     }
   }
   for (std::uint32_t id = 2; id < 40; ++id) {
     bed.take(id);
     for (const Decision& d : bed.pull(Act::launch)) {
-      if (d.endpoint != hung) bed.end(d, Ending::completed);
+      if (d.endpoint != hung) bed.end(d, AttemptOutcome::completed);
     }
     EXPECT_FALSE(path.outage);
     bed.to(bed.now + 50);
@@ -607,9 +613,9 @@
   auto out = bed.pull(Act::launch);
   bed.to(bed.now + 10);
   EndpointId hung = out.front().endpoint;
-  Ending ending = Ending::completed;
+  AttemptOutcome ending = AttemptOutcome::completed;
   for (const Decision& d : out) {
-    if (d.endpoint != hung) bed.end(d, std::exchange(ending, Ending::full), 10);
+    if (d.endpoint != hung) bed.end(d, std::exchange(ending, AttemptOutcome::rejected), 10);
   }
   EXPECT_GT(bed.rules.state().paths.begin()->second.refusals, 0);
   std::size_t launches = 0;
@@ -626,7 +632,7 @@
     Bed bed;
     bed.warm(60);
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), Ending::full, 10, wait);
+    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::rejected, 10, wait);
     EXPECT_EQ(bed.rules.state().paths.begin()->second.outage, wait > 2000);
   }
 }
@@ -634,20 +640,21 @@
 // Danger: where a limit counts calls and a call takes many, calls of one each use it up.
 TEST(Batches, FillAtThePaceOfAToldLimit) {
   DeploymentTerms terms = plainTerms();
-  terms.kinds[0].perCall = 20;
+  terms.kinds[0].maxBatchSize = 20;
   Bed bed(terms, 1);
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
-  bed.rules.launchEnded(first.message, first.launch, Ending::completed, 100, true, 0, {4});  // 2 of them ours
+  bed.rules.launchEnded(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
+                        {4});  // 2 of them ours
   bed.to(bed.now + 20);
   std::set<int> calls;
   int launches = 0;
   for (std::uint32_t id = 2; id <= 202; ++id) {
     bed.take(id);
     for (const Decision& d : bed.pull(Act::launch)) {
-      calls.insert(bed.rules.state().messages.at(d.message).launches.back().call);
+      calls.insert(bed.rules.state().messages.at(d.message).attempts.back().requestId);
       ++launches;
-      bed.end(d, Ending::completed);
+      bed.end(d, AttemptOutcome::completed);
     }
     bed.to(bed.now + 20);
   }
@@ -661,14 +668,15 @@
   for (double left : {1.0, 0.0}) {
     Bed bed;
     bed.take(1);
-    bed.rules.launchEnded(bed.pull(Act::launch).at(0).message, 0, Ending::completed, 100, true, 0, {4, left});
+    bed.rules.launchEnded(bed.pull(Act::launch).at(0).message, 0, AttemptOutcome::completed, 100, true, 0,
+                          {4, left});
     std::size_t launches = 0;
     for (std::uint32_t id = 2; id <= 200; ++id) {
       bed.to(bed.now + 50);
       bed.take(id);
       for (const Decision& d : bed.pull(Act::launch)) {
         ++launches;
-        bed.rules.launchEnded(d.message, d.launch, Ending::completed, 40, true, 0, {4, left});
+        bed.rules.launchEnded(d.message, d.attempt, AttemptOutcome::completed, 40, true, 0, {4, left});
       }
     }
     // In 10 s our even part is 20 calls; more only while there is room for all.
@@ -714,7 +722,8 @@
     for (const Decision& d : bed.pull(Act::launch)) {
       used.insert(d.endpoint);
       bool first = d.endpoint == *used.begin();
-      bed.rules.launchEnded(d.message, d.launch, id == 1 || !first ? Ending::completed : Ending::full, 40,
+      bed.rules.launchEnded(d.message, d.attempt,
+                            id == 1 || !first ? AttemptOutcome::completed : AttemptOutcome::rejected, 40,
                             id == 1 || !first, 0, id == 1 || !first ? Report{100, 1} : Report{});
     }
     bed.to(bed.now + 200);
@@ -726,27 +735,27 @@
 // Danger: a report is read by what its path's first endpoint is, and the path has none any more.
 TEST(Limits, AReportMayComeFromTheLastEndpointAfterItHasGone) {
   DeploymentTerms terms = plainTerms();
-  terms.kinds[0].perCall = 5;
+  terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   bed.take(1);
   Decision last = bed.pull(Act::launch).at(0);
   bed.rules.listBegins();
   bed.rules.listEnds(true);
-  bed.rules.launchEnded(last.message, last.launch, Ending::completed, 100, true, 0, {4, 1});
+  bed.rules.launchEnded(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
   EXPECT_EQ(bed.rules.state().paths.begin()->second.pace,
-            0);  // a call of several never goes above the even part
+            0);  // a batch never goes above the even part
 }
 
 TEST(Batches, CallbacksOfOneRoundShareACallAndASlot) {
   DeploymentTerms terms = plainTerms();
-  terms.kinds[0].perCall = 5;
+  terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 5; ++id) bed.take(id);
   auto launches = bed.pull(Act::launch);
   EXPECT_EQ(launches.size(), 5u);
-  EXPECT_EQ(bed.rules.state().slotsUsed, 1);
-  for (const Decision& d : launches) bed.end(d, Ending::completed);
-  EXPECT_EQ(bed.rules.state().slotsUsed, 0);
+  EXPECT_EQ(bed.rules.state().requestsInFlight, 1);
+  for (const Decision& d : launches) bed.end(d, AttemptOutcome::completed);
+  EXPECT_EQ(bed.rules.state().requestsInFlight, 0);
 }
 
 TEST(Order, OneAtATimeWithThePause) {
@@ -761,8 +770,8 @@
   EXPECT_EQ(launches[0].message, MessageId{1});
   EXPECT_EQ(launches[1].message, MessageId{3});
   bed.rules.clientGone(MessageId{1});
-  EXPECT_TRUE(bed.pull(Act::launch).empty());  // over, but its launch has no outcome yet
-  bed.end(launches[0], Ending::withdrawn);
+  EXPECT_TRUE(bed.pull(Act::launch).empty());  // over, but its attempt has no outcome yet
+  bed.end(launches[0], AttemptOutcome::cancelled);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
   bed.to(bed.now + 499);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
@@ -786,34 +795,34 @@
     bed.rules.listEnds(true);
     bed.take(static_cast<std::uint32_t>(n) + 1, 0, n);
     for (const Decision& d : bed.pull(Act::launch))
-      bed.end(d, n % 2 != 0 ? Ending::completed : Ending::error);
+      bed.end(d, n % 2 != 0 ? AttemptOutcome::completed : AttemptOutcome::error);
     bed.to(bed.now + 1000);
   }
   const InstanceState& s = bed.rules.state();
-  EXPECT_LE(s.endpoints.size(), 43u);  // those of four cold spans, and the one with a launch out
+  EXPECT_LE(s.endpoints.size(), 43u);  // those of four cold spans, and the one with an attempt out
   EXPECT_LE(s.paths.size(), 43u);
   EXPECT_LE(s.orderedQueues.size(), 3u);
   EXPECT_TRUE(s.endpoints.contains(endpoint(1000)));
-  bed.end(held, Ending::reset);
+  bed.end(held, AttemptOutcome::reset);
 }
 
 TEST(OddInput, LateAndUnknownIdsArePassedOver) {
   Bed bed;
-  bed.rules.launchEnded(MessageId{99}, 0, Ending::completed, 10, true, 0, {});
+  bed.rules.launchEnded(MessageId{99}, 0, AttemptOutcome::completed, 10, true, 0, {});
   bed.rules.clientGone(MessageId{98});
-  bed.rules.probeEnded(endpoint(77), Ending::completed, {});
+  bed.rules.probeEnded(endpoint(77), AttemptOutcome::completed, {});
   bed.rules.answerStarted(MessageId{97}, 3);
   EXPECT_FALSE(bed.rules.next().has_value());
 }
 
 TEST(OddInput, TwoSlotsOneEndpointZeroWaitAndNoTenants) {
   DeploymentTerms terms = plainTerms();
-  terms.slots = 2;
+  terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 3; ++id) bed.take(id);
   auto launches = bed.pull(Act::launch);
   ASSERT_EQ(launches.size(), 1u);
-  bed.end(launches[0], Ending::full, 10, 0);
+  bed.end(launches[0], AttemptOutcome::rejected, 10, 0);
   bed.to(bed.now + 2000);
   EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
 }
