--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -11,14 +11,14 @@
 constexpr double kMillisPerSecond = 1000.0;
 constexpr std::size_t kNowhere = static_cast<std::size_t>(-1);
 
-Phase phaseOf(std::uint8_t code) {
+EndpointState phaseOf(std::uint8_t code) {
   switch (code) {
     case 0:
-      return Phase::gone;
+      return EndpointState::removed;
     case 1:
-      return Phase::ready;
+      return EndpointState::ready;
     case 2:
-      return Phase::draining;
+      return EndpointState::draining;
   }
   throw wire::Malformed("unknown phase " + std::to_string(code));
 }
@@ -130,14 +130,14 @@
   });
 }
 
-Report Host::report(wire::Reader& in, const Instance* instance) {
-  Report told;
+LoadReport Host::report(wire::Reader& in, const Instance* instance) {
+  LoadReport told;
   auto n = in.get<std::uint8_t>("load");
   for (std::size_t place = 0; place < n; ++place) {
     double value = in.get<float>("load");
     if (instance == nullptr || !std::isfinite(value)) continue;
-    if (place == instance->limitPlace) told.limit = value;
-    if (place == instance->leftPlace) told.left = value;
+    if (place == instance->limitPlace) told.rateLimit = value;
+    if (place == instance->leftPlace) told.remainingShare = value;
   }
   return told;
 }
@@ -210,7 +210,7 @@
       bool over = in.get<std::uint8_t>("terminal") != 0;
       Millis wait = in.get<std::uint32_t>("hold-ms");
       if (ending != AttemptOutcome::rejected) wait = 0;  // with others it is no time
-      Report told = report(in, instance);
+      LoadReport told = report(in, instance);
       tell([&](Rules& rules) { rules.launchEnded(id, launch, ending, spent, over, wait, told); });
       break;
     }
@@ -218,7 +218,7 @@
       EndpointId endpoint = in.endpoint();
       AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
       in.get<double>("spent-s");
-      Report told = report(in, instance);
+      LoadReport told = report(in, instance);
       tell([&](Rules& rules) { rules.probeEnded(endpoint, ending, told); });
       break;
     }
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -25,7 +25,7 @@
     DestinationId destination{};
     ZoneId zone{};
     double weight{};
-    Phase phase{};
+    EndpointState phase{};
   };
   struct Instance {
     std::unique_ptr<Rules> rules;
@@ -39,7 +39,7 @@
   void create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now);
   void rows(wire::Reader& in);
   void view(wire::Reader& in, Millis now);
-  static Report report(wire::Reader& in, const Instance* instance);
+  static LoadReport report(wire::Reader& in, const Instance* instance);
   template <class Step>
   void guarded(std::uint32_t who, Step step);
 
--- a/src/core/decision.h
+++ b/src/core/decision.h
@@ -7,9 +7,9 @@
 enum class Act { launch, withdraw, shed, giveUp, probe, closeIdle, wake };
 
 // What an answer reports of the limit at its endpoint.
-struct Report {
-  double limit{-1};  // calls a second; 0 where there is none, below 0 where nothing is told
-  double left{-1};   // share of it that is left just now, 0 to 1; below 0 where none is told
+struct LoadReport {
+  double rateLimit{-1};       // calls a second; 0 where there is none, below 0 where nothing is told
+  double remainingShare{-1};  // share of it that is left just now, 0 to 1; below 0 where none is told
 };
 
 // One decision; a field that its act does not need stays at zero.
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -15,10 +15,10 @@
 
 namespace stonewing {
 
-using PathId = Id<struct PathTag, std::uint64_t>;
+using RouteId = Id<struct RouteTag, std::uint64_t>;
 
 struct Endpoint;
-struct Path;
+struct Route;
 struct Destination;
 
 struct Attempt {
@@ -53,26 +53,26 @@
   }
 };
 
-struct Spread {
+struct LatencyQuantiles {
   Millis p95{0};
   Millis p50{0};
 };
 
-struct Samples {
-  std::vector<Millis> kept;
-  Spread usual;
-  Millis computed{0};
+struct LatencyReservoir {
+  std::vector<Millis> samples;
+  LatencyQuantiles quantiles;
+  Millis computedAt{0};
 
   // Up to most samples; after that a new one takes the place of one by chance.
-  void keep(Millis sample, std::size_t most, std::mt19937& chance) {
-    if (kept.size() < most) {
-      kept.push_back(sample);
+  void add(Millis sample, std::size_t most, std::mt19937& chance) {
+    if (samples.size() < most) {
+      samples.push_back(sample);
     } else {
-      kept[chance() % most] = sample;
+      samples[chance() % most] = sample;
     }
   }
   Millis quantile(double share) const {
-    std::vector<Millis> sorted = kept;
+    std::vector<Millis> sorted = samples;
     auto place = sorted.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(sorted.size()) * share);
     std::nth_element(sorted.begin(), place, sorted.end());
     return *place;
@@ -84,68 +84,69 @@
   Destination* destination{};
   KindId kind{};
   ZoneId zone{};
-  Path* path{};
+  Route* route{};
   double weight{0};
-  Phase phase{Phase::gone};
+  EndpointState state{EndpointState::removed};
   int requestsInFlight{0};
-  int failures{0};
-  Millis failedAt{0};
-  Millis okAt{0};
-  int unheard{0};  // attempts called off since its last completion, and when the first of them was sent
-  Millis unheardSince{0};
-  bool silent{false};  // nothing has come back for long, from its oldest calls out nor later ones
-  Millis goneAt{-1};   // not listed any more since then; -1 while it is
-  Millis usedAt{-1};   // end of its last call, while a connection may be idle; -1 for none
-  Millis gap{-1};      // last time from a call to the next
-  Millis launchedAt{-1};
+  int consecutiveFailures{0};
+  Millis lastFailureAt{0};
+  Millis lastSuccessAt{0};
+  int consecutiveTimeouts{
+      0};  // attempts called off since its last completion, and when the first of them was sent
+  Millis firstTimeoutSentAt{0};
+  bool unresponsive{false};        // nothing has come back for long, from its oldest calls out nor later ones
+  Millis removedAt{-1};            // not listed any more since then; -1 while it is
+  Millis lastUsedAt{-1};           // end of its last call, while a connection may be idle; -1 for none
+  Millis lastRequestInterval{-1};  // last time from a call to the next
+  Millis lastRequestAt{-1};
   int batchRound{-1};
   int batchRequestId{0};
   int batchSize{0};
-  Samples samples;
+  LatencyReservoir latencies;
 
-  void calledOff(Millis sent) {
-    if (unheard++ == 0) unheardSince = sent;
+  void recordTimeout(Millis sent) {
+    if (consecutiveTimeouts++ == 0) firstTimeoutSentAt = sent;
   }
-  void works() {
-    failures = unheard = 0;
-    silent = false;
+  void recordSuccess() {
+    consecutiveFailures = consecutiveTimeouts = 0;
+    unresponsive = false;
   }
 };
 
 // A destination, or one of its endpoints where routes are apart.
-struct Path {
+struct Route {
   std::vector<Endpoint*> endpoints;
   Destination* destination{};
-  double window{1};
-  int timely{0};
+  double concurrencyLimit{1};
+  int timelyResponses{0};
   int requestsInFlight{0};
-  Millis lastCut{0};
-  Millis waitUntil{0};
-  Millis pauseUntil{0};
-  Millis paceUntil{-1};  // no call before, so that all together keep to a limit that is told
-  double pace{0};        // halvings of our even part of that limit; below 0 doublings
-  Millis paceEased{0};
-  double refusals{0};       // doublings of the pause
-  Millis refusedSince{-1};  // since then nothing completed
-  Millis refusedAt{0};
-  double okShare{1};
-  Millis okAt{0};
-  Millis okSentAt{0};
+  Millis lastDecreaseAt{0};
+  Millis retryAfterUntil{0};
+  Millis backoffUntil{0};
+  Millis nextPacedRequestAt{-1};  // no call before, so that all together keep to a limit that is told
+  double rateHalvings{0};         // halvings of our even part of that limit; below 0 doublings
+  Millis rateHalvingsAt{0};
+  double consecutiveRejections{0};  // doublings of the pause
+  Millis rejectedSince{-1};         // since then nothing completed
+  Millis lastRejectionAt{0};
+  double successShare{1};
+  Millis lastSuccessAt{0};
+  Millis lastSuccessSentAt{0};
   bool outage{false};
-  bool told{false};
-  Millis coldSince{0};
-  bool cold{false};
-  bool probeOut{false};
-  Millis nextPush{0};
-  std::size_t trialTurn{0};
-  double okCount{0};
-  Millis okCounted{0};
-  double limitTold{-1};  // calls a second; 0: it has none, below 0: nothing was told yet
-  Samples samples;
+  bool outageConfirmed{false};
+  Millis warmUpStartedAt{0};
+  bool warmingUp{false};
+  bool healthCheckPending{false};
+  Millis nextSlowStartSendAt{0};
+  std::size_t healthCheckTurn{0};
+  double recentSuccesses{0};
+  Millis recentSuccessesAt{0};
+  double reportedRateLimit{-1};  // calls a second; 0: it has none, below 0: nothing was told yet
+  LatencyReservoir latencies;
 
   bool allFailed(int times) const {
     return std::all_of(endpoints.begin(), endpoints.end(),
-                       [&](const Endpoint* e) { return e->failures >= times; });
+                       [&](const Endpoint* e) { return e->consecutiveFailures >= times; });
   }
 };
 
@@ -176,43 +177,44 @@
 };
 
 // The nodes of its maps stay where they are: attempts, endpoints and messages point at them.
-struct InstanceState {
-  explicit InstanceState(Rooms asked) : rooms(std::move(asked)) {}
-  Rooms rooms;
+struct PolicyState {
+  explicit PolicyState(Rooms asked) : zones(std::move(asked)) {}
+  Rooms zones;
   Millis now{0};
-  Millis began{-1};
+  Millis startedAt{-1};
   int round{0};
   int requestsInFlight{0};
   int messagesInFlight{0};
   int nextRequestId{1};
   double retryBudget{0};
   int requestCount{0};
-  double patience{1};              // falls with attempts that stay unanswered
-  bool reported{false};            // an answer has carried a report
-  Millis idleTrusted{0};           // connections idle for no longer than this are thought to work
-  std::deque<Endpoint*> released;  // endpoints whose last call has ended
-  Millis wakeAsked{-1};
+  double timeoutScale{1};               // falls with attempts that stay unanswered
+  bool loadReportSeen{false};           // an answer has carried a report
+  Millis reusableIdleTime{0};           // connections idle for no longer than this are thought to work
+  std::deque<Endpoint*> idleEndpoints;  // endpoints whose last call has ended
+  Millis timerSetFor{-1};
   std::map<MessageId, Message> messages;
   std::map<EndpointId, Endpoint> endpoints;
-  std::map<PathId, Path> paths;
+  std::map<RouteId, Route> routes;
   std::map<DestinationId, Destination> destinations;
-  std::set<Destination*> waitedFor;                  // destinations with messages that wait
-  std::set<MessageId> messagesWithPendingAttempts;   // messages with an attempt out
-  std::set<std::pair<Millis, MessageId>> deadlines;  // of all that are not over
-  std::set<std::pair<Millis, MessageId>> spentFrom;  // when a settled one may have no attempt left
-  // Endpoints that may need a probe: those where something has changed, and the others by when they are due.
-  std::set<EndpointId> trials;
-  std::set<std::pair<Millis, EndpointId>> trialsDue;
+  std::set<Destination*> destinationsWithWaiting;               // destinations with messages that wait
+  std::set<MessageId> messagesWithPendingAttempts;              // messages with an attempt out
+  std::set<std::pair<Millis, MessageId>> deadlines;             // of all that are not over
+  std::set<std::pair<Millis, MessageId>> retryExhaustionTimes;  // when a settled one may have no attempt left
+  // Endpoints that may need a health check: those where something has changed, and the others by when they
+  // are due.
+  std::set<EndpointId> healthCheckCandidates;
+  std::set<std::pair<Millis, EndpointId>> scheduledHealthChecks;
   std::map<int, Request> requests;
   std::map<OrderingKey, OrderedQueue> orderedQueues;
   std::vector<TenantQuota> tenantQuotas;
   std::deque<std::pair<MessageId, int>> losingAttempts;
-  std::set<EndpointId> listing;
-  Samples samples;
+  std::set<EndpointId> listedEndpoints;
+  LatencyReservoir latencies;
 
   // A message is held from now on.
-  Message& take(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
-                Millis outerLimit) {
+  Message& accept(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
+                  DestinationId destination, Millis outerLimit) {
     Message& c = messages[id] = Message{};
     c.type = type;
     c.tenant = tenant;
@@ -222,7 +224,7 @@
     c.deadline = outerLimit;
     ++messagesInFlight;
     ++c.destination->acceptedCount;
-    rooms.asked(now, destination);
+    zones.asked(now, destination);
     return c;
   }
   Message* find(MessageId id) {
@@ -230,41 +232,41 @@
     return at == messages.end() ? nullptr : &at->second;
   }
   // Endpoints come and go all day under new ids. One that no list has named for so long, and that nothing
-  // held was attempted at, is forgotten with its path, if that was its own, and a key with its rest.
-  void forgetGone(Millis goneFor) {
-    std::set<const Endpoint*> named(released.begin(), released.end());
+  // held was attempted at, is forgotten with its route, if that was its own, and a key with its rest.
+  void forgetRemovedEndpoints(Millis goneFor) {
+    std::set<const Endpoint*> named(idleEndpoints.begin(), idleEndpoints.end());
     for (const auto& [id, c] : messages) {
       for (const Attempt& l : c.attempts) named.insert(l.endpoint);
     }
     for (auto at = endpoints.begin(); at != endpoints.end();) {
       Endpoint& e = at->second;
-      e.goneAt = e.phase != Phase::gone ? -1 : e.goneAt < 0 ? now : e.goneAt;
-      if (e.goneAt < 0 || now - e.goneAt < goneFor || named.contains(&e)) {
+      e.removedAt = e.state != EndpointState::removed ? -1 : e.removedAt < 0 ? now : e.removedAt;
+      if (e.removedAt < 0 || now - e.removedAt < goneFor || named.contains(&e)) {
         ++at;
         continue;
       }
-      paths.erase(ownPath(e.id));
+      routes.erase(ownRoute(e.id));
       at = endpoints.erase(at);
     }
     std::erase_if(orderedQueues,
                   [this](const auto& k) { return k.second.messages.empty() && k.second.pausedUntil <= now; });
   }
-  static PathId ownPath(EndpointId id) { return PathId{id.value | (std::uint64_t{1} << 63)}; }
-  void failing(Endpoint& e, int failures) {
-    e.failures = failures;
-    e.failedAt = now;
-    trials.insert(e.id);
-    rooms.fails(now, e.id, e.destination->id, e.zone, failures);
+  static RouteId ownRoute(EndpointId id) { return RouteId{id.value | (std::uint64_t{1} << 63)}; }
+  void recordFailure(Endpoint& e, int failures) {
+    e.consecutiveFailures = failures;
+    e.lastFailureAt = now;
+    healthCheckCandidates.insert(e.id);
+    zones.fails(now, e.id, e.destination->id, e.zone, failures);
   }
-  // Something was delivered there, or a probe answered.
-  void works(Endpoint& e, bool delivered) {
-    e.works();
-    rooms.works(now, e.id, e.zone, delivered);
+  // Something was delivered there, or a health check answered.
+  void recordSuccess(Endpoint& e, bool delivered) {
+    e.recordSuccess();
+    zones.works(now, e.id, e.zone, delivered);
   }
   // A call of its own begins at an endpoint, for this round.
   void openRequest(Endpoint& e) {
-    if (e.launchedAt >= 0) e.gap = now - e.launchedAt;
-    e.launchedAt = now;
+    if (e.lastRequestAt >= 0) e.lastRequestInterval = now - e.lastRequestAt;
+    e.lastRequestAt = now;
     ++requestCount;
     e.batchRound = round;
     e.batchSize = 1;
@@ -272,12 +274,12 @@
     requests[e.batchRequestId].endpoint = &e;
     ++e.requestsInFlight;
     ++e.destination->requestsInFlight;
-    ++e.path->requestsInFlight;
+    ++e.route->requestsInFlight;
     ++requestsInFlight;
   }
   // Puts a message where it now belongs; to be called after each change of its attempts, and when it is
   // over.
-  void place(MessageId id, Message& c) {
+  void updateIndexes(MessageId id, Message& c) {
     bool settled = c.hasNoPendingAttempt();
     if (settled) {
       messagesWithPendingAttempts.erase(id);
@@ -289,18 +291,18 @@
     if (c.finished) deadlines.erase({c.deadline, id});
     if (wanted == c.waitClass) return;
     WaitQueue& waiting = c.destination->waitQueue;
-    rooms.waits(c.destination->id, wanted.has_value() - c.waitClass.has_value());
+    zones.waits(c.destination->id, wanted.has_value() - c.waitClass.has_value());
     if (c.waitClass) waiting.remove(*c.waitClass, c.deadline, id);
     if (wanted) waiting.add(*wanted, c.deadline, id);
     c.waitClass = wanted;
     if (waiting.empty()) {
-      waitedFor.erase(c.destination);
+      destinationsWithWaiting.erase(c.destination);
     } else {
-      waitedFor.insert(c.destination);
+      destinationsWithWaiting.insert(c.destination);
     }
   }
   // Nothing more is to be done for a message that is over and has no attempt out.
-  void forgetSettled(MessageId id) {
+  void forgetFinished(MessageId id) {
     Message* c = find(id);
     if (c == nullptr || !c->finished || !c->hasNoPendingAttempt()) return;
     auto line = orderedQueues.find(c->orderingKey);
@@ -312,14 +314,14 @@
   }
   // A call is over, and its slot free, with the last outcome in it.
   void releaseRequest(const Attempt& launch) {
-    rooms.ended(launch.isSpillover);
+    zones.ended(launch.isSpillover);
     auto at = requests.find(launch.requestId);
     if (at == requests.end() || --at->second.openAttempts > 0) return;
     Endpoint& e = *at->second.endpoint;
     --e.requestsInFlight;
     --e.destination->requestsInFlight;
-    --e.path->requestsInFlight;
-    if (e.requestsInFlight == 0) released.push_back(&e);
+    --e.route->requestsInFlight;
+    if (e.requestsInFlight == 0) idleEndpoints.push_back(&e);
     --requestsInFlight;
     requests.erase(at);
   }
--- a/src/core/terms.h
+++ b/src/core/terms.h
@@ -12,7 +12,7 @@
 
 enum class Effect { pure, receipted, effectful };
 enum class Decay { linear, halving };
-enum class Phase { gone, ready, draining };
+enum class EndpointState { removed, ready, draining };
 // withheld: not sent, for want of something of the host's own.
 enum class AttemptOutcome {
   completed,
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -223,7 +223,7 @@
     for (std::size_t n = 0; n < trace_.events.size(); ++n) {
       const Event& e = event(n);
       if (e.what == What::told) {
-        if (e.status == static_cast<std::int16_t>(Phase::ready)) {
+        if (e.status == static_cast<std::int16_t>(EndpointState::ready)) {
           told.erase({e.dispatcher, e.endpoint});
         } else {
           told.try_emplace({e.dispatcher, e.endpoint}, n);
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -56,10 +56,10 @@
   }
   void goesOutOn(MessageId id, int launch, Millis idle) override { rules_.goesOutOn(id, launch, idle); }
   void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
-                   Report report) override {
+                   LoadReport report) override {
     rules_.launchEnded(id, launch, ending, spent, over, wait, report);
   }
-  void probeEnded(EndpointId id, AttemptOutcome ending, Report report) override {
+  void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) override {
     rules_.probeEnded(id, ending, report);
   }
   void clientGone(MessageId id) override { rules_.clientGone(id); }
@@ -84,12 +84,12 @@
 
   void list(const std::vector<ListRow>& rows, bool whole) override {
     if (whole) {
-      for (auto& [id, e] : endpoints_) e.row.phase = Phase::gone;
+      for (auto& [id, e] : endpoints_) e.row.phase = EndpointState::removed;
     }
     for (const ListRow& r : rows) endpoints_[r.id].row = r;
     for (auto& [id, d] : destinations_) d.endpoints.clear();
     for (auto& [id, e] : endpoints_) {
-      if (e.row.phase == Phase::ready) destinations_[e.row.destination].endpoints.push_back(id);
+      if (e.row.phase == EndpointState::ready) destinations_[e.row.destination].endpoints.push_back(id);
     }
   }
 
@@ -112,7 +112,7 @@
   void goesOutOn(MessageId, int, Millis) override {}
 
   void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool isOver, Millis wait,
-                   Report) override {
+                   LoadReport) override {
     auto at = held_.find(id);
     if (at == held_.end() || !at->second.launches.at(static_cast<std::size_t>(launch)).out) return;
     Held& h = at->second;
@@ -140,14 +140,14 @@
     freed_ = true;
   }
 
-  void probeEnded(EndpointId, AttemptOutcome, Report) override {}
+  void probeEnded(EndpointId, AttemptOutcome, LoadReport) override {}
   void clientGone(MessageId id) override { over(id); }
   void woken() override { wakeAsked_ = -1; }
   bool mayBegin(MessageId id, int launch) const override {
     auto at = held_.find(id);
     if (at == held_.end()) return false;
     const Sent& s = at->second.launches.at(static_cast<std::size_t>(launch));
-    return endpoints_.at(s.endpoint).row.phase == Phase::ready;
+    return endpoints_.at(s.endpoint).row.phase == EndpointState::ready;
   }
   int callOf(MessageId id, int launch) const override {
     return held_.at(id).launches.at(static_cast<std::size_t>(launch)).call;
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -111,7 +111,7 @@
         clients_(plan, seed, trace_),
         town_(plan, seed ^ 0x5bd1e995u, trace_),
         dispatchers_(static_cast<std::size_t>(plan.fleet.dispatchers)),
-        phases_(static_cast<std::size_t>(plan.endpointCount()), Phase::ready) {}
+        phases_(static_cast<std::size_t>(plan.endpointCount()), EndpointState::ready) {}
 
   Trace play(ModelCost* cost) {
     for (std::uint32_t d = 0; d < dispatchers_.size(); ++d) begin(d);
@@ -216,7 +216,7 @@
       case Kind::probeReply:
         return probeReply(s.a, s.b, s.c, s.x);
       case Kind::told:
-        return told(s.a, s.b, static_cast<Phase>(s.c));
+        return told(s.a, s.b, static_cast<EndpointState>(s.c));
       case Kind::trouble:
         return trouble(plan_.troubles[s.a], true);
       case Kind::troubleOver:
@@ -533,7 +533,7 @@
       held->second.launches.at(static_cast<std::size_t>(m.launch)).neverRan = true;
     }
     bool isOver = ending == AttemptOutcome::completed || held == to.held.end();
-    Report report;
+    LoadReport report;
     if (withReport && plan_.world.reports) report = town_.report(now_, call.endpoint);
     p.launchEnded(idOf(m.callback), m.launch, ending, now_ - call.sent, isOver,
                   sabotage_.ignoresWaits ? 0 : wait, report);
@@ -638,7 +638,7 @@
                             : status == 503 ? AttemptOutcome::rejected
                             : status == 0   ? AttemptOutcome::connectFailed
                                             : AttemptOutcome::timeout;
-    Report report;
+    LoadReport report;
     if (status == 200 && plan_.world.reports) report = town_.report(now_, endpoint);
     round(d, [&](Policy& p) { p.probeEnded(endpointIdOf(endpoint), ending, report); });
   }
@@ -676,18 +676,18 @@
     });
     if (now_ == kListFirst) return;
     for (std::uint32_t e = 0; e < phases_.size(); ++e) {
-      if (phases_[e] != Phase::ready) noteTold(d, e, phases_[e]);
+      if (phases_[e] != EndpointState::ready) noteTold(d, e, phases_[e]);
     }
   }
 
-  void noteTold(std::uint32_t d, std::uint32_t endpoint, Phase phase) {
+  void noteTold(std::uint32_t d, std::uint32_t endpoint, EndpointState phase) {
     note({.what = What::told,
           .endpoint = endpoint,
           .dispatcher = static_cast<std::uint16_t>(d),
           .status = static_cast<std::int16_t>(phase)});
   }
 
-  void told(std::uint32_t d, std::uint32_t endpoint, Phase phase) {
+  void told(std::uint32_t d, std::uint32_t endpoint, EndpointState phase) {
     Dispatcher& to = dispatchers_[d];
     if (!to.up) return;
     noteTold(d, endpoint, phase);
@@ -701,7 +701,7 @@
   }
 
   // Discovery tells all dispatchers, now or late.
-  void tellAll(std::uint32_t endpoint, Phase phase) {
+  void tellAll(std::uint32_t endpoint, EndpointState phase) {
     Millis when = std::max(now_ + plan_.world.nearOneWay + listLate_, listSilentUntil_);
     for (std::uint32_t d = 0; d < dispatchers_.size(); ++d) {
       at(when, Kind::told, d, endpoint, static_cast<std::int32_t>(phase));
@@ -719,7 +719,7 @@
     switch (t.kind) {
       case TroubleKind::drain:
         for (int e : plan_.struck(t)) {
-          phases_[static_cast<std::size_t>(e)] = begins ? Phase::draining : Phase::ready;
+          phases_[static_cast<std::size_t>(e)] = begins ? EndpointState::draining : EndpointState::ready;
           tellAll(static_cast<std::uint32_t>(e), phases_[static_cast<std::size_t>(e)]);
         }
         return;
@@ -733,7 +733,8 @@
         // One more endpoint for each destination struck, that nobody is at.
         for (int e : plan_.struck(t)) {
           if (e % plan_.world.endpoints != 0) continue;
-          tellAll(static_cast<std::uint32_t>(plan_.endpointCount() + e), begins ? Phase::ready : Phase::gone);
+          tellAll(static_cast<std::uint32_t>(plan_.endpointCount() + e),
+                  begins ? EndpointState::ready : EndpointState::removed);
         }
         return;
       case TroubleKind::kill:
@@ -822,7 +823,7 @@
   std::uint64_t turn_{0};
   std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
   std::vector<Dispatcher> dispatchers_;
-  std::vector<Phase> phases_;
+  std::vector<EndpointState> phases_;
   std::vector<bool> pending_;  // of each message: its client waits for an answer
   std::unordered_map<std::uint32_t, Call> calls_;
   std::unordered_map<std::uint64_t, std::uint32_t> out_;  // of an attempt: its call
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -18,7 +18,7 @@
   DestinationId destination{};
   ZoneId room{};
   double weight{1};
-  Phase phase{Phase::ready};
+  EndpointState phase{EndpointState::ready};
 };
 
 class Policy {
@@ -31,8 +31,8 @@
   virtual void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) = 0;
   virtual void goesOutOn(MessageId id, int launch, Millis idle) = 0;
   virtual void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over,
-                           Millis wait, Report report) = 0;
-  virtual void probeEnded(EndpointId id, AttemptOutcome ending, Report report) = 0;
+                           Millis wait, LoadReport report) = 0;
+  virtual void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) = 0;
   virtual void clientGone(MessageId id) = 0;
   virtual void woken() = 0;
   virtual std::optional<Decision> next() = 0;
--- a/src/lab/town.cpp
+++ b/src/lab/town.cpp
@@ -207,7 +207,7 @@
   return w.limitPerSecond > 0 ? std::min(served, w.limitPerSecond / 1000) : served;
 }
 
-Report Town::report(Millis now, std::uint32_t endpoint) const {
+LoadReport Town::report(Millis now, std::uint32_t endpoint) const {
   return {capacity() * 1000 * warmth(now, destinationOf(endpoint)), -1};
 }
 
--- a/src/lab/town.h
+++ b/src/lab/town.h
@@ -68,7 +68,7 @@
   // 200, 503 or 0 for no answer.
   int probed(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
   // What a load report tells: the destination's limit or capacity, calls a second.
-  Report report(Millis now, std::uint32_t endpoint) const;
+  LoadReport report(Millis now, std::uint32_t endpoint) const;
 
  private:
   // Troubles add up: a count of those that are on, or the strongest of them.
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -24,8 +24,10 @@
   return head + "\r\n";
 }
 
-const char* stateOf(Phase phase) {
-  return phase == Phase::ready ? "in_service" : phase == Phase::draining ? "terminating" : "terminated";
+const char* stateOf(EndpointState phase) {
+  return phase == EndpointState::ready      ? "in_service"
+         : phase == EndpointState::draining ? "terminating"
+                                            : "terminated";
 }
 
 std::string parameter(const std::string& target, const std::string& name) {
@@ -63,7 +65,8 @@
     : loop_(loop), agenda_(agenda), clock_(clock), plan_(plan), town_(town), trace_(trace) {
   auto count = static_cast<std::size_t>(plan.endpointCount());
   endpoints_.resize(count);
-  told_.assign(static_cast<std::size_t>(plan.fleet.dispatchers), std::vector<Phase>(2 * count, Phase::ready));
+  told_.assign(static_cast<std::size_t>(plan.fleet.dispatchers),
+               std::vector<EndpointState>(2 * count, EndpointState::ready));
   for (int d = 0; d < plan.fleet.dispatchers; ++d) {
     std::string net = "127.0." + std::to_string(d + 1) + ".";
     platform_.push_back(std::make_unique<Server>(loop, *this, net + "1"));
@@ -74,7 +77,7 @@
       places_[servers.back().get()] = {d, e};
     }
   }
-  for (std::uint32_t e = 0; e < count; ++e) entries_.push_back({e, Phase::ready, 1});
+  for (std::uint32_t e = 0; e < count; ++e) entries_.push_back({e, EndpointState::ready, 1});
 }
 
 World::~World() = default;
@@ -110,7 +113,7 @@
 std::string World::known(int dispatcher) const {
   std::string rows;
   for (const Entry& e : entries_) {
-    if (e.phase != Phase::gone) rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
+    if (e.phase != EndpointState::removed) rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
   }
   return R"({"version":)" + std::to_string(version_) + R"(,"full":true,"servers":[)" + rows + "]}";
 }
@@ -120,7 +123,7 @@
   for (const Entry& e : entries_) {
     if (e.version <= since) continue;
     rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
-    Phase& told = told_[static_cast<std::size_t>(dispatcher)][e.endpoint];
+    EndpointState& told = told_[static_cast<std::size_t>(dispatcher)][e.endpoint];
     if (told == e.phase) continue;
     told = e.phase;
     trace_.events.push_back({.at = clock_.now(),
@@ -156,7 +159,7 @@
   });
 }
 
-void World::publish(std::uint32_t endpoint, Phase phase) {
+void World::publish(std::uint32_t endpoint, EndpointState phase) {
   Millis late = std::max(listLate_, listSilentUntil_ - clock_.now());
   agenda_.at(loop_.now() + std::max(0.0, late), [this, endpoint, phase] {
     ++version_;
@@ -244,7 +247,7 @@
 
 std::string World::reportOf(std::uint32_t endpoint) const {
   char limit[64];
-  std::snprintf(limit, sizeof limit, "x1=%.3f", town_.report(clock_.now(), endpoint).limit);
+  std::snprintf(limit, sizeof limit, "x1=%.3f", town_.report(clock_.now(), endpoint).rateLimit);
   return limit;
 }
 
@@ -387,12 +390,13 @@
   switch (t.kind) {
     case TroubleKind::drain:
       for (int e : plan_.struck(t))
-        publish(static_cast<std::uint32_t>(e), begins ? Phase::draining : Phase::ready);
+        publish(static_cast<std::uint32_t>(e), begins ? EndpointState::draining : EndpointState::ready);
       return;
     case TroubleKind::listWrong:
       for (int e : plan_.struck(t)) {
         if (e % plan_.world.endpoints != 0) continue;
-        publish(static_cast<std::uint32_t>(plan_.endpointCount() + e), begins ? Phase::ready : Phase::gone);
+        publish(static_cast<std::uint32_t>(plan_.endpointCount() + e),
+                begins ? EndpointState::ready : EndpointState::removed);
       }
       return;
     case TroubleKind::listLate:
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -40,7 +40,7 @@
   };
   struct Entry {
     std::uint32_t endpoint{};
-    Phase phase{Phase::ready};
+    EndpointState phase{EndpointState::ready};
     std::int64_t version{1};
   };
   struct Watch {
@@ -72,7 +72,7 @@
   void table(std::uint32_t endpoint);
   void catalog(const Place& place, Served& served, const Request& request);
   void answerWatch(int dispatcher, std::int64_t since, Served& served);
-  void publish(std::uint32_t endpoint, Phase phase);
+  void publish(std::uint32_t endpoint, EndpointState phase);
   void reports(Served& served, const Request& request);
   std::string entryText(int dispatcher, const Entry& entry) const;
   Millis oneWay(const Place& place) const;
@@ -91,8 +91,8 @@
   std::map<std::uint32_t, Millis> townAt_;
   std::vector<Entry> entries_;
   std::int64_t version_{1};
-  std::vector<std::vector<Phase>> told_;  // by dispatcher, then endpoint
-  std::map<int, Watch> watches_;          // by dispatcher
+  std::vector<std::vector<EndpointState>> told_;  // by dispatcher, then endpoint
+  std::map<int, Watch> watches_;                  // by dispatcher
   std::uint64_t serial_{0};
   std::uint32_t nextCall_{1};
   Millis listLate_{0};
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -57,7 +57,7 @@
 // Danger: of several connections to an endpoint the less used stand idle for long while others are busy, and
 // the module sees the endpoint alone. It says how long one is to be trusted; each is held to that.
 Millis Calls::idleMost() const {
-  return idleMost_ < kForever ? std::min(idleMost_, rules_.state().idleTrusted) : idleMost_;
+  return idleMost_ < kForever ? std::min(idleMost_, rules_.state().reusableIdleTime) : idleMost_;
 }
 
 void Calls::launch(const Decision& d) {
@@ -318,8 +318,8 @@
   }
 }
 
-Report reportIn(std::string_view report, const std::vector<std::string>& fields) {
-  Report told;
+LoadReport reportIn(std::string_view report, const std::vector<std::string>& fields) {
+  LoadReport told;
   while (!report.empty()) {
     std::size_t comma = std::min(report.find(','), report.size());
     std::string_view item = report.substr(0, comma);
@@ -333,8 +333,8 @@
     bool whole = error == std::errc() && end == number.data() + number.size();
     // Danger: noise taken for a limit. A report with any part that cannot be read tells nothing.
     if (!known || !whole || !std::isfinite(value) || value < 0) return {};
-    if (field == "x0") told.left = value;
-    if (field == "x1") told.limit = value;
+    if (field == "x0") told.remainingShare = value;
+    if (field == "x1") told.rateLimit = value;
   }
   return told;
 }
@@ -362,15 +362,15 @@
   if (ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending)) {
     book_.neverRan(m.message, m.attempt);
   }
-  Report report = line.status() != 0 ? reportIn(line.header("X-Load"), facts_.reported) : Report{};
+  LoadReport report = line.status() != 0 ? reportIn(line.header("X-Load"), facts_.reported) : LoadReport{};
   log::debug("launch.ended", {{"callback", m.ref},
                               {"launch", m.attempt},
                               {"endpoint", nameAt(line.endpoint)},
                               {"ending", nameOf(ending)},
                               {"spent_ms", loop_.now() - line.sent},
                               {"wait_ms", wait},
-                              {"limit", report.limit},
-                              {"left", report.left}});
+                              {"limit", report.rateLimit},
+                              {"left", report.remainingShare}});
   bool known = ends || book_.find(m.message) == nullptr;
   rules_.launchEnded(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
@@ -474,7 +474,7 @@
   return false;
 }
 
-void Calls::probeEnded(Line& line, AttemptOutcome ending, Report report) {
+void Calls::probeEnded(Line& line, AttemptOutcome ending, LoadReport report) {
   line.probing = false;
   --probesOut_;
   rules_.probeEnded(line.endpoint, ending, report);
--- a/src/net/calls.h
+++ b/src/net/calls.h
@@ -16,7 +16,7 @@
 namespace stonewing::net {
 
 // What a load report tells of the limit; one that cannot be read tells nothing.
-Report reportIn(std::string_view report, const std::vector<std::string>& fields);
+LoadReport reportIn(std::string_view report, const std::vector<std::string>& fields);
 
 // Carries attempts and probes to endpoints over HTTP/1.1 and tells the rules how each ended.
 class Calls : public HttpLink::Owner {
@@ -75,7 +75,7 @@
   bool stillWanted(Line& line);
   static void withhold(Line& line);
   void letGo(Line& line, AttemptOutcome ending);
-  void probeEnded(Line& line, AttemptOutcome ending, Report report = {});
+  void probeEnded(Line& line, AttemptOutcome ending, LoadReport report = {});
   void tell(Line& line, Member& member, AttemptOutcome ending, bool over, Millis wait);
   void tellAll(Line& line, AttemptOutcome ending, bool over = false, Millis wait = 0);
   void readMany(Line& line, Millis wait);
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -39,10 +39,10 @@
 // Room for thousands of endpoints, indented and with fields that we do not know; it is taken as it comes.
 constexpr std::size_t kAnswerMost = 8 * 1024 * 1024;
 
-Phase phaseOf(const std::string& state) {
-  if (state == "in_service") return Phase::ready;
-  if (state == "terminating") return Phase::draining;
-  if (state == "terminated") return Phase::gone;
+EndpointState phaseOf(const std::string& state) {
+  if (state == "in_service") return EndpointState::ready;
+  if (state == "terminating") return EndpointState::draining;
+  if (state == "terminated") return EndpointState::removed;
   throw Malformed("unknown state " + state);
 }
 
@@ -56,7 +56,7 @@
 struct Row {
   Site site;
   double weight{};
-  Phase phase{};
+  EndpointState phase{};
 };
 
 Row rowOf(const json& entry, const HostFacts& facts) try {
@@ -121,8 +121,8 @@
     if (known == rules_.state().endpoints.end()) return;
     const Endpoint& e = known->second;
     std::string state = said("state");
-    bool leaves = e.phase != Phase::gone && (state == "terminating" || state == "terminated");
-    rows.push_back({sites_.at(id->second), e.weight, leaves ? phaseOf(state) : e.phase});
+    bool leaves = e.state != EndpointState::removed && (state == "terminating" || state == "terminated");
+    rows.push_back({sites_.at(id->second), e.weight, leaves ? phaseOf(state) : e.state});
   };
   try {
     version = answer.at("version").get<std::int64_t>();
@@ -169,7 +169,7 @@
       EndpointId id = idOf(note.name);
       if (!sites_.try_emplace(id, Site{note, {}, {}}).second) continue;
       destinations_.insert(note.destination);
-      rules_.listed(id, note.destination, note.kind, note.zone, 0, Phase::gone);
+      rules_.listed(id, note.destination, note.kind, note.zone, 0, EndpointState::removed);
     }
   }
   rules_.listEnds(false);
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -347,7 +347,7 @@
 
 // What is believed of rooms, as it changes.
 void Dispatcher::tellRooms() {
-  const Rooms& rooms = rules_.state().rooms;
+  const Rooms& rooms = rules_.state().zones;
   if (!rooms.named()) return;
   roomsTold_.resize(facts_.zones.size());
   for (std::size_t n = 0; n < roomsTold_.size(); ++n) {
--- a/src/rooms/rooms.cpp
+++ b/src/rooms/rooms.cpp
@@ -14,11 +14,12 @@
 constexpr double kLostShare = 0.5;   // of a room's endpoints that fail, with nothing delivered there since
 constexpr std::size_t kLostFew = 3;  // or so many of them
 constexpr std::size_t kDestinations = 2;  // that they belong to: a dead destination is no dead room
-constexpr double kProbeSpans = 1;  // fall spans between two probes of a lost room, doubled by each loss
+constexpr double kProbeSpans =
+    1;  // overload windows between two health checks of a lost room, doubled by each loss
 constexpr double kLossPart = 0.5;  // of where the last climb began, after a further loss
 constexpr int kLossesMost = 4;
 constexpr double kTogether =
-    2;  // attempts in a fall span by all dispatchers into a room they know nothing of
+    2;  // attempts in a overload window by all dispatchers into a room they know nothing of
 constexpr double kJitterLeast = 0.75;  // of a span; a half more at the most
 constexpr double kUnlistedFrom = 0.5;  // where a climb begins after the list alone had dropped the room
 constexpr Millis kNever = 1e15;
@@ -191,8 +192,8 @@
   r.failingSince = now;
 }
 
-// Danger: the probes of hundreds of dispatchers alone push a room over that has just come back. Each keeps to
-// its part of what the room takes when it is cold.
+// Danger: the health checks of hundreds of dispatchers alone push a room over that has just come back. Each
+// keeps to its part of what the room takes when it is cold.
 Millis Rooms::probePause(const Room& r) {
   Millis part = 1000 / std::max(least_, whole(r) * terms_.climbFrom);
   return std::max(fallSpan_ * kProbeSpans, part) * std::exp2(std::max(0, r.losses - 1));
--- a/src/rooms/rooms.h
+++ b/src/rooms/rooms.h
@@ -30,7 +30,7 @@
   // Returns whether it is spilled; to be told again at its end.
   bool launched(Millis now, DestinationId destination, ZoneId room);
   void ended(bool spilled) { spilledOut_ -= spilled; }
-  // Something was delivered there, or a probe answered.
+  // Something was delivered there, or a health check answered.
   void works(Millis now, EndpointId endpoint, ZoneId room, bool delivered);
   // An endpoint has failed so many times in a row.
   void fails(Millis now, EndpointId endpoint, DestinationId destination, ZoneId room, int times);
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -1,8 +1,8 @@
 // The decisions of stonewing, all of them, for one instance. The interface is in rules.h.
 // Construct with the terms of the deployment and the seed; for each batch call roundBegins(now), the inputs
 // in the order in which they came (they only update what is known), then next() until it returns nothing, and
-// carry out each decision in order. Nothing is shared, and the same inputs give the same decisions. "Path" is
-// what waits, windows and outages belong to: a destination, or one endpoint of it where routes are apart.
+// carry out each decision in order. Nothing is shared, and the same inputs give the same decisions. "Route"
+// is what waits, windows and outages belong to: a destination, or one endpoint of it where routes are apart.
 #include "rules.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 constexpr double kCut = 0.75;
 constexpr double kLate = 2;  // a late answer, in p95 of the destination
 
-constexpr double kSilent = 3;         // no answer for this many p95: the path is silent
+constexpr double kSilent = 3;         // no answer for this many p95: the route is silent
 constexpr double kStuck = 4;          // an attempt is called off after so many p95, where answers come late
 constexpr double kStuckLost = 1.8;    // and where they do not come at all
 constexpr double kPatienceCut = 0.4;  // by an attempt called off
@@ -37,13 +37,13 @@
 constexpr double kOkSharePart = 1.0 / 8;      // of each answer in the running share that completes
 constexpr double kOkShareHard = 0.4;          // in place of it for a failed connection
 constexpr double kOkShareOutage = 0.5;
-constexpr int kUnheard = 4;            // attempts called off since its last answer that count as silence
-constexpr int kFailuresToAvoid = 2;    // of one endpoint while others of its destination work
-constexpr double kRefusalsMost = 4;    // doublings of the pause after refusals
-constexpr double kRelief = 0.35;       // of a doubling, taken back by a completion
-constexpr double kShutWait = 1.4;      // a told wait of so many fall spans is longer than any limit's span
-constexpr double kBlip = 2;            // fall spans without a completion that leave nothing cold
-constexpr double kShutSpans = 3;       // refusals alone for so many fall spans: shut
+constexpr int kUnheard = 4;          // attempts called off since its last answer that count as silence
+constexpr int kFailuresToAvoid = 2;  // of one endpoint while others of its destination work
+constexpr double kRefusalsMost = 4;  // doublings of the pause after refusals
+constexpr double kRelief = 0.35;     // of a doubling, taken back by a completion
+constexpr double kShutWait = 1.4;  // a told wait of so many overload windows is longer than any limit's span
+constexpr double kBlip = 2;        // overload windows without a completion that leave nothing cold
+constexpr double kShutSpans = 3;   // refusals alone for so many overload windows: shut
 constexpr double kRetryPause = 0.5;    // before a repeat after an error, in p50
 constexpr double kPauseFirst = 0.75;   // of the gap that our part of the limit leaves
 constexpr double kUnknownGap = 0.16;   // that gap where no limit is told, in p50 for each instance
@@ -51,14 +51,14 @@
 constexpr double kPaceStep = 0.05;     // halvings of it by an answer after which nothing or all is left
 constexpr double kPaceLeft = 0.5;      // the share left at which all together use the limit well
 constexpr double kPaceRefused = 0.5;   // and by a refusal
-constexpr double kPaceEase = 1;        // fall spans that take back one halving
+constexpr double kPaceEase = 1;        // overload windows that take back one halving
 constexpr double kWindowMargin = 0.1;  // of a repeat window left unused
 
 constexpr double kToldShare = 0.55;       // of the fall budget; under two thirds, so ours alone break nothing
 constexpr double kAskedShare = 0.5;       // of what we were asked to bring, thought to be within capacity
-constexpr double kColdTogether = 1;       // sends in a fall span from all instances, at the least
+constexpr double kColdTogether = 1;       // sends in a overload window from all instances, at the least
 constexpr double kFurtherWeight = 0.25;   // of a further message in a call, in calls
-constexpr double kColdCall = 2;           // most weight of a call to a cold path, in calls
+constexpr double kColdCall = 2;           // most weight of a call to a cold route, in calls
 constexpr double kRoughWeight = 1 / 1.5;  // a listed weight may be half too high
 
 constexpr double kTrustCut = 0.35;     // of the idle time trusted, when a table is full or a connection dead
@@ -77,7 +77,7 @@
     : terms_(std::move(terms)),
       chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
       s_(Rooms(terms_, mix(seed))) {
-  s_.idleTrusted = terms_.connectionIdle;
+  s_.reusableIdleTime = terms_.connectionIdle;
   for (double quota : terms_.tenantQuotaPerSecond) {
     s_.tenantQuotas.push_back({std::max(1.0, kTenantBurst * quota / terms_.instances)});
   }
@@ -89,14 +89,14 @@
   s_.now = now;
   ++s_.round;
   wakeWanted_ = -1;
-  if (s_.began < 0) s_.began = now;
-  if (s_.wakeAsked <= now) s_.wakeAsked = -1;
+  if (s_.startedAt < 0) s_.startedAt = now;
+  if (s_.timerSetFor <= now) s_.timerSetFor = -1;
 }
 
-void Rules::listBegins() { s_.listing.clear(); }
+void Rules::listBegins() { s_.listedEndpoints.clear(); }
 
 void Rules::listed(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight,
-                   Phase phase) {
+                   EndpointState phase) {
   Endpoint& e = s_.endpoints[id];
   e.id = id;
   e.destination = &s_.destinations[destination];
@@ -104,52 +104,54 @@
   e.kind = kind;
   e.zone = zone;
   e.weight = weight;
-  e.phase = phase;
+  e.state = phase;
   bool apart = kind.value < terms_.kinds.size() && terms_.kinds[kind.value].routesApart;
-  auto [at, fresh] = s_.paths.try_emplace(apart ? InstanceState::ownPath(id) : PathId{destination.value});
-  if (fresh) at->second.window = std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowStart));
-  e.path = &at->second;
-  e.path->destination = e.destination;
-  s_.listing.insert(id);
+  auto [at, fresh] = s_.routes.try_emplace(apart ? PolicyState::ownRoute(id) : RouteId{destination.value});
+  if (fresh)
+    at->second.concurrencyLimit = std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowStart));
+  e.route = &at->second;
+  e.route->destination = e.destination;
+  s_.listedEndpoints.insert(id);
 }
 
 void Rules::listEnds(bool whole) {
   quietUntil_ = -1;
   for (auto& [destination, d] : s_.destinations) d.ranking.clear();
-  for (auto& [id, p] : s_.paths) p.endpoints.clear();
-  s_.rooms.listBegins();
+  for (auto& [id, p] : s_.routes) p.endpoints.clear();
+  s_.zones.listBegins();
   for (auto& [id, e] : s_.endpoints) {
-    if (whole && !s_.listing.contains(id)) e.phase = Phase::gone;
-    if (e.phase != Phase::ready) continue;
-    e.path->endpoints.push_back(&e);
+    if (whole && !s_.listedEndpoints.contains(id)) e.state = EndpointState::removed;
+    if (e.state != EndpointState::ready) continue;
+    e.route->endpoints.push_back(&e);
     e.destination->ranking.push_back(&e);
-    s_.rooms.listed(id, e.destination->id, e.zone);
-    if (e.path->outage || e.failures > 0) s_.trials.insert(id);
+    s_.zones.listed(id, e.destination->id, e.zone);
+    if (e.route->outage || e.consecutiveFailures > 0) s_.healthCheckCandidates.insert(id);
   }
-  s_.rooms.listEnds(s_.now);
-  for (auto& [id, p] : s_.paths) {  // most may have started at this instant: they begin spread by chance
-    if (p.paceUntil < 0 && paced(p)) p.paceUntil = std::max(0.0, s_.now - draw() * kPaceDepth * paceGap(p));
+  s_.zones.listEnds(s_.now);
+  for (auto& [id, p] : s_.routes) {  // most may have started at this instant: they begin spread by chance
+    if (p.nextPacedRequestAt < 0 && paced(p))
+      p.nextPacedRequestAt = std::max(0.0, s_.now - draw() * kPaceDepth * paceGap(p));
   }
   // Fixed for each destination; the own zone goes first, since crossing zones takes time and is priced.
   auto place = [&](const Endpoint* e) {
-    return std::tuple(s_.rooms.tier(e->destination->id, e->zone), mix(e->id.value ^ mix(terms_.me)), e->id);
+    return std::tuple(s_.zones.tier(e->destination->id, e->zone), mix(e->id.value ^ mix(terms_.me)), e->id);
   };
   for (auto& [destination, d] : s_.destinations) {
     std::sort(d.ranking.begin(), d.ranking.end(),
               [&](const Endpoint* a, const Endpoint* b) { return place(a) < place(b); });
   }
-  s_.forgetGone(kForgotten * terms_.coldSpan);
+  s_.forgetRemovedEndpoints(kForgotten * terms_.coldSpan);
 }
 
 void Rules::taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
                   DestinationId destination, Millis outerLimit) {
   if (type.value >= terms_.types.size()) throw std::out_of_range("a callback of an unknown traffic type");
-  Message& c = s_.take(id, type, tenant, key, destination, outerLimit);
+  Message& c = s_.accept(id, type, tenant, key, destination, outerLimit);
   if (tenant.value < s_.tenantQuotas.size()) {
     TenantQuota& t = s_.tenantQuotas[tenant.value];
     // Dispatchers carry unlike loads: our part of a quota is an even one, or what came here so far.
     double quota = std::max(terms_.tenantQuotaPerSecond[tenant.value] / terms_.instances / 1000,
-                            ++t.acceptedCount / std::max(terms_.coldSpan, s_.now - s_.began));
+                            ++t.acceptedCount / std::max(terms_.coldSpan, s_.now - s_.startedAt));
     t.tokens = std::min(std::max(1.0, quota * kTenantBurst * 1000),
                         t.tokens + quota * (s_.now - std::exchange(t.refilledAt, s_.now)));
     c.overQuota = t.tokens < 1;
@@ -157,8 +159,8 @@
   }
   if (terms_.types[type.value].ordered && key.value != 0) s_.orderedQueues[key].messages.push_back(id);
   s_.deadlines.insert({outerLimit, id});
-  s_.place(id, c);
-  s_.spentFrom.insert({latestLaunch(c), id});
+  s_.updateIndexes(id, c);
+  s_.retryExhaustionTimes.insert({latestLaunch(c), id});
 }
 
 // After a restart: what was out may have run, for the rules on effects and for the count of attempts.
@@ -169,46 +171,47 @@
                         .pending = false,
                         .provablyNotExecuted = neverRan});
   if (!neverRan && type(c).ordered) s_.orderedQueues[c.orderingKey].pausedUntil = s_.now + terms_.orderPause;
-  s_.spentFrom.insert({s_.now, id});
-  s_.place(id, c);
+  s_.retryExhaustionTimes.insert({s_.now, id});
+  s_.updateIndexes(id, c);
 }
 
 void Rules::launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool isOver,
-                        Millis wait, Report report) {
+                        Millis wait, LoadReport report) {
   Message* c = s_.find(id);
   if (c == nullptr || launch >= static_cast<int>(c->attempts.size()) || !c->attempts[launch].pending) return;
   Attempt& l = c->attempts[launch];
   Endpoint& e = *l.endpoint;
-  Path& p = *e.path;
+  Route& p = *e.route;
   l.pending = c->responseStarted = false;
   quietUntil_ = -1;
   l.provablyNotExecuted =
       ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending);
   s_.releaseRequest(l);
-  e.usedAt = s_.now;
+  e.lastUsedAt = s_.now;
   Millis leastTrust = kTrustLeast * terms_.connectionIdle;  // connections also break that were hardly idle
   // A new connection refused with no report, where answers hold one: not by the limit, the table is full.
-  bool shutOut = ending == AttemptOutcome::rejected && s_.reported && report.limit < 0 && wait <= 0 &&
-                 l.connectionIdleTime <= 0;
-  if (shutOut || (ending == AttemptOutcome::connectFailed && p.okAt > s_.now - terms_.coldSpan)) {
-    s_.idleTrusted *= kTrustCut;  // calls complete there, so its table is full
+  bool shutOut = ending == AttemptOutcome::rejected && s_.loadReportSeen && report.rateLimit < 0 &&
+                 wait <= 0 && l.connectionIdleTime <= 0;
+  if (shutOut || (ending == AttemptOutcome::connectFailed && p.lastSuccessAt > s_.now - terms_.coldSpan)) {
+    s_.reusableIdleTime *= kTrustCut;  // calls complete there, so its table is full
   } else if (l.connectionIdleTime > leastTrust && ending == AttemptOutcome::reset) {
-    s_.idleTrusted = std::min(s_.idleTrusted, kTrustCut * l.connectionIdleTime);
-  } else if (l.connectionIdleTime > kTrustCut * s_.idleTrusted && ending == AttemptOutcome::completed) {
-    s_.idleTrusted = std::min(terms_.connectionIdle, kTrustGrowth * s_.idleTrusted);
+    s_.reusableIdleTime = std::min(s_.reusableIdleTime, kTrustCut * l.connectionIdleTime);
+  } else if (l.connectionIdleTime > kTrustCut * s_.reusableIdleTime && ending == AttemptOutcome::completed) {
+    s_.reusableIdleTime = std::min(terms_.connectionIdle, kTrustGrowth * s_.reusableIdleTime);
   }
-  s_.idleTrusted = std::max(s_.idleTrusted, leastTrust);
+  s_.reusableIdleTime = std::max(s_.reusableIdleTime, leastTrust);
   noteReport(p, e, report);
-  bool own = ending == AttemptOutcome::rejected && report.limit < 0 && p.limitTold >= 0 &&
-             wait <= 0;                                // not by the limit
-  p.waitUntil = std::max(p.waitUntil, s_.now + wait);  // also where only some of a call were refused
+  bool own = ending == AttemptOutcome::rejected && report.rateLimit < 0 && p.reportedRateLimit >= 0 &&
+             wait <= 0;  // not by the limit
+  p.retryAfterUntil =
+      std::max(p.retryAfterUntil, s_.now + wait);  // also where only some of a call were refused
   // Sooner than any answer, on a kept connection: that one had ended, which tells nothing of the endpoint.
   bool worn = ending == AttemptOutcome::reset && l.connectionIdleTime > 0 && spent < usual(p, type(*c)).p50;
   bool cutShort = ending == AttemptOutcome::timeout && s_.now >= c->deadline;  // perhaps only sent late
   if (ending == AttemptOutcome::completed) {
     noteOk(p, e, l.sentAt, spent);
   } else if (own && p.endpoints.size() > 1) {
-    s_.failing(e, e.failures + 1);
+    s_.recordFailure(e, e.consecutiveFailures + 1);
   } else if (ending == AttemptOutcome::rejected) {
     noteRefusal(p, e, wait, l.sentAt);
   } else if (ending != AttemptOutcome::cancelled && !isUnsent(ending) && !worn &&
@@ -225,12 +228,12 @@
       worn || (l.provablyNotExecuted &&
                ending != AttemptOutcome::localResourceExhausted);  // what we lacked we may lack still
   c->retryNotBefore = s_.now + (atOnce ? 0 : kRetryPause * usual(p, type(*c)).p50);
-  s_.place(id, *c);
+  s_.updateIndexes(id, *c);
   Millis at = anyMayHaveRun(*c) ? spentAt(*c) : std::min(spentAt(*c), latestLaunch(*c));
-  if (c->hasNoPendingAttempt() && at < c->deadline) s_.spentFrom.insert({at, id});
+  if (c->hasNoPendingAttempt() && at < c->deadline) s_.retryExhaustionTimes.insert({at, id});
   if (ending != AttemptOutcome::cancelled && !isUnsent(ending)) seen_ = {};
   if (isOver || ending == AttemptOutcome::completed) over(id);
-  s_.forgetSettled(id);
+  s_.forgetFinished(id);
 }
 
 // When a settled message may have no attempt left: now, or when the window of one that may have run closes.
@@ -255,236 +258,244 @@
     if (c->attempts[n].pending && !c->attempts[n].cancelled)
       s_.losingAttempts.emplace_back(id, static_cast<int>(n));
   }
-  s_.place(id, *c);
-  s_.forgetSettled(id);
+  s_.updateIndexes(id, *c);
+  s_.forgetFinished(id);
   return id;
 }
 
-void Rules::addSample(Samples& samples, Millis spent) {
-  samples.keep(spent, kReservoir, chance_);
-  bool young = samples.kept.size() <= kEnoughSamples;
-  if (!young && s_.now - samples.computed < kRecompute) return;
-  samples.computed = s_.now;
-  samples.usual = {samples.quantile(kQuantile), samples.quantile(0.5)};
+void Rules::addSample(LatencyReservoir& samples, Millis spent) {
+  samples.add(spent, kReservoir, chance_);
+  bool young = samples.samples.size() <= kEnoughSamples;
+  if (!young && s_.now - samples.computedAt < kRecompute) return;
+  samples.computedAt = s_.now;
+  samples.quantiles = {samples.quantile(kQuantile), samples.quantile(0.5)};
 }
 
-// What a path usually takes: by its own samples, the instance's or, with neither, the latency objective.
-Spread Rules::usual(const Path& p, const TrafficType& t) const {
-  if (p.samples.kept.size() >= kEnoughPooled) return p.samples.usual;
-  Spread known{t.promised * kDelayUnknown, t.promised * kDelayUnknown / kLate};
-  if (s_.samples.kept.size() >= kEnoughSamples) known = s_.samples.usual;
-  return {std::max(known.p95, p.samples.usual.p95), known.p50};
+// What a route usually takes: by its own samples, the instance's or, with neither, the latency objective.
+LatencyQuantiles Rules::usual(const Route& p, const TrafficType& t) const {
+  if (p.latencies.samples.size() >= kEnoughPooled) return p.latencies.quantiles;
+  LatencyQuantiles known{t.promised * kDelayUnknown, t.promised * kDelayUnknown / kLate};
+  if (s_.latencies.samples.size() >= kEnoughSamples) known = s_.latencies.quantiles;
+  return {std::max(known.p95, p.latencies.quantiles.p95), known.p50};
 }
 
-Millis Rules::copyDelay(const Message& c, const Endpoint& e, const Path& p, Millis sent) const {
+Millis Rules::copyDelay(const Message& c, const Endpoint& e, const Route& p, Millis sent) const {
   const TrafficType& t = type(c);
-  Millis p95 = e.samples.kept.size() >= kEnoughSamples ? e.samples.usual.p95 : usual(p, t).p95;
+  Millis p95 = e.latencies.samples.size() >= kEnoughSamples ? e.latencies.quantiles.p95 : usual(p, t).p95;
   Millis clamped = std::clamp(p95, t.promised * kDelayLeast, t.promised * kDelayMost);
   return std::min(clamped, (c.deadline - sent) / 2);
 }
 
 // One episode cuts once: attempts sent before the last cut belong to the same trouble.
-void Rules::cut(Path& p, Millis sent) {
-  if (sent < p.lastCut) return;
-  p.lastCut = s_.now;
-  p.timely = 0;
-  p.window = std::max(1.0, p.window * kCut);
+void Rules::cut(Route& p, Millis sent) {
+  if (sent < p.lastDecreaseAt) return;
+  p.lastDecreaseAt = s_.now;
+  p.timelyResponses = 0;
+  p.concurrencyLimit = std::max(1.0, p.concurrencyLimit * kCut);
 }
 
 // A limit on calls a second can lie under one call after the other, at one sender or at all together, and
 // refused calls can use it up: then all keep it shut for each other. So the window goes on below one call in
 // flight as a pause between calls, doubled by a refusal and halved by a completion. Pauses longer than our
 // even part of a told limit would leave it unused.
-Millis Rules::pause(const Path& p) {
+Millis Rules::pause(const Route& p) {
   Millis gap = 1000 / shareOfCapacity(p);
   if (shareTold(p) <= 0) {
     gap = std::min(gap, usual(p, terms_.types.front()).p50 * std::max(1.0, kUnknownGap * terms_.instances));
   }
-  return gap * kPauseFirst * std::exp2(p.refusals - 1) * (0.5 + draw());
+  return gap * kPauseFirst * std::exp2(p.consecutiveRejections - 1) * (0.5 + draw());
 }
 
-void Rules::outageBegins(Path& p, bool told) {
+void Rules::outageBegins(Route& p, bool told) {
   p.outage = true;
-  p.told = told;
-  p.cold = false;
-  p.nextPush = std::max(p.waitUntil, s_.now) + coldSpacing(p) * draw();
+  p.outageConfirmed = told;
+  p.warmingUp = false;
+  p.nextSlowStartSendAt = std::max(p.retryAfterUntil, s_.now) + coldSpacing(p) * draw();
   lookAgain(p);
 }
 
 // Something has changed by which its endpoints may be probed sooner.
-void Rules::lookAgain(const Path& p) {
+void Rules::lookAgain(const Route& p) {
   quietUntil_ = -1;
-  for (const Endpoint* e : p.endpoints) s_.trials.insert(e->id);
+  for (const Endpoint* e : p.endpoints) s_.healthCheckCandidates.insert(e->id);
 }
 
-void Rules::returned(Path& p) {
+void Rules::returned(Route& p) {
   p.outage = false;
-  p.cold = s_.now - p.okAt > kBlip * terms_.fallSpan;
-  p.coldSince = p.okCounted = s_.now;
-  p.nextPush = s_.now + coldSpacing(p) * draw();
-  p.okShare = 1;
-  p.refusals = 0;
+  p.warmingUp = s_.now - p.lastSuccessAt > kBlip * terms_.fallSpan;
+  p.warmUpStartedAt = p.recentSuccessesAt = s_.now;
+  p.nextSlowStartSendAt = s_.now + coldSpacing(p) * draw();
+  p.successShare = 1;
+  p.consecutiveRejections = 0;
   lookAgain(p);
 }
 
-void Rules::noteOk(Path& p, Endpoint& e, Millis sent, Millis spent) {
-  bool enough = p.samples.kept.size() >= kEnoughPooled;
-  if (enough && spent > kLate * p.samples.usual.p95) {
+void Rules::noteOk(Route& p, Endpoint& e, Millis sent, Millis spent) {
+  bool enough = p.latencies.samples.size() >= kEnoughPooled;
+  if (enough && spent > kLate * p.latencies.quantiles.p95) {
     cut(p, sent);
-  } else if (++p.timely >= p.window) {
-    p.timely = 0;
-    p.window = std::min(std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowTop)), p.window + 1);
-  }
-  addSample(e.samples, spent);
-  addSample(p.samples, spent);
-  addSample(s_.samples, spent);
-  s_.patience += kPatienceGrowth * (1 - s_.patience);
-  s_.works(e, true);
-  e.okAt = s_.now;
-  if (!p.cold) {
-    p.okCount = 1 + p.okCount * std::exp(-(s_.now - p.okCounted) / terms_.coldSpan);
-    p.okCounted = s_.now;
-  }
-  if (p.outage && p.told) returned(p);
-  p.okAt = s_.now;
-  p.okSentAt = std::max(p.okSentAt, sent);
+  } else if (++p.timelyResponses >= p.concurrencyLimit) {
+    p.timelyResponses = 0;
+    p.concurrencyLimit = std::min(std::max(1.0, std::floor(terms_.maxConcurrentRequests * kWindowTop)),
+                                  p.concurrencyLimit + 1);
+  }
+  addSample(e.latencies, spent);
+  addSample(p.latencies, spent);
+  addSample(s_.latencies, spent);
+  s_.timeoutScale += kPatienceGrowth * (1 - s_.timeoutScale);
+  s_.recordSuccess(e, true);
+  e.lastSuccessAt = s_.now;
+  if (!p.warmingUp) {
+    p.recentSuccesses = 1 + p.recentSuccesses * std::exp(-(s_.now - p.recentSuccessesAt) / terms_.coldSpan);
+    p.recentSuccessesAt = s_.now;
+  }
+  if (p.outage && p.outageConfirmed) returned(p);
+  p.lastSuccessAt = s_.now;
+  p.lastSuccessSentAt = std::max(p.lastSuccessSentAt, sent);
   if (std::exchange(p.outage, false)) lookAgain(p);
-  p.okShare += kOkSharePart * (1 - p.okShare);
-  p.refusedSince = -1;
-  if (sent >= p.refusedAt) p.refusals = std::max(0.0, p.refusals - kRelief);
+  p.successShare += kOkSharePart * (1 - p.successShare);
+  p.rejectedSince = -1;
+  if (sent >= p.lastRejectionAt) p.consecutiveRejections = std::max(0.0, p.consecutiveRejections - kRelief);
 }
 
 // One failure proves little, nor do a few in a row where a part of the calls breaks: an outage fails most.
-void Rules::noteFailure(Path& p, Endpoint& e, Millis sent, AttemptOutcome ending) {
+void Rules::noteFailure(Route& p, Endpoint& e, Millis sent, AttemptOutcome ending) {
   bool hard =
       ending == AttemptOutcome::connectFailed;  // holds a slot for the whole time-out, and is no chance
-  s_.failing(e, e.failures + (hard ? kFailuresToAvoid : 1));
+  s_.recordFailure(e, e.consecutiveFailures + (hard ? kFailuresToAvoid : 1));
   if (hard || ending == AttemptOutcome::timeout) cut(p, sent);  // an error or a break tells nothing of load
-  if (p.outage) p.told = true;
-  if (p.outage || p.okAt > sent) return;  // others complete: crowded or unlucky, not out
-  p.okShare *= 1 - (hard ? kOkShareHard : kOkSharePart);
-  if (p.okShare <= kOkShareOutage) outageBegins(p, true);
-}
-
-void Rules::noteRefusal(Path& p, Endpoint& e, Millis wait, Millis sent) {
-  e.failedAt = s_.now;
-  if (p.refusedSince < 0) p.refusedSince = s_.now;
-  if (sent >= p.refusedAt) p.refusals = std::min(p.refusals + 1, kRefusalsMost);
-  p.refusedAt = s_.now;
+  if (p.outage) p.outageConfirmed = true;
+  if (p.outage || p.lastSuccessAt > sent) return;  // others complete: crowded or unlucky, not out
+  p.successShare *= 1 - (hard ? kOkShareHard : kOkSharePart);
+  if (p.successShare <= kOkShareOutage) outageBegins(p, true);
+}
+
+void Rules::noteRefusal(Route& p, Endpoint& e, Millis wait, Millis sent) {
+  e.lastFailureAt = s_.now;
+  if (p.rejectedSince < 0) p.rejectedSince = s_.now;
+  if (sent >= p.lastRejectionAt)
+    p.consecutiveRejections = std::min(p.consecutiveRejections + 1, kRefusalsMost);
+  p.lastRejectionAt = s_.now;
   cut(p, sent);
   if (paced(p)) {
     easePace(p);
-    p.pace = std::min(p.pace + kPaceRefused, kRefusalsMost);
-    p.paceUntil = std::max(p.paceUntil, s_.now + wait + paceGap(p) * draw());
+    p.rateHalvings = std::min(p.rateHalvings + kPaceRefused, kRefusalsMost);
+    p.nextPacedRequestAt = std::max(p.nextPacedRequestAt, s_.now + wait + paceGap(p) * draw());
   } else {
-    p.pauseUntil = std::max(p.pauseUntil, s_.now + wait + pause(p));
+    p.backoffUntil = std::max(p.backoffUntil, s_.now + wait + pause(p));
   }
   // Shut, not merely over its limit: a wait longer than a limit's span, or refusals alone for long. A limit
   // that others use up refuses us a few times in a row too, and a ramp after that would cost the service.
-  bool nothingElse = p.refusals >= kRefusalsMost && s_.now - p.refusedSince > kShutSpans * terms_.fallSpan;
-  if (p.outage) p.told = true;
+  bool nothingElse =
+      p.consecutiveRejections >= kRefusalsMost && s_.now - p.rejectedSince > kShutSpans * terms_.fallSpan;
+  if (p.outage) p.outageConfirmed = true;
   if (!p.outage && (wait > kShutWait * terms_.fallSpan || nothingElse)) outageBegins(p, true);
 }
 
-void Rules::probeEnded(EndpointId id, AttemptOutcome ending, Report report) {
+void Rules::probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) {
   auto at = s_.endpoints.find(id);
   if (at == s_.endpoints.end()) return;
-  Path& p = *at->second.path;
-  p.probeOut = false;
+  Route& p = *at->second.route;
+  p.healthCheckPending = false;
   lookAgain(p);
   if (ending == AttemptOutcome::localResourceExhausted)
-    at->second.failedAt = s_.now;  // it rests again, and has told nothing
+    at->second.lastFailureAt = s_.now;  // it rests again, and has told nothing
   if (ending == AttemptOutcome::localResourceExhausted) return;
   noteReport(p, at->second, report);
   if (ending != AttemptOutcome::completed) {
-    p.told = true;
-    s_.failing(at->second, at->second.failures + 1);
+    p.outageConfirmed = true;
+    s_.recordFailure(at->second, at->second.consecutiveFailures + 1);
   } else {
     if (p.outage) returned(p);
-    if (!at->second.silent) p.okAt = s_.now;  // one hung: what is out there tells no more of the path
-    s_.works(at->second, false);
+    if (!at->second.unresponsive)
+      p.lastSuccessAt = s_.now;  // one hung: what is out there tells no more of the route
+    s_.recordSuccess(at->second, false);
   }
 }
 
-// Danger: the answer may come from an endpoint that has gone, and its path have none left by then.
-void Rules::noteReport(Path& p, const Endpoint& e, Report report) {
-  if (report.limit < 0) return;
-  p.limitTold = report.limit;
-  s_.reported = true;
+// Danger: the answer may come from an endpoint that has gone, and its route have none left by then.
+void Rules::noteReport(Route& p, const Endpoint& e, LoadReport report) {
+  if (report.rateLimit < 0) return;
+  p.reportedRateLimit = report.rateLimit;
+  s_.loadReportSeen = true;
   easePace(p);
-  if (report.limit <= 0 || report.left < 0) return;
+  if (report.rateLimit <= 0 || report.remainingShare < 0) return;
   double least = perCall(e) > 1 ? 0 : -kRefusalsMost;
-  p.pace += kPaceStep * (kPaceLeft - std::min(1.0, report.left)) / kPaceLeft;
-  p.pace = std::clamp(p.pace, least, kRefusalsMost);
+  p.rateHalvings += kPaceStep * (kPaceLeft - std::min(1.0, report.remainingShare)) / kPaceLeft;
+  p.rateHalvings = std::clamp(p.rateHalvings, least, kRefusalsMost);
 }
 
-void Rules::easePace(Path& p) {
-  Millis since = s_.now - std::exchange(p.paceEased, s_.now);
-  if (p.pace > 0) p.pace = std::max(0.0, p.pace - since / (kPaceEase * terms_.fallSpan));
+void Rules::easePace(Route& p) {
+  Millis since = s_.now - std::exchange(p.rateHalvingsAt, s_.now);
+  if (p.rateHalvings > 0)
+    p.rateHalvings = std::max(0.0, p.rateHalvings - since / (kPaceEase * terms_.fallSpan));
 }
 
-// Danger: noise that reads as a limit near nothing would keep a path shut; no gap is longer than a cold span.
-Millis Rules::paceGap(const Path& p) const {
-  return std::min(terms_.coldSpan, 1000 * std::exp2(p.pace) / std::max(1e-9, shareTold(p)));
+// Danger: noise that reads as a limit near nothing would keep a route shut; no gap is longer than a
+// slow-start duration.
+Millis Rules::paceGap(const Route& p) const {
+  return std::min(terms_.coldSpan, 1000 * std::exp2(p.rateHalvings) / std::max(1e-9, shareTold(p)));
 }
 
 // Our even part of the limit that is told, in calls a second; 0 where none is.
-double Rules::shareTold(const Path& p) const {
-  double told = p.limitTold;
+double Rules::shareTold(const Route& p) const {
+  double told = p.reportedRateLimit;
   if (told < 0 && terms_.weightsTold) {
     for (const Endpoint* e : p.endpoints) told = std::max(told, e->weight * kRoughWeight);
   }
   return std::max(0.0, told) / terms_.instances;
 }
 
-// Our part of what the path can do, calls a second: our even part of what is told, or a part of what we were
+// Our part of what the route can do, calls a second: our even part of what is told, or a part of what we were
 // asked to bring there, for dispatchers carry unlike loads: limits are made for what comes, but surges and
 // repeats of clients count in it too.
-double Rules::shareOfCapacity(const Path& p) const {
+double Rules::shareOfCapacity(const Route& p) const {
   auto part = static_cast<double>(p.endpoints.size()) / std::max<double>(1, p.destination->ranking.size());
   double asked =
-      kAskedShare * part * p.destination->acceptedCount / std::max(terms_.coldSpan, s_.now - s_.began);
+      kAskedShare * part * p.destination->acceptedCount / std::max(terms_.coldSpan, s_.now - s_.startedAt);
   return std::max({shareTold(p), asked * 1000, 1e-9});
 }
 
 // The same by what it did for us before an outage, if that is more.
-double Rules::shareShown(const Path& p) const {
-  Millis span = std::clamp(s_.now - s_.began, terms_.fallSpan, terms_.coldSpan);  // not from one or two alone
-  return std::max(p.okCount / span * 1000, shareOfCapacity(p));
+double Rules::shareShown(const Route& p) const {
+  Millis span =
+      std::clamp(s_.now - s_.startedAt, terms_.fallSpan, terms_.coldSpan);  // not from one or two alone
+  return std::max(p.recentSuccesses / span * 1000, shareOfCapacity(p));
 }
 
 // A cold destination falls over when pushed. Our sends to one keep apart so far that they stay under our part
-// of what it takes, which grows while it warms; the instances together send about two in a fall span where
-// that part is not known.
-Millis Rules::coldSpacing(const Path& p) {
-  double warm = p.cold ? std::clamp((s_.now - p.coldSince) / terms_.coldSpan, 0.0, 1.0) : 0;
+// of what it takes, which grows while it warms; the instances together send about two in a overload window
+// where that part is not known.
+Millis Rules::coldSpacing(const Route& p) {
+  double warm = p.warmingUp ? std::clamp((s_.now - p.warmUpStartedAt) / terms_.coldSpan, 0.0, 1.0) : 0;
   double whole = kToldShare * terms_.fallMultiple * shareShown(p) / 1000;
   double least = kColdTogether / terms_.instances / terms_.fallSpan;
   double rate = std::max(least, whole * (terms_.coldFrom + (1 - terms_.coldFrom) * warm));
-  double growth = p.cold ? whole * (1 - terms_.coldFrom) / terms_.coldSpan : 0;
+  double growth = p.warmingUp ? whole * (1 - terms_.coldFrom) / terms_.coldSpan : 0;
   return growth > 0 ? (std::sqrt(rate * rate + 2 * growth) - rate) / growth : 1 / rate;
 }
 
-void Rules::pushed(Path& p) {
-  if (p.outage || p.cold) p.nextPush = s_.now + coldSpacing(p) * (0.75 + 0.5 * draw());
+void Rules::pushed(Route& p) {
+  if (p.outage || p.warmingUp) p.nextSlowStartSendAt = s_.now + coldSpacing(p) * (0.75 + 0.5 * draw());
 }
 
-bool Rules::pathOpen(Path& p) {
-  if (!reached(std::max({p.waitUntil, p.pauseUntil, p.paceUntil}))) return false;
-  if (p.cold && s_.now - p.coldSince >= terms_.coldSpan) {
-    p.cold = p.told = false;
+bool Rules::pathOpen(Route& p) {
+  if (!reached(std::max({p.retryAfterUntil, p.backoffUntil, p.nextPacedRequestAt}))) return false;
+  if (p.warmingUp && s_.now - p.warmUpStartedAt >= terms_.coldSpan) {
+    p.warmingUp = p.outageConfirmed = false;
     lookAgain(p);
   }
-  if (!p.outage && !p.cold) return true;
+  if (!p.outage && !p.warmingUp) return true;
   if (p.outage && terms_.mayHealthCheck) return false;
-  reached(p.cold ? std::min(p.nextPush, p.coldSince + terms_.coldSpan) : p.nextPush);
-  return s_.now >= p.nextPush;
+  reached(p.warmingUp ? std::min(p.nextSlowStartSendAt, p.warmUpStartedAt + terms_.coldSpan)
+                      : p.nextSlowStartSendAt);
+  return s_.now >= p.nextSlowStartSendAt;
 }
 
 // A lost room gets nothing, one that returns is fed along its curve, and strangers keep to their part of a
 // room. What cannot go anywhere waits; how long that will be is not known, so it is asked again before long.
 bool Rules::roomOpen(const Endpoint& e) {
-  return reached(std::min(s_.rooms.launchFrom(e.destination->id, e.zone), s_.now + terms_.fallSpan));
+  return reached(std::min(s_.zones.launchFrom(e.destination->id, e.zone), s_.now + terms_.fallSpan));
 }
 
 double Rules::gainAt(const Message& c, Millis at) const {
@@ -518,7 +529,8 @@
   if (at == s_.messages.end() || at->second.finished) return false;
   const Attempt& l = at->second.attempts.at(static_cast<std::size_t>(launch));
   const Endpoint& e = *l.endpoint;
-  return e.phase == Phase::ready && s_.now >= e.path->waitUntil && repeatAllowed(at->second, &e, &l);
+  return e.state == EndpointState::ready && s_.now >= e.route->retryAfterUntil &&
+         repeatAllowed(at->second, &e, &l);
 }
 
 // A shed reply promises that trying again is harmless.
@@ -539,34 +551,35 @@
   return e.kind.value < terms_.kinds.size() ? terms_.kinds[e.kind.value].maxBatchSize : 1;
 }
 
-// Further messages in a call weigh less than a call; to a cold path a full call would be a push of its own.
+// Further messages in a call weigh less than a call; to a cold route a full call would be a push of its own.
 bool Rules::joins(const Endpoint& e) {
   if (e.batchRound != s_.round || e.batchSize >= perCall(e)) return false;
-  const Path& p = *e.path;
-  return !(p.outage || p.cold) ||
+  const Route& p = *e.route;
+  return !(p.outage || p.warmingUp) ||
          1 + kFurtherWeight * e.batchSize <= std::max(kColdCall, terms_.fallSpan / coldSpacing(p));
 }
 
-bool Rules::room(const Path& p, const Endpoint& e) {
+bool Rules::room(const Route& p, const Endpoint& e) {
   if (joins(e)) return true;
-  bool single = p.refusals > 0 && !paced(p);
-  int most = single ? 1 : std::max(1, static_cast<int>(p.window));
+  bool single = p.consecutiveRejections > 0 && !paced(p);
+  int most = single ? 1 : std::max(1, static_cast<int>(p.concurrencyLimit));
   if (single) {  // calls that hang say nothing of a limit, and must not keep the rest shut
-    for (const Endpoint* o : p.endpoints) most += o->silent ? o->requestsInFlight : 0;
+    for (const Endpoint* o : p.endpoints) most += o->unresponsive ? o->requestsInFlight : 0;
   }
   if (s_.requestsInFlight >= terms_.maxConcurrentRequests || p.requestsInFlight >= most) return false;
   int out = e.destination->requestsInFlight;  // also those at endpoints that drain
   return out < std::max(1, static_cast<int>(terms_.maxConcurrentRequests * kWindowTop));
 }
 
-// Failing while others of its destination work: until a probe is answered or, with none allowed, for a while.
+// Failing while others of its destination work: until a health check is answered or, with none allowed, for a
+// while.
 bool Rules::avoided(const Endpoint& e) {
-  return e.failures >= kFailuresToAvoid &&
+  return e.consecutiveFailures >= kFailuresToAvoid &&
          (terms_.mayHealthCheck || s_.now < restEnds(e) || e.requestsInFlight > 0);
 }
 
 Millis Rules::restEnds(const Endpoint& e) const {
-  return e.failedAt + std::min(terms_.coldSpan, terms_.fallSpan * e.failures);
+  return e.lastFailureAt + std::min(terms_.coldSpan, terms_.fallSpan * e.consecutiveFailures);
 }
 
 // First in rank, the next when that one has enough: its part of the window, or failures while others work.
@@ -575,15 +588,16 @@
   std::tuple<bool, bool, int> bestPlace;
   for (Endpoint* to : c.destination->ranking) {
     Endpoint& e = *to;
-    Path& p = *e.path;
+    Route& p = *e.route;
     bool used = std::any_of(c.attempts.begin(), c.attempts.end(),
                             [&](const Attempt& l) { return l.endpoint == to && (copy || l.pending); });
     if (used || !repeatAllowed(c, &e)) continue;
-    if (copy && (p.outage || p.cold || p.refusals > 0 || p.window < p.requestsInFlight + 2 || avoided(e)))
+    if (copy && (p.outage || p.warmingUp || p.consecutiveRejections > 0 ||
+                 p.concurrencyLimit < p.requestsInFlight + 2 || avoided(e)))
       continue;
     if (!roomOpen(e) || (!joins(e) && (!pathOpen(p) || !room(p, e)))) continue;
-    int enough = std::max(
-        1, static_cast<int>(std::ceil(p.window / static_cast<double>(c.destination->ranking.size()))));
+    int enough = std::max(1, static_cast<int>(std::ceil(p.concurrencyLimit /
+                                                        static_cast<double>(c.destination->ranking.size()))));
     bool has = !joins(e) && e.requestsInFlight >= enough;
     auto place = std::tuple(avoided(e), has, has ? e.requestsInFlight : 0);
     if (best == nullptr || place < bestPlace) {
@@ -596,20 +610,20 @@
 
 Decision Rules::launch(MessageId id, Endpoint& e, bool copy) {
   Message& c = s_.messages[id];
-  Path& p = *e.path;
-  Millis idle = e.usedAt >= 0 && e.requestsInFlight == 0 ? s_.now - e.usedAt : 0;
+  Route& p = *e.route;
+  Millis idle = e.lastUsedAt >= 0 && e.requestsInFlight == 0 ? s_.now - e.lastUsedAt : 0;
   if (joins(e)) {
     ++e.batchSize;
-    if (p.outage || p.cold) p.nextPush += kFurtherWeight * coldSpacing(p);
+    if (p.outage || p.warmingUp) p.nextSlowStartSendAt += kFurtherWeight * coldSpacing(p);
   } else {
     s_.openRequest(e);
     pushed(p);
     easePace(p);
     if (paced(p)) {
       Millis gap = paceGap(p);
-      p.paceUntil = std::max(p.paceUntil, s_.now - kPaceDepth * gap) + gap;
-    } else if (p.refusals > 0) {
-      p.pauseUntil = std::max(p.pauseUntil, s_.now + pause(p));
+      p.nextPacedRequestAt = std::max(p.nextPacedRequestAt, s_.now - kPaceDepth * gap) + gap;
+    } else if (p.consecutiveRejections > 0) {
+      p.backoffUntil = std::max(p.backoffUntil, s_.now + pause(p));
     }
   }
   ++s_.requests[e.batchRequestId].openAttempts;
@@ -624,14 +638,14 @@
     span = std::min(span, std::max(type(c).promised, kStuck * usual(p, type(c)).p95));
   }
   c.hedged = c.hedged || copy;
-  bool spilled = s_.rooms.launched(s_.now, e.destination->id, e.zone);
+  bool spilled = s_.zones.launched(s_.now, e.destination->id, e.zone);
   c.attempts.push_back({.endpoint = &e,
                         .sentAt = s_.now,
                         .connectionIdleTime = idle,
                         .requestId = e.batchRequestId,
                         .isHedge = copy,
                         .isSpillover = spilled});
-  s_.place(id, c);
+  s_.updateIndexes(id, c);
   reached(s_.now + silenceOf(c, p));
   asked_.launched = s_.round;
   return {Act::launch, id, e.id, static_cast<int>(c.attempts.size()) - 1, span};
@@ -643,11 +657,11 @@
   return s_.now >= at;
 }
 
-Millis Rules::silenceOf(const Message& c, const Path& p) const {
+Millis Rules::silenceOf(const Message& c, const Route& p) const {
   return kSilent * std::max(usual(p, type(c)).p95, kDelayLeast * type(c).promised);
 }
 
-// A hung endpoint gives no late answer to learn from: a path with nothing answered for long since an attempt
+// A hung endpoint gives no late answer to learn from: a route with nothing answered for long since an attempt
 // went out is taken for out. Looked at once a round, and again after an answer.
 void Rules::noticeSilence() {
   if (quiet() || std::exchange(seen_.silence, s_.round) == s_.round) return;
@@ -656,26 +670,29 @@
     for (Attempt& l : c.attempts) {
       if (!l.pending || c.responseStarted) continue;
       Endpoint& e = *l.endpoint;
-      Path& p = *e.path;
+      Route& p = *e.route;
       Millis silence = silenceOf(c, p);
-      if (reached(l.sentAt + silence) && !p.outage && p.okAt <= l.sentAt) outageBegins(p, p.told);
+      if (reached(l.sentAt + silence) && !p.outage && p.lastSuccessAt <= l.sentAt)
+        outageBegins(p, p.outageConfirmed);
       // One endpoint of several hangs: by a call that nothing overtook, or by several since the last answer.
       // Danger: with all concurrent requests out attempts are called off before one is out for so long.
-      Millis since = e.unheard >= kUnheard ? std::min(e.unheardSince, l.sentAt) : l.sentAt;
-      bool hangs = e.requestsInFlight >= (e.okAt <= since ? 1 : kFailuresToAvoid);
-      if (e.silent || !hangs || !reached(std::max(since, e.okAt) + silence)) continue;
-      e.silent = true;
-      s_.failing(e, std::max(e.failures, kFailuresToAvoid));
-      if (!p.outage && p.okAt <= since && p.allFailed(kFailuresToAvoid)) outageBegins(p, p.told);
+      Millis since = e.consecutiveTimeouts >= kUnheard ? std::min(e.firstTimeoutSentAt, l.sentAt) : l.sentAt;
+      bool hangs = e.requestsInFlight >= (e.lastSuccessAt <= since ? 1 : kFailuresToAvoid);
+      if (e.unresponsive || !hangs || !reached(std::max(since, e.lastSuccessAt) + silence)) continue;
+      e.unresponsive = true;
+      s_.recordFailure(e, std::max(e.consecutiveFailures, kFailuresToAvoid));
+      if (!p.outage && p.lastSuccessAt <= since && p.allFailed(kFailuresToAvoid))
+        outageBegins(p, p.outageConfirmed);
     }
   }
 }
 
-// The latest at which an attempt of it may still be answered in time, by what its fastest path usually takes.
+// The latest at which an attempt of it may still be answered in time, by what its fastest route usually
+// takes.
 Millis Rules::latestLaunch(const Message& c) const {
   Millis latest = c.destination->ranking.empty() ? c.deadline : -1;
   for (const Endpoint* e : c.destination->ranking)
-    latest = std::max(latest, c.deadline - kChanceLeast * usual(*e->path, type(c)).p50);
+    latest = std::max(latest, c.deadline - kChanceLeast * usual(*e->route, type(c)).p50);
   return latest;
 }
 
@@ -685,7 +702,7 @@
 
 // Danger: what waits in vain and never ran passes for failed, as if it had been tried. In a large fleet
 // each dispatcher has few calls to a destination, and many wait so. It is shed, once no attempt can be
-// answered in time. Not before, though its path may be known to open too late: its client would come again
+// answered in time. Not before, though its route may be known to open too late: its client would come again
 // and push there.
 std::optional<Decision> Rules::dueAnswer() {
   for (const auto& [limit, id] : s_.deadlines) {
@@ -693,16 +710,16 @@
     const Message& c = s_.messages.at(id);
     if (!c.responseStarted) return Decision{anyMayHaveRun(c) ? Act::giveUp : Act::shed, over(id), {}, 0, 0};
   }
-  while (!s_.spentFrom.empty() && reached(s_.spentFrom.begin()->first)) {
-    MessageId id = s_.spentFrom.begin()->second;
-    s_.spentFrom.erase(s_.spentFrom.begin());
+  while (!s_.retryExhaustionTimes.empty() && reached(s_.retryExhaustionTimes.begin()->first)) {
+    MessageId id = s_.retryExhaustionTimes.begin()->second;
+    s_.retryExhaustionTimes.erase(s_.retryExhaustionTimes.begin());
     const Message* c = s_.find(id);
     if (c == nullptr || c->finished || !c->hasNoPendingAttempt()) continue;
     if (!repeatAllowed(*c, nullptr)) return Decision{Act::giveUp, over(id), {}, 0, 0};
     if (anyMayHaveRun(*c)) continue;
     Millis latest = latestLaunch(*c);
     if (s_.now >= latest) return shed(id, 0);
-    s_.spentFrom.insert({latest, id});
+    s_.retryExhaustionTimes.insert({latest, id});
   }
   return std::nullopt;
 }
@@ -711,16 +728,17 @@
 // In a line the oldest has the least left.
 std::optional<Decision> Rules::makeRoom() {
   bool full = s_.messagesInFlight > std::max(1, static_cast<int>(terms_.maxInFlight * (1 - kRoomKept)));
-  if (!full && !s_.rooms.named()) return std::nullopt;
+  if (!full && !s_.zones.named()) return std::nullopt;
   std::optional<MessageId> least;
   double leastGain = 0;
   Millis away = 0;
-  for (const Destination* d : s_.waitedFor) {
-    if (!full && !s_.rooms.overfull(d->id)) continue;
-    const Path* p = d->ranking.empty() ? nullptr : d->ranking.front()->path;
-    Millis opens =
-        p == nullptr ? s_.now : std::max({s_.now, p->waitUntil, p->outage ? s_.now + terms_.coldSpan : 0});
-    opens = std::max(opens, s_.now + s_.rooms.backlog(d->id));
+  for (const Destination* d : s_.destinationsWithWaiting) {
+    if (!full && !s_.zones.overfull(d->id)) continue;
+    const Route* p = d->ranking.empty() ? nullptr : d->ranking.front()->route;
+    Millis opens = p == nullptr
+                       ? s_.now
+                       : std::max({s_.now, p->retryAfterUntil, p->outage ? s_.now + terms_.coldSpan : 0});
+    opens = std::max(opens, s_.now + s_.zones.backlog(d->id));
     for (const auto& [kind, line] : d->waitQueue.lists()) {
       bool alike = !kind.attempted || terms_.types[kind.type.value].effect == Effect::pure;
       for (const auto& [limit, id] : line) {
@@ -747,7 +765,7 @@
     Message* c = s_.find(id);
     if (c == nullptr || !terms_.mayCancel || !c->attempts[n].pending) continue;
     c->attempts[n].cancelled = true;
-    if (!c->attempts[n].isHedge) c->attempts[n].endpoint->calledOff(c->attempts[n].sentAt);
+    if (!c->attempts[n].isHedge) c->attempts[n].endpoint->recordTimeout(c->attempts[n].sentAt);
     return Decision{Act::withdraw, id, {}, n, 0};
   }
   return std::nullopt;
@@ -772,16 +790,17 @@
     for (std::size_t n = 0; n < c.attempts.size(); ++n) {
       Attempt& l = c.attempts[n];
       if (!l.pending || l.cancelled) continue;
-      const Path& p = *l.endpoint->path;
+      const Route& p = *l.endpoint->route;
       Millis p95 = usual(p, type(c)).p95;
-      Millis stuck = l.sentAt + (kStuckLost + (kStuck - kStuckLost) * s_.patience) * p95;
+      Millis stuck = l.sentAt + (kStuckLost + (kStuck - kStuckLost) * s_.timeoutScale) * p95;
       reached(stuck);
-      bool overtaken = repeat && !p.outage && p.okSentAt > l.sentAt;
-      bool lost = repeat || s_.now - l.sentAt > (p.outage || l.endpoint->silent ? kStuck : 2 * kStuck) * p95;
+      bool overtaken = repeat && !p.outage && p.lastSuccessSentAt > l.sentAt;
+      bool lost =
+          repeat || s_.now - l.sentAt > (p.outage || l.endpoint->unresponsive ? kStuck : 2 * kStuck) * p95;
       if (s_.now < stuck || !(overtaken || (wanted && lost))) continue;
       l.cancelled = true;
-      l.endpoint->calledOff(l.sentAt);
-      s_.patience *= 1 - kPatienceCut;
+      l.endpoint->recordTimeout(l.sentAt);
+      s_.timeoutScale *= 1 - kPatienceCut;
       seen_.stuckFrom = id;  // another attempt of it may be stuck too
       return Decision{Act::withdraw, id, {}, static_cast<int>(n), 0};
     }
@@ -804,7 +823,7 @@
     if (c.finished || c.responseStarted || c.hedged || type(c).effect == Effect::effectful) continue;
     if (!c.attempts.back().pending || c.attempts.back().cancelled) continue;
     const Attempt& l = c.attempts.back();
-    Millis due = l.sentAt + copyDelay(c, *l.endpoint, *l.endpoint->path, l.sentAt);
+    Millis due = l.sentAt + copyDelay(c, *l.endpoint, *l.endpoint->route, l.sentAt);
     if (!reached(due)) continue;
     if (Endpoint* to = choose(c, true)) return launch(id, *to, true);
   }
@@ -828,7 +847,7 @@
   Endpoint* bestTo = nullptr;
   std::tuple<double, Millis> bestPlace;
   auto consider = [&](MessageId id, const Message& c, Endpoint* to) {
-    Millis latency = usual(*to->path, type(c)).p50;
+    Millis latency = usual(*to->route, type(c)).p50;
     auto gainIn = [&](Millis late) { return gainAt(c, s_.now + latency + late); };
     double lost = gainIn(0) - gainIn(kUrgencyStep * type(c).promised);    // by waiting
     auto place = std::tuple(lost / std::max(1.0, latency), -c.deadline);  // for a slot's time
@@ -837,8 +856,8 @@
     bestTo = to;
     bestPlace = place;
   };
-  for (const Destination* d : s_.waitedFor) {
-    auto open = [&](Endpoint* e) { return joins(*e) || (pathOpen(*e->path) && room(*e->path, *e)); };
+  for (const Destination* d : s_.destinationsWithWaiting) {
+    auto open = [&](Endpoint* e) { return joins(*e) || (pathOpen(*e->route) && room(*e->route, *e)); };
     // All are asked, since each wants to be woken when it opens.
     if (std::count_if(d->ranking.begin(), d->ranking.end(), open) == 0) continue;
     for (const auto& [kind, line] : d->waitQueue.lists()) {
@@ -846,7 +865,7 @@
       if (!kind.attempted && !t.ordered) {  // what one of them may, all may
         Endpoint* to = choose(s_.messages.at(line.begin()->second), false);
         if (to == nullptr) continue;
-        mostUrgent(line, t, s_.now + usual(*to->path, t).p50,
+        mostUrgent(line, t, s_.now + usual(*to->route, t).p50,
                    [&](MessageId id) { consider(id, s_.messages.at(id), to); });
         continue;
       }
@@ -858,8 +877,9 @@
     }
   }
   if (!best) return std::nullopt;
-  if (bestTo->requestsInFlight == 0 && bestTo->usedAt >= 0 && s_.now - bestTo->usedAt > s_.idleTrusted) {
-    bestTo->usedAt = -1;
+  if (bestTo->requestsInFlight == 0 && bestTo->lastUsedAt >= 0 &&
+      s_.now - bestTo->lastUsedAt > s_.reusableIdleTime) {
+    bestTo->lastUsedAt = -1;
     return Decision{Act::closeIdle, {}, bestTo->id, 0, 0};
   }
   return launch(*best, *bestTo, false);
@@ -869,46 +889,51 @@
 // fails and may have run. It is kept only where the next call is expected while it is still good: after the
 // last time between two calls there or, not known, our calls spread over all endpoints.
 std::optional<Decision> Rules::closeIdle() {
-  while (!s_.released.empty()) {
-    Endpoint& e = *s_.released.front();
-    s_.released.pop_front();
+  while (!s_.idleEndpoints.empty()) {
+    Endpoint& e = *s_.idleEndpoints.front();
+    s_.idleEndpoints.pop_front();
     Millis spread =
-        (s_.now - s_.began) * static_cast<double>(s_.endpoints.size()) / std::max(1, s_.requestCount);
-    if (e.requestsInFlight > 0 || e.usedAt < 0 || (e.gap >= 0 ? e.gap : spread) <= s_.idleTrusted) continue;
-    e.usedAt = -1;
+        (s_.now - s_.startedAt) * static_cast<double>(s_.endpoints.size()) / std::max(1, s_.requestCount);
+    if (e.requestsInFlight > 0 || e.lastUsedAt < 0 ||
+        (e.lastRequestInterval >= 0 ? e.lastRequestInterval : spread) <= s_.reusableIdleTime)
+      continue;
+    e.lastUsedAt = -1;
     return Decision{Act::closeIdle, {}, e.id, 0, 0};
   }
   return std::nullopt;
 }
 
-// Whether a destination is back shows by a probe at a time, so that no message is bound to a lost attempt.
+// Whether a destination is back shows by a health check at a time, so that no message is bound to a lost
+// attempt.
 std::optional<Decision> Rules::trial() {
   if (!terms_.mayHealthCheck) return std::nullopt;
-  while (!s_.trialsDue.empty() && reached(s_.trialsDue.begin()->first)) {
-    s_.trials.insert(s_.trialsDue.extract(s_.trialsDue.begin()).value().second);
+  while (!s_.scheduledHealthChecks.empty() && reached(s_.scheduledHealthChecks.begin()->first)) {
+    s_.healthCheckCandidates.insert(
+        s_.scheduledHealthChecks.extract(s_.scheduledHealthChecks.begin()).value().second);
   }
-  while (!s_.trials.empty()) {
-    EndpointId id = *s_.trials.begin();
-    s_.trials.erase(s_.trials.begin());
+  while (!s_.healthCheckCandidates.empty()) {
+    EndpointId id = *s_.healthCheckCandidates.begin();
+    s_.healthCheckCandidates.erase(s_.healthCheckCandidates.begin());
     auto known = s_.endpoints.find(id);
     if (known == s_.endpoints.end()) continue;
     Endpoint& e = known->second;
-    Path& p = *e.path;
-    if (e.phase != Phase::ready || (!p.outage && e.failures < kFailuresToAvoid)) continue;
-    bool turn = p.outage && p.endpoints[p.trialTurn % p.endpoints.size()] == &e;
-    if (p.probeOut || (!turn && p.outage)) continue;  // looked at again when the probe has ended
-    Millis rest =
-        std::max(restEnds(e), e.failedAt + std::min(terms_.coldSpan, terms_.fallSpan * terms_.instances));
-    Millis due = std::max(
-        {p.outage || p.cold ? p.nextPush : rest, p.waitUntil, p.pauseUntil, s_.rooms.probeFrom(e.zone)});
+    Route& p = *e.route;
+    if (e.state != EndpointState::ready || (!p.outage && e.consecutiveFailures < kFailuresToAvoid)) continue;
+    bool turn = p.outage && p.endpoints[p.healthCheckTurn % p.endpoints.size()] == &e;
+    if (p.healthCheckPending || (!turn && p.outage))
+      continue;  // looked at again when the health check has ended
+    Millis rest = std::max(restEnds(e),
+                           e.lastFailureAt + std::min(terms_.coldSpan, terms_.fallSpan * terms_.instances));
+    Millis due = std::max({p.outage || p.warmingUp ? p.nextSlowStartSendAt : rest, p.retryAfterUntil,
+                           p.backoffUntil, s_.zones.probeFrom(e.zone)});
     if (!reached(due)) {
-      s_.trialsDue.insert({due, id});
+      s_.scheduledHealthChecks.insert({due, id});
       continue;
     }
-    if (p.outage) ++p.trialTurn;
-    p.probeOut = true;
+    if (p.outage) ++p.healthCheckTurn;
+    p.healthCheckPending = true;
     pushed(p);
-    s_.rooms.probed(s_.now, e.zone);
+    s_.zones.probed(s_.now, e.zone);
     return Decision{Act::probe, {}, id, 0, 0};
   }
   return std::nullopt;
@@ -916,8 +941,8 @@
 
 std::optional<Decision> Rules::wake() {
   quietUntil_ = asked_.launched == s_.round ? -1 : wakeWanted_;  // an attempt may show in those before it
-  if (wakeWanted_ < 0 || (s_.wakeAsked > s_.now && s_.wakeAsked <= wakeWanted_)) return std::nullopt;
-  s_.wakeAsked = wakeWanted_;
+  if (wakeWanted_ < 0 || (s_.timerSetFor > s_.now && s_.timerSetFor <= wakeWanted_)) return std::nullopt;
+  s_.timerSetFor = wakeWanted_;
   return Decision{Act::wake, {}, {}, 0, wakeWanted_};
 }
 
--- a/src/rules.h
+++ b/src/rules.h
@@ -17,7 +17,8 @@
 
   void roundBegins(Millis now);
   void listBegins();
-  void listed(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight, Phase phase);
+  void listed(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight,
+              EndpointState phase);
   void listEnds(bool whole);
   void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
              Millis outerLimit);
@@ -37,11 +38,11 @@
     if (c != nullptr && launch < static_cast<int>(c->attempts.size())) c->responseStarted = true;
   }
   void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
-                   Report report);
-  void probeEnded(EndpointId id, AttemptOutcome ending, Report report);
+                   LoadReport report);
+  void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report);
   void clientGone(MessageId id) { over(id); }
   // Also when it comes a rounding early: then what is due is asked for again.
-  void woken() { s_.wakeAsked = -1; }
+  void woken() { s_.timerSetFor = -1; }
   std::optional<Decision> next();
   // Whether a tenant is above its share here, as far as its last message told.
   bool overShare(TenantId tenant) const {
@@ -50,7 +51,7 @@
   // Whether an attempt that was decided earlier may still be sent.
   bool mayBegin(MessageId id, int launch) const;
 
-  const InstanceState& state() const { return s_; }
+  const PolicyState& state() const { return s_; }
 
  private:
   const TrafficType& type(const Message& c) const { return terms_.types.at(c.type.value); }
@@ -61,40 +62,40 @@
   bool shedAllowed(const Message& c) const;
   bool keyFree(MessageId id, const Message& c);
   MessageId over(MessageId id);
-  void addSample(Samples& samples, Millis spent);
-  Spread usual(const Path& p, const TrafficType& t) const;
-  Millis copyDelay(const Message& c, const Endpoint& e, const Path& p, Millis sent) const;
-  void cut(Path& p, Millis sent);
-  Millis pause(const Path& p);
-  void lookAgain(const Path& p);
-  void outageBegins(Path& p, bool told);
-  void returned(Path& p);
-  void noteOk(Path& p, Endpoint& e, Millis sent, Millis spent);
-  void noteReport(Path& p, const Endpoint& e, Report report);
-  void easePace(Path& p);
+  void addSample(LatencyReservoir& samples, Millis spent);
+  LatencyQuantiles usual(const Route& p, const TrafficType& t) const;
+  Millis copyDelay(const Message& c, const Endpoint& e, const Route& p, Millis sent) const;
+  void cut(Route& p, Millis sent);
+  Millis pause(const Route& p);
+  void lookAgain(const Route& p);
+  void outageBegins(Route& p, bool told);
+  void returned(Route& p);
+  void noteOk(Route& p, Endpoint& e, Millis sent, Millis spent);
+  void noteReport(Route& p, const Endpoint& e, LoadReport report);
+  void easePace(Route& p);
   // Whether a limit binds there that is known: from then on calls keep their distance before any refusal.
-  bool paced(const Path& p) const {
-    return (p.limitTold > 0 || (p.limitTold < 0 && terms_.limitReported)) && shareTold(p) > 0;
+  bool paced(const Route& p) const {
+    return (p.reportedRateLimit > 0 || (p.reportedRateLimit < 0 && terms_.limitReported)) && shareTold(p) > 0;
   }
-  Millis paceGap(const Path& p) const;
-  void noteFailure(Path& p, Endpoint& e, Millis sent, AttemptOutcome ending);
-  void noteRefusal(Path& p, Endpoint& e, Millis wait, Millis sent);
-  double shareTold(const Path& p) const;
-  double shareOfCapacity(const Path& p) const;
-  double shareShown(const Path& p) const;
-  Millis coldSpacing(const Path& p);
-  void pushed(Path& p);
+  Millis paceGap(const Route& p) const;
+  void noteFailure(Route& p, Endpoint& e, Millis sent, AttemptOutcome ending);
+  void noteRefusal(Route& p, Endpoint& e, Millis wait, Millis sent);
+  double shareTold(const Route& p) const;
+  double shareOfCapacity(const Route& p) const;
+  double shareShown(const Route& p) const;
+  Millis coldSpacing(const Route& p);
+  void pushed(Route& p);
   bool avoided(const Endpoint& e);
   Millis restEnds(const Endpoint& e) const;
-  bool pathOpen(Path& p);
+  bool pathOpen(Route& p);
   bool roomOpen(const Endpoint& e);
   int perCall(const Endpoint& e) const;
   bool joins(const Endpoint& e);
-  bool room(const Path& p, const Endpoint& e);
+  bool room(const Route& p, const Endpoint& e);
   Endpoint* choose(const Message& c, bool copy);
   Decision launch(MessageId id, Endpoint& e, bool copy);
   Millis spentAt(const Message& c) const;
-  Millis silenceOf(const Message& c, const Path& p) const;
+  Millis silenceOf(const Message& c, const Route& p) const;
   void noticeSilence();
   template <class Visit>
   void mostUrgent(const WaitList& line, const TrafficType& t, Millis from, Visit visit) const;
@@ -114,7 +115,7 @@
 
   DeploymentTerms terms_;
   std::mt19937 chance_;
-  InstanceState s_;
+  PolicyState s_;
   Millis wakeWanted_{-1};
   // Walks over the attempts that are out go once through a round, however many decisions it brings: where
   // each has got to. An answer makes all that was seen void.
@@ -128,7 +129,7 @@
   void look() {
     if (seen_.round != s_.round) seen_ = {seen_.silence, s_.round, {}, {}, false};
   }
-  // Between two inputs that tell something of an attempt, a path or the list, nothing of those that are out
+  // Between two inputs that tell something of an attempt, a route or the list, nothing of those that are out
   // comes due before the time at which the last round wanted to be woken: until then none is walked.
   Millis quietUntil_{-1};
   bool quiet() { return !reached(quietUntil_); }
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -62,7 +62,7 @@
     for (int n = 1; n <= endpoints; ++n) list(static_cast<std::uint64_t>(n));
     rules.listEnds(true);
   }
-  void list(std::uint64_t n, Phase phase = Phase::ready, std::uint8_t zone = 0) {
+  void list(std::uint64_t n, EndpointState phase = EndpointState::ready, std::uint8_t zone = 0) {
     rules.listed(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{zone}, 1, phase);
   }
   void to(Millis at) { rules.roundBegins(now = at); }
@@ -92,7 +92,7 @@
   }
   void breakDown() {
     take(1);
-    while (!rules.state().paths.begin()->second.outage) {
+    while (!rules.state().routes.begin()->second.outage) {
       for (const Decision& d : pull(Act::launch)) end(d, AttemptOutcome::connectFailed);
       to(now + 50);
     }
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -61,7 +61,7 @@
     rules->roundBegins(now);
     rules->listBegins();
     for (std::uint64_t n = 1; n <= 2; ++n)
-      rules->listed(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{0}, 1, Phase::ready);
+      rules->listed(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
     rules->listEnds(true);
     return rules;
   };
@@ -76,7 +76,7 @@
   std::vector<int> born(all.size(), 0);
   std::vector<bool> told(all.size(), false);
   std::vector<std::pair<Millis, bool>>
-      arrivals;  // calls and probes that reach it from its return on; by told
+      arrivals;  // calls and health checks that reach it from its return on; by told
   std::uint32_t next = 1;
   for (Millis now = kStep; now < kUntil; now += kStep) {
     for (auto& rules : all) rules->roundBegins(now);
@@ -92,7 +92,7 @@
       if (e.d.span != born[n]) continue;  // of a process that is no more
       if (!e.good) told[n] = true;
       AttemptOutcome ending = e.good ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
-      Report report = e.good && w.reports ? Report{w.capacity, 0.6} : Report{};
+      LoadReport report = e.good && w.reports ? LoadReport{w.capacity, 0.6} : LoadReport{};
       if (e.d.act == Act::probe)
         all[n]->probeEnded(e.d.endpoint, ending, report);
       else
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -318,7 +318,7 @@
   }
   bool lists(const std::string& name) {
     auto at = rules.state().endpoints.find(catalog.idOf(name));
-    return at != rules.state().endpoints.end() && at->second.phase == Phase::ready;
+    return at != rules.state().endpoints.end() && at->second.state == EndpointState::ready;
   }
 };
 
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -32,7 +32,7 @@
 struct Model {
   DeploymentTerms terms;
   std::map<std::uint32_t, Taken> all;  // ids rise in the order of taking
-  std::map<EndpointId, std::pair<Phase, std::uint8_t>> list;
+  std::map<EndpointId, std::pair<EndpointState, std::uint8_t>> list;
   std::map<std::uint64_t, Millis> waitUntil;
 
   std::uint64_t path(EndpointId e) const { return terms.kinds[0].routesApart ? e.value : 0; }
@@ -72,7 +72,7 @@
       return;
     }
     RC_ASSERT(now < c.outerLimit);
-    RC_ASSERT(list.at(d.endpoint).first == Phase::ready);
+    RC_ASSERT(list.at(d.endpoint).first == EndpointState::ready);
     RC_ASSERT(now >= waitUntil[path(d.endpoint)]);
     RC_ASSERT(repeatHarmless(c, &d.endpoint, now));
     RC_ASSERT(keyFree(d.message.value, now));
@@ -115,14 +115,15 @@
       std::set<EndpointId> named;
       for (std::uint64_t n = 1; n <= 4; ++n) {
         if (*rc::gen::inRange(0, 3) == 0) continue;
-        Phase phase = *rc::gen::element(Phase::ready, Phase::ready, Phase::draining, Phase::gone);
+        EndpointState phase = *rc::gen::element(EndpointState::ready, EndpointState::ready,
+                                                EndpointState::draining, EndpointState::removed);
         auto zone = static_cast<std::uint8_t>(n % 2);
         bed.list(n, phase, zone);
         model.list[endpoint(n)] = {phase, zone};
         named.insert(endpoint(n));
       }
       for (auto& [id, known] : model.list) {
-        if (whole && !named.contains(id)) known.first = Phase::gone;
+        if (whole && !named.contains(id)) known.first = EndpointState::removed;
       }
       bed.rules.listEnds(whole);
     };
@@ -178,7 +179,7 @@
       }
       while (auto d = bed.rules.next()) {
         if (d->act == Act::launch) {
-          const Rooms& rooms = bed.rules.state().rooms;
+          const Rooms& rooms = bed.rules.state().zones;
           RC_ASSERT(!rooms.lost(ZoneId{model.list.at(d->endpoint).second}));
           int strangers = 0;
           for (const auto& [id, c] : bed.rules.state().messages) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -776,10 +776,10 @@
 // Danger: noise taken for a limit.
 TEST(Reports, ThatCannotBeReadTellNothing) {
   std::vector<std::string> fields{"x0", "x1"};
-  EXPECT_EQ(net::reportIn("x0=0.4,x1=25", fields).limit, 25);
+  EXPECT_EQ(net::reportIn("x0=0.4,x1=25", fields).rateLimit, 25);
   for (const char* bad : {"", "x1=25,x0=", "x1=25;x0", "x1=2e5z,x0=1", "x1=nan", "x1=-3", "y1=3,x1=4",
                           "x1=1e999", "x1=0x20", "\x01\xff"}) {
-    EXPECT_EQ(net::reportIn(bad, fields).limit, -1) << bad;
+    EXPECT_EQ(net::reportIn(bad, fields).rateLimit, -1) << bad;
   }
 }
 
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -211,7 +211,8 @@
     rules.listBegins();
     for (std::uint16_t d = 1; d <= 2; ++d) {
       for (std::uint64_t n = 1; n <= 4; ++n) {
-        rules.listed(endpoint(10u * d + n), DestinationId{d}, KindId{0}, ZoneId{n > 2}, 1, Phase::ready);
+        rules.listed(endpoint(10u * d + n), DestinationId{d}, KindId{0}, ZoneId{n > 2}, 1,
+                     EndpointState::ready);
       }
     }
     rules.listEnds(true);
@@ -256,7 +257,7 @@
   bed.rules.launchEnded(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0, {});  // it may have run
   for (std::uint32_t n = 2; n < 20; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(6000);
-  ASSERT_TRUE(bed.rules.state().rooms.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
   int elsewhere = 0, givenUp = 0;
   for (const Decision& d : all) {
     if (d.message == MessageId{1} && d.act == Act::launch) {
@@ -276,7 +277,7 @@
   RulesBed bed(terms);
   for (std::uint32_t n = 1; n < 30; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(3000);
-  ASSERT_TRUE(bed.rules.state().rooms.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
   int shed = 0;
   for (const Decision& d : all) {
     if (d.act != Act::shed) continue;
@@ -291,7 +292,7 @@
   RulesBed bed;
   for (std::uint32_t n = 1; n < 30; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   bed.play(3000);
-  ASSERT_TRUE(bed.rules.state().rooms.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
   int probes = 0;
   for (std::uint32_t n = 100; n < 200; ++n) {
     bed.take(n, 0);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -114,7 +114,7 @@
   bed.to(4600);  // nine tenths of the window after the first, which may have run
   EXPECT_FALSE(may(1));
   bed.to(4599);
-  for (std::uint64_t n : {1, 2}) bed.list(n, Phase::draining);
+  for (std::uint64_t n : {1, 2}) bed.list(n, EndpointState::draining);
   EXPECT_FALSE(may(1));
   bed.list(1), bed.list(2);
   EXPECT_TRUE(may(1));
@@ -174,7 +174,7 @@
   auto probes = bed.pull(Act::probe);
   ASSERT_EQ(probes.size(), 1u);
   bed.rules.probeEnded(probes[0].endpoint, AttemptOutcome::completed, {});
-  EXPECT_TRUE(bed.pull(Act::probe).empty());  // of the other endpoint: probes push too
+  EXPECT_TRUE(bed.pull(Act::probe).empty());  // of the other endpoint: health checks push too
   int sent = 0;
   Millis until = bed.now + 1500;
   while (bed.now < until) {
@@ -229,7 +229,7 @@
     bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::reset);
     bed.warm(2, 5000 + 10 * id);
   }
-  EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
 }
 
 TEST(Returns, AFailingEndpointIsProbedThenTriedAgain) {
@@ -275,7 +275,7 @@
     last = bed.now;
     bed.end(launches[0], AttemptOutcome::rejected, 10, 300);
   }
-  EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
   EXPECT_GE(gaps.size(), 2u);
   EXPECT_LT(gaps.size(), 9u);  // each wait alone would let 13 pass
 }
@@ -307,13 +307,13 @@
   full.warm(20);
   full.take(1);
   full.end(full.pull(Act::launch).at(0), AttemptOutcome::connectFailed, 1500);
-  EXPECT_LT(full.rules.state().idleTrusted, 10000);
+  EXPECT_LT(full.rules.state().reusableIdleTime, 10000);
   Bed dead;
   dead.warm(20);
   dead.to(dead.now + 2000);
   dead.take(1);
   dead.end(dead.pull(Act::launch).at(0), AttemptOutcome::reset);
-  EXPECT_LE(dead.rules.state().idleTrusted, 1000);
+  EXPECT_LE(dead.rules.state().reusableIdleTime, 1000);
   dead.to(dead.now + 1200);
   dead.take(2);
   EXPECT_FALSE(dead.pull(Act::closeIdle).empty());  // before an attempt would go out on it
@@ -324,7 +324,7 @@
   Decision first = busy.pull(Act::launch).at(0);
   busy.rules.goesOutOn(first.message, first.attempt, 2000);
   busy.end(first, AttemptOutcome::reset);
-  EXPECT_LE(busy.rules.state().idleTrusted, 1000);
+  EXPECT_LE(busy.rules.state().reusableIdleTime, 1000);
   // Connections that break while they are hardly idle, or as they come up, tell nothing of idle ones.
   Bed broken;
   broken.warm(20);
@@ -333,12 +333,12 @@
     broken.take(id);
     for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::reset, 10);
   }
-  EXPECT_EQ(broken.rules.state().idleTrusted, 10000);
+  EXPECT_EQ(broken.rules.state().reusableIdleTime, 10000);
   for (std::uint32_t id = 31; id <= 50; ++id) {
     broken.take(id);
     for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::connectFailed, 10);
   }
-  EXPECT_GE(broken.rules.state().idleTrusted, 250);
+  EXPECT_GE(broken.rules.state().reusableIdleTime, 250);
 }
 
 // Danger: an endpoint has places for ten connections and hundreds of dispatchers want one. Those that have
@@ -350,7 +350,7 @@
     const char* name;
     bool reports, kept;
     Millis wait;
-    Report with;
+    LoadReport with;
     bool cuts;
   };
   for (const Case& c : {Case{"a full table", true, false, 0, {}, true},
@@ -363,35 +363,36 @@
     Decision first = bed.pull(Act::launch).at(0);
     bed.to(bed.now + 100);
     bed.rules.launchEnded(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
-                          c.reports ? Report{25, 0.9} : Report{});
+                          c.reports ? LoadReport{25, 0.9} : LoadReport{});
     bed.to(bed.now + 1000);
     bed.take(2);
     Decision second = bed.pull(Act::launch).at(0);
     bed.rules.goesOutOn(second.message, second.attempt, c.kept ? 1000 : 0);
     bed.rules.launchEnded(second.message, second.attempt, AttemptOutcome::rejected, 40, false, c.wait,
                           c.with);
-    EXPECT_EQ(bed.rules.state().idleTrusted < 10000, c.cuts) << c.name;
+    EXPECT_EQ(bed.rules.state().reusableIdleTime < 10000, c.cuts) << c.name;
   }
 }
 
 // Danger: what the host cannot send for want of something of its own is decided again at once, over and over.
 TEST(Withheld, RestsAndTellsNothing) {
-  for (bool out : {false, true}) {  // a probe of a path that is out, and of one endpoint that fails
+  for (bool out : {false, true}) {  // a health check of a route that is out, and of one endpoint that fails
     Bed bed;
     if (out) {
       bed.breakDown();
     } else {
       bed.warm(20);
-      for (std::uint32_t id = 1; bed.rules.state().endpoints.at(endpoint(1)).failures < 2 && id < 40; ++id) {
+      for (std::uint32_t id = 1;
+           bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures < 2 && id < 40; ++id) {
         bed.take(id);
         for (const Decision& d : bed.pull(Act::launch))
           bed.end(d, d.endpoint == endpoint(1) ? AttemptOutcome::error : AttemptOutcome::completed);
         bed.to(bed.now + 200);
       }
-      ASSERT_GE(bed.rules.state().endpoints.at(endpoint(1)).failures, 2);
+      ASSERT_GE(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, 2);
     }
     bed.to(bed.now + 10000);
-    int failures = bed.rules.state().endpoints.at(endpoint(1)).failures;
+    int failures = bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures;
     int probes = 0;
     for (int n = 0; n < 500; ++n) {
       auto d = bed.rules.next();
@@ -401,14 +402,14 @@
       bed.rules.probeEnded(d->endpoint, AttemptOutcome::localResourceExhausted, {});
     }
     EXPECT_EQ(probes, 1) << out;
-    EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).failures, failures);
+    EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, failures);
   }
   Bed bed(plainTerms(Effect::effectful));
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
   bed.end(first, AttemptOutcome::localResourceExhausted, 0);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
-  EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).failures, 0);
+  EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).consecutiveFailures, 0);
   bed.to(bed.now + 500);
   EXPECT_EQ(bed.pull(Act::launch).size(), 1u);  // it never ran
 }
@@ -419,7 +420,7 @@
   Bed bed(terms, 1);
   bed.rules.listBegins();
   for (std::uint16_t n : {2, 3}) {
-    bed.rules.listed(endpoint(n), DestinationId{n}, KindId{0}, ZoneId{0}, 1, Phase::ready);
+    bed.rules.listed(endpoint(n), DestinationId{n}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
   }
   bed.rules.listEnds(false);
   bed.warm(60);
@@ -431,7 +432,7 @@
   EXPECT_EQ(bed.pull(Act::launch).size(), 2u);
   bed.to(bed.now + 1000);
   EXPECT_FALSE(bed.pull(Act::withdraw).empty());
-  EXPECT_LT(bed.rules.state().patience, 1);  // what stays unanswered now is called off sooner
+  EXPECT_LT(bed.rules.state().timeoutScale, 1);  // what stays unanswered now is called off sooner
 }
 
 TEST(Copies, GoToAnotherEndpointOnceAndTheLoserIsWithdrawn) {
@@ -506,7 +507,7 @@
     bed.to(bed.now + 100);
     bed.pull(Act::launch);
   }
-  EXPECT_TRUE(bed.rules.state().paths.begin()->second.outage);
+  EXPECT_TRUE(bed.rules.state().routes.begin()->second.outage);
 }
 
 // Danger: connections that break put all destinations on a slow ramp for as long as a cold one warms.
@@ -520,7 +521,7 @@
       worn.end(d, AttemptOutcome::reset, 1);
     }
   }
-  EXPECT_FALSE(worn.rules.state().paths.begin()->second.outage);
+  EXPECT_FALSE(worn.rules.state().routes.begin()->second.outage);
   for (bool lasts : {false, true}) {
     Bed bed;
     bed.warm(60);
@@ -528,12 +529,12 @@
     bed.to(bed.now + (lasts ? 6000 : 1000));
     for (const Decision& d : bed.pull(Act::probe))
       bed.rules.probeEnded(d.endpoint, AttemptOutcome::completed, {});
-    EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
-    EXPECT_EQ(bed.rules.state().paths.begin()->second.cold, lasts);
+    EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.warmingUp, lasts);
   }
 }
 
-// Danger: one endpoint of several hangs, the others complete, and the path as a whole never looks silent.
+// Danger: one endpoint of several hangs, the others complete, and the route as a whole never looks silent.
 TEST(Returns, AHungEndpointGivesWayToOthersOfItsDestination) {
   Bed bed;
   bed.warm(60);
@@ -550,7 +551,7 @@
   }
   EXPECT_EQ(late[hung], 0);
   EXPECT_EQ(late.size(), 2u);
-  EXPECT_FALSE(bed.rules.state().paths.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
 }
 
 // Danger: with all concurrent requests out, attempts are called off after a few p95 and sent again. None is
@@ -573,18 +574,19 @@
         if (one && d->endpoint != hung) bed.end(*d, AttemptOutcome::completed, 5);
       }
     }
-    EXPECT_EQ(bed.rules.state().paths.begin()->second.outage, !one);
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, !one);
     EXPECT_EQ(late[hung], 0);
     EXPECT_EQ(late[endpoint(3 - hung.value)] > 50, one);
   }
 }
 
-// Danger: the first in rank hangs, nobody else was asked yet, and the path is taken for out. Another endpoint
-// answers a probe, and the attempts that still hang at the first take the path out again at once.
+// Danger: the first in rank hangs, nobody else was asked yet, and the route is taken for out. Another
+// endpoint answers a health check, and the attempts that still hang at the first take the route out again at
+// once.
 TEST(Returns, AnotherEndpointsProbeEndsAnOutageThatOneHungEndpointBegan) {
   Bed bed(plainTerms(Effect::effectful));  // no hedges
   bed.warm(60);
-  const Path& path = bed.rules.state().paths.begin()->second;
+  const Route& path = bed.rules.state().routes.begin()->second;
   bed.take(1);
   EndpointId hung = bed.pull(Act::launch).at(0).endpoint;
   for (; !path.outage && bed.now < 20000; bed.to(bed.now + 50)) bed.pull(Act::launch);
@@ -617,7 +619,7 @@
   for (const Decision& d : out) {
     if (d.endpoint != hung) bed.end(d, std::exchange(ending, AttemptOutcome::rejected), 10);
   }
-  EXPECT_GT(bed.rules.state().paths.begin()->second.refusals, 0);
+  EXPECT_GT(bed.rules.state().routes.begin()->second.consecutiveRejections, 0);
   std::size_t launches = 0;
   for (int n = 0; n < 12; ++n) {
     bed.to(bed.now + 100);
@@ -633,7 +635,7 @@
     bed.warm(60);
     bed.take(1);
     bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::rejected, 10, wait);
-    EXPECT_EQ(bed.rules.state().paths.begin()->second.outage, wait > 2000);
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, wait > 2000);
   }
 }
 
@@ -697,7 +699,7 @@
     Rules rules(terms, seed);
     rules.roundBegins(100000);
     rules.listBegins();
-    rules.listed(endpoint(1), DestinationId{1}, KindId{0}, ZoneId{0}, 1, Phase::ready);
+    rules.listed(endpoint(1), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
     rules.listEnds(true);
     int launches = 0;
     for (std::uint32_t id = 1; id <= 4; ++id) {
@@ -724,15 +726,15 @@
       bool first = d.endpoint == *used.begin();
       bed.rules.launchEnded(d.message, d.attempt,
                             id == 1 || !first ? AttemptOutcome::completed : AttemptOutcome::rejected, 40,
-                            id == 1 || !first, 0, id == 1 || !first ? Report{100, 1} : Report{});
+                            id == 1 || !first, 0, id == 1 || !first ? LoadReport{100, 1} : LoadReport{});
     }
     bed.to(bed.now + 200);
   }
   EXPECT_EQ(used.size(), 2u);
-  EXPECT_LE(bed.rules.state().paths.begin()->second.pace, 0);
+  EXPECT_LE(bed.rules.state().routes.begin()->second.rateHalvings, 0);
 }
 
-// Danger: a report is read by what its path's first endpoint is, and the path has none any more.
+// Danger: a report is read by what its route's first endpoint is, and the route has none any more.
 TEST(Limits, AReportMayComeFromTheLastEndpointAfterItHasGone) {
   DeploymentTerms terms = plainTerms();
   terms.kinds[0].maxBatchSize = 5;
@@ -742,7 +744,7 @@
   bed.rules.listBegins();
   bed.rules.listEnds(true);
   bed.rules.launchEnded(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
-  EXPECT_EQ(bed.rules.state().paths.begin()->second.pace,
+  EXPECT_EQ(bed.rules.state().routes.begin()->second.rateHalvings,
             0);  // a batch never goes above the even part
 }
 
@@ -798,9 +800,9 @@
       bed.end(d, n % 2 != 0 ? AttemptOutcome::completed : AttemptOutcome::error);
     bed.to(bed.now + 1000);
   }
-  const InstanceState& s = bed.rules.state();
+  const PolicyState& s = bed.rules.state();
   EXPECT_LE(s.endpoints.size(), 43u);  // those of four cold spans, and the one with an attempt out
-  EXPECT_LE(s.paths.size(), 43u);
+  EXPECT_LE(s.routes.size(), 43u);
   EXPECT_LE(s.orderedQueues.size(), 3u);
   EXPECT_TRUE(s.endpoints.contains(endpoint(1000)));
   bed.end(held, AttemptOutcome::reset);
