--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -76,8 +76,8 @@
 
 void Host::create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now) {
   Instance fresh;
-  fresh.rules = std::make_unique<Rules>(readFacts(facts), seed);
-  const auto reported = readHostFacts(facts).reported;
+  fresh.rules = std::make_unique<Rules>(readDeploymentSettings(facts), seed);
+  const auto reported = readNameTables(facts).loadReportFields;
   auto placeOf = [&](const char* field) {
     auto at = std::find(reported.begin(), reported.end(), field);
     return at == reported.end() ? kNowhere : static_cast<std::size_t>(at - reported.begin());
--- a/src/admission/admission.cpp
+++ b/src/admission/admission.cpp
@@ -26,55 +26,57 @@
 
 }  // namespace
 
-double Admission::faded(double count, Millis span) {
+double AdmissionController::faded(double count, Millis span) {
   return count * std::exp(-std::max(0.0, span) / kRecent);
 }
 
 // A long turn counts at once, since what it kept waiting is about to be read; a short one by a part.
-void Admission::turnEnded(Millis now, Millis worked) {
-  work_ = worked >= work_ ? worked : work_ + kWorkPart * (worked - work_);
-  workAt_ = now;
+void AdmissionController::recordTurn(Millis now, Millis worked) {
+  turnWork_ = worked >= turnWork_ ? worked : turnWork_ + kWorkPart * (worked - turnWork_);
+  turnWorkAt_ = now;
 }
 
-void Admission::ended(Millis now) {
-  ends_ = 1 + faded(ends_, now - endsAt_);
-  endsAt_ = now;
+void AdmissionController::recordFinished(Millis now) {
+  recentFinished_ = 1 + faded(recentFinished_, now - recentFinishedAt_);
+  recentFinishedAt_ = now;
 }
 
-double Admission::pressure(const AdmissionFacts& facts) const {
-  if (facts.held >= terms_.heldMost) return kNoPlace;  // up to there the rules make room by themselves
+double AdmissionController::pressure(const AdmissionInputs& facts) const {
+  if (facts.messagesInFlight >= settings_.maxInFlight)
+    return kNoPlace;  // up to there the rules make room by themselves
   // Turns that have rested since tell of an earlier time.
-  double work = workAt_ < 0 ? 0 : work_ * std::exp(-std::max(0.0, facts.now - workAt_) / kRecent);
+  double work = turnWorkAt_ < 0 ? 0 : turnWork_ * std::exp(-std::max(0.0, facts.now - turnWorkAt_) / kRecent);
   // A turn that reads a surge is known to be long before it has ended.
-  work = std::max(work, facts.worked);
+  work = std::max(work, facts.workThisTurn);
   // A folder that hangs keeps all answers waiting as a long turn does, though the loop itself is at leisure.
-  return std::max({between(work, kWorkEasy, kWorkMost), between(facts.writeHangs, kWorkEasy, kWorkMost),
-                   between(facts.journalFull, kJournalEasy, 1)});
+  return std::max({between(work, kWorkEasy, kWorkMost), between(facts.journalWriteAge, kWorkEasy, kWorkMost),
+                   between(facts.journalFillShare, kJournalEasy, 1)});
 }
 
 // When there will be room for one more: behind those that were refused before it, at the rate at which
 // messages end. A folder that hangs lets nothing end, and nobody knows for how long: it is thought to go on
 // for as long again, but a refusal costs no more time than no answer would, since who comes back may meet
 // another dispatcher. Drawn apart, so that not all come back at the same moment.
-Millis Admission::advice(Millis now, Millis hangs) {
-  double rate = faded(ends_, now - endsAt_) / kRecent;
-  refusals_ = 1 + faded(refusals_, now - refusalsAt_);
-  refusalsAt_ = now;
+Millis AdmissionController::retryAfter(Millis now, Millis hangs) {
+  double rate = faded(recentFinished_, now - recentFinishedAt_) / kRecent;
+  recentRejections_ = 1 + faded(recentRejections_, now - recentRejectionsAt_);
+  recentRejectionsAt_ = now;
   double spread = kSpreadLeast + (kSpreadMost - kSpreadLeast) * static_cast<double>(chance_()) / 4294967296.0;
-  if (!terms_.mayAdvise || terms_.longestAdvice <= 0) return 0;
+  if (!settings_.mayAdviseRetryAfter || settings_.maxRetryAfter <= 0) return 0;
   double wait = hangs > kWorkEasy ? std::min(hangs, kClientWaits)
-                : rate > 0        ? refusals_ / rate
-                                  : terms_.longestAdvice;
-  Millis most = terms_.longestAdvice;
+                : rate > 0        ? recentRejections_ / rate
+                                  : settings_.maxRetryAfter;
+  Millis most = settings_.maxRetryAfter;
   return std::clamp(std::min(wait, most / kSpreadMost) * spread, std::min(kShortestAdvice, most), most);
 }
 
-AdmissionCall Admission::asked(const AdmissionFacts& facts, double gain, bool overShare) {
-  double worth = gain / std::max(1e-9, terms_.gainMost) * (overShare ? terms_.overShareGain : 1);
+AdmissionDecision AdmissionController::decide(const AdmissionInputs& facts, double gain, bool overShare) {
+  double worth =
+      gain / std::max(1e-9, settings_.maxPriorityWeight) * (overShare ? settings_.overQuotaWeightShare : 1);
   double pressed = pressure(facts);
   // What is worth most is turned away last, and nothing is while nothing presses.
   if (pressed <= 0 || (pressed < 1 && worth > pressed)) return {true, 0};
-  return {false, advice(facts.now, facts.writeHangs)};
+  return {false, retryAfter(facts.now, facts.journalWriteAge)};
 }
 
 }  // namespace stonewing
--- a/src/core/facts.cpp
+++ b/src/core/facts.cpp
@@ -66,27 +66,27 @@
 TrafficType trafficType(const json& row) {
   TrafficType t;
   auto name = orElse<std::string>(row, "name", "");
-  t.promised = millis(row, "aim-s");
-  if (t.promised <= 0) wrong(name, "aim-s", row["aim-s"], "more than 0");
-  t.outer = millis(row, "deadline-s");
-  if (t.outer <= 0) wrong(name, "deadline-s", row["deadline-s"], "more than 0");
-  t.gain = orElse(row, "importance", 1.0);
-  t.lateShare = orElse(row, "late-worth", 0.0);
+  t.latencyObjective = millis(row, "aim-s");
+  if (t.latencyObjective <= 0) wrong(name, "aim-s", row["aim-s"], "more than 0");
+  t.deadlineAfter = millis(row, "deadline-s");
+  if (t.deadlineAfter <= 0) wrong(name, "deadline-s", row["deadline-s"], "more than 0");
+  t.priorityWeight = orElse(row, "importance", 1.0);
+  t.lateWeightShare = orElse(row, "late-worth", 0.0);
   t.ordered = orElse(row, "keep-order", false);
   std::string effect = get<std::string>(row, "effect");
   if (effect == "safe") {
-    t.effect = Effect::pure;
+    t.idempotency = Idempotency::idempotent;
   } else if (effect == "keyed") {
-    t.effect = Effect::receipted;
-    t.repeatWindow = millis(row, "repeat-window-s");
-    if (t.repeatWindow < 0) wrong(name, "repeat-window-s", row["repeat-window-s"], "0 or more");
+    t.idempotency = Idempotency::idempotentWithKey;
+    t.deduplicationWindow = millis(row, "repeat-window-s");
+    if (t.deduplicationWindow < 0) wrong(name, "repeat-window-s", row["repeat-window-s"], "0 or more");
     std::string group = get<std::string>(row, "group");
     // A cell is a destination: all the endpoints that a message may go to.
     if (group != "all" && group != "zone" && group != "cell")
       wrong(name, "group", group, "\"all\", \"zone\" or \"cell\"");
-    t.zoneGroup = group == "zone";
+    t.deduplicatesWithinZone = group == "zone";
   } else if (effect == "unsafe") {
-    t.effect = Effect::effectful;
+    t.idempotency = Idempotency::nonIdempotent;
   } else {
     wrong(name, "effect", effect, "\"safe\", \"keyed\" or \"unsafe\"");
   }
@@ -95,9 +95,9 @@
 
 }  // namespace
 
-DeploymentTerms readFacts(std::string_view text) {
+DeploymentSettings readDeploymentSettings(std::string_view text) {
   const json facts = parsed(text);
-  DeploymentTerms terms;
+  DeploymentSettings terms;
   for (const json& row : get<json>(facts, "request-classes")) terms.types.push_back(trafficType(row));
   if (terms.types.empty())
     throw Malformed("setting 'request-classes' is empty; it must name a class or more");
@@ -110,35 +110,35 @@
   }
   std::string decay = orElse<std::string>(family, "decay", "linear");
   if (decay != "linear" && decay != "halving") throw Malformed("setting 'decay' has unknown value " + decay);
-  terms.decay = decay == "halving" ? Decay::halving : Decay::linear;
+  terms.decay = decay == "halving" ? WeightDecay::halving : WeightDecay::linear;
   terms.maxConcurrentRequests = get<int>(family, "call-slots");
   if (facts.contains("orgs")) {
     for (const json& org : get<json>(facts, "orgs")) {
       terms.tenantQuotaPerSecond.push_back(get<double>(org, "quota-per-s"));
     }
   }
-  terms.overShareGain = orElse(facts, "over-share-worth", 1.0);
+  terms.overQuotaWeightShare = orElse(facts, "over-share-worth", 1.0);
   const json limits = get<json>(facts, "limits");
   terms.maxInFlight = get<int>(limits, "open-cap");
   terms.maxAttempts = get<int>(limits, "max-attempts");
   terms.mayHedge = orElse(limits, "may-duplicate", false);
   terms.mayHealthCheck = orElse(limits, "probes", false);
   terms.mayCancel = orElse(limits, "cancel", false);
-  terms.shedAdvice = orElse(limits, "retry-after", false);
-  terms.longestAdvice = orElse(limits, "max-retry-after-s", 0.0) * kMillisPerSecond;
-  terms.connectionIdle = orElse(limits, "conn-idle-s", 0.0) * kMillisPerSecond;
-  terms.instances = std::max(1, orElse(facts, "replicas-of-me", 1));
-  terms.me = orElse(facts, "me", std::uint32_t{0});
+  terms.mayAdviseRetryAfter = orElse(limits, "retry-after", false);
+  terms.maxRetryAfter = orElse(limits, "max-retry-after-s", 0.0) * kMillisPerSecond;
+  terms.connectionIdleTimeout = orElse(limits, "conn-idle-s", 0.0) * kMillisPerSecond;
+  terms.dispatcherCount = std::max(1, orElse(facts, "replicas-of-me", 1));
+  terms.dispatcherIndex = orElse(facts, "me", std::uint32_t{0});
   terms.zone = ZoneId{orElse(facts, "zone", std::uint8_t{0})};
-  terms.weightsTold = orElse<std::string>(facts, "weight-source", "off") != "off";
-  const auto reported = readHostFacts(text).reported;
-  terms.limitReported = std::find(reported.begin(), reported.end(), "x1") != reported.end();
-  terms.coldFrom = get<double>(facts, "rules.cold-from");
-  terms.coldSpan = millis(facts, "rules.cold-s");
-  terms.fallMultiple = get<double>(facts, "rules.fall-multiple");
-  terms.fallSpan = millis(facts, "rules.fall-s");
+  terms.hasReportedWeights = orElse<std::string>(facts, "weight-source", "off") != "off";
+  const auto reported = readNameTables(text).loadReportFields;
+  terms.reportsRateLimit = std::find(reported.begin(), reported.end(), "x1") != reported.end();
+  terms.slowStartInitialShare = get<double>(facts, "rules.cold-from");
+  terms.slowStartDuration = millis(facts, "rules.cold-s");
+  terms.overloadThreshold = get<double>(facts, "rules.fall-multiple");
+  terms.overloadWindow = millis(facts, "rules.fall-s");
   const json rules = get<json>(facts, "rules");
-  terms.orderPause = orElse(rules, "order-pause-s", 0.0) * kMillisPerSecond;
+  terms.orderingPause = orElse(rules, "order-pause-s", 0.0) * kMillisPerSecond;
   return terms;
 }
 
@@ -150,8 +150,9 @@
   return text;
 }
 
-RoomTerms::Tiers readTiers(const json& rows, const std::vector<std::string>& zones, const std::string& key) {
-  RoomTerms::Tiers tiers;
+ZoneFailoverSettings::Priorities readTiers(const json& rows, const std::vector<std::string>& zones,
+                                           const std::string& key) {
+  ZoneFailoverSettings::Priorities tiers;
   std::vector<ZoneId> seen;
   if (!rows.is_array() || rows.empty()) {
     throw Malformed("'" + key +
@@ -201,13 +202,13 @@
 
 }  // namespace
 
-RoomTerms readRooms(std::string_view text, const std::vector<std::string>& zones) {
-  RoomTerms terms;
+ZoneFailoverSettings readZoneFailoverSettings(std::string_view text, const std::vector<std::string>& zones) {
+  ZoneFailoverSettings terms;
   if (text.empty()) return terms;
   const json rooms = json::parse(text, nullptr, false);
   onlyKeys(rooms, "rooms", {"tiers", "destinations", "spill", "return"});
   if (!rooms.contains("tiers")) throw Malformed("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
-  terms.tiers = readTiers(rooms["tiers"], zones, "rooms.tiers");
+  terms.priorities = readTiers(rooms["tiers"], zones, "rooms.tiers");
   const json destinations = rooms.value("destinations", json::object());
   if (!destinations.is_object())
     throw Malformed("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
@@ -221,27 +222,27 @@
   }
   const json spill = rooms.value("spill", json::object());
   onlyKeys(spill, "rooms.spill", {"share", "slots", "per_s"});
-  terms.spillShare = numberIn(spill, "rooms.spill", "share", terms.spillShare, 0, 100);
-  terms.spillSlots = numberIn(spill, "rooms.spill", "slots", terms.spillSlots, 0, 1);
-  terms.spillPerSecond = numberIn(spill, "rooms.spill", "per_s", terms.spillPerSecond, 0, 1e6);
+  terms.spilloverShare = numberIn(spill, "rooms.spill", "share", terms.spilloverShare, 0, 100);
+  terms.spilloverRequestShare = numberIn(spill, "rooms.spill", "slots", terms.spilloverRequestShare, 0, 1);
+  terms.spilloverPerSecond = numberIn(spill, "rooms.spill", "per_s", terms.spilloverPerSecond, 0, 1e6);
   const json back = rooms.value("return", json::object());
   onlyKeys(back, "rooms.return", {"climb_s", "from"});
-  terms.climb = numberIn(back, "rooms.return", "climb_s", 0, 0, 86400) * kMillisPerSecond;
-  terms.climbFrom = numberIn(back, "rooms.return", "from", 0, 0, 1);
+  terms.recoveryRampDuration = numberIn(back, "rooms.return", "climb_s", 0, 0, 86400) * kMillisPerSecond;
+  terms.recoveryRampInitialShare = numberIn(back, "rooms.return", "from", 0, 0, 1);
   return terms;
 }
 
-HostFacts readHostFacts(std::string_view text) {
+NameTables readNameTables(std::string_view text) {
   const json facts = parsed(text);
-  HostFacts host;
-  host.types = names(get<json>(facts, "request-classes"));
+  NameTables host;
+  host.trafficTypes = names(get<json>(facts, "request-classes"));
   host.tenants = names(orElse(facts, "orgs", json::array()));
   host.kinds = orElse(facts, "kinds", std::vector<std::string>{});
   host.zones = orElse(facts, "zones", std::vector<std::string>{});
   if (facts.contains("report") && facts["report"].is_object()) {
-    host.reported = orElse(facts["report"], "fields", std::vector<std::string>{});
+    host.loadReportFields = orElse(facts["report"], "fields", std::vector<std::string>{});
   }
-  host.connectWithin = orElse(get<json>(facts, "limits"), "connect-timeout-s", 0.0) * kMillisPerSecond;
+  host.connectTimeout = orElse(get<json>(facts, "limits"), "connect-timeout-s", 0.0) * kMillisPerSecond;
   return host;
 }
 
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -178,8 +178,8 @@
 
 // The nodes of its maps stay where they are: attempts, endpoints and messages point at them.
 struct PolicyState {
-  explicit PolicyState(Rooms asked) : zones(std::move(asked)) {}
-  Rooms zones;
+  explicit PolicyState(ZoneFailover asked) : zones(std::move(asked)) {}
+  ZoneFailover zones;
   Millis now{0};
   Millis startedAt{-1};
   int round{0};
@@ -224,7 +224,7 @@
     c.deadline = outerLimit;
     ++messagesInFlight;
     ++c.destination->acceptedCount;
-    zones.asked(now, destination);
+    zones.recordAccepted(now, destination);
     return c;
   }
   Message* find(MessageId id) {
@@ -256,12 +256,12 @@
     e.consecutiveFailures = failures;
     e.lastFailureAt = now;
     healthCheckCandidates.insert(e.id);
-    zones.fails(now, e.id, e.destination->id, e.zone, failures);
+    zones.recordFailures(now, e.id, e.destination->id, e.zone, failures);
   }
   // Something was delivered there, or a health check answered.
   void recordSuccess(Endpoint& e, bool delivered) {
     e.recordSuccess();
-    zones.works(now, e.id, e.zone, delivered);
+    zones.recordSuccess(now, e.id, e.zone, delivered);
   }
   // A call of its own begins at an endpoint, for this round.
   void openRequest(Endpoint& e) {
@@ -291,7 +291,7 @@
     if (c.finished) deadlines.erase({c.deadline, id});
     if (wanted == c.waitClass) return;
     WaitQueue& waiting = c.destination->waitQueue;
-    zones.waits(c.destination->id, wanted.has_value() - c.waitClass.has_value());
+    zones.addWaiting(c.destination->id, wanted.has_value() - c.waitClass.has_value());
     if (c.waitClass) waiting.remove(*c.waitClass, c.deadline, id);
     if (wanted) waiting.add(*wanted, c.deadline, id);
     c.waitClass = wanted;
@@ -314,7 +314,7 @@
   }
   // A call is over, and its slot free, with the last outcome in it.
   void releaseRequest(const Attempt& launch) {
-    zones.ended(launch.isSpillover);
+    zones.recordAttemptEnd(launch.isSpillover);
     auto at = requests.find(launch.requestId);
     if (at == requests.end() || --at->second.openAttempts > 0) return;
     Endpoint& e = *at->second.endpoint;
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -136,7 +136,7 @@
     for (std::size_t n : of(c)) {
       if (event(n).what == What::handedIn) dispatcher = event(n).dispatcher;
     }
-    Millis limit = trace_.callbacks[c].due + type(c).outer + plan_.world.answerSlack + kAuditSlack;
+    Millis limit = trace_.callbacks[c].due + type(c).deadlineAfter + plan_.world.answerSlack + kAuditSlack;
     Millis end = 1e15;
     if (ends.delivered) end = std::min(end, event(*ends.delivered).at);
     if (ends.noticed) end = std::min(end, event(*ends.noticed).at);
@@ -173,7 +173,7 @@
   // not.
   void effects(std::uint32_t c) {
     const TrafficType& t = type(c);
-    if (t.effect == Effect::pure) return;
+    if (t.idempotency == Idempotency::idempotent) return;
     struct Sent {
       Millis at;
       std::uint32_t endpoint;
@@ -194,8 +194,10 @@
     }
     auto harmless = [&](const Sent& earlier, Millis at, const Sent* later) {
       if (earlier.provenAt <= at) return true;
-      if (t.effect == Effect::effectful || at - earlier.at > t.repeatWindow + kAuditSlack) return false;
-      if (!t.zoneGroup) return true;
+      if (t.idempotency == Idempotency::nonIdempotent ||
+          at - earlier.at > t.deduplicationWindow + kAuditSlack)
+        return false;
+      if (!t.deduplicatesWithinZone) return true;
       return later != nullptr && plan_.roomOf(static_cast<int>(earlier.endpoint)) ==
                                      plan_.roomOf(static_cast<int>(later->endpoint));
     };
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -40,7 +40,7 @@
 
 class Ours final : public Policy {
  public:
-  Ours(const DeploymentTerms& terms, std::uint64_t seed) : rules_(terms, seed) {}
+  Ours(const DeploymentSettings& terms, std::uint64_t seed) : rules_(terms, seed) {}
   void roundBegins(Millis now) override { rules_.roundBegins(now); }
   void list(const std::vector<ListRow>& rows, bool whole) override {
     rules_.listBegins();
@@ -77,7 +77,7 @@
 
 class Textbook final : public Policy {
  public:
-  Textbook(const Recipe& recipe, const DeploymentTerms& terms, std::uint64_t seed)
+  Textbook(const Recipe& recipe, const DeploymentSettings& terms, std::uint64_t seed)
       : recipe_(recipe), terms_(terms), chance_(static_cast<std::mt19937::result_type>(seed)) {}
 
   void roundBegins(Millis now) override { now_ = now; }
@@ -261,9 +261,12 @@
 
   bool repeatAllowed(const Held& h, EndpointId to) {
     for (const Sent& s : h.launches) {
-      if (s.neverRan || h.type->effect == Effect::pure) continue;
-      if (h.type->effect == Effect::effectful || now_ >= s.at + 0.9 * h.type->repeatWindow) return false;
-      if (h.type->zoneGroup && endpoints_[s.endpoint].row.room != endpoints_[to].row.room) return false;
+      if (s.neverRan || h.type->idempotency == Idempotency::idempotent) continue;
+      if (h.type->idempotency == Idempotency::nonIdempotent ||
+          now_ >= s.at + 0.9 * h.type->deduplicationWindow)
+        return false;
+      if (h.type->deduplicatesWithinZone && endpoints_[s.endpoint].row.room != endpoints_[to].row.room)
+        return false;
     }
     return true;
   }
@@ -271,9 +274,9 @@
   std::optional<Decision> consider(MessageId id, Held& h) {
     bool out = std::any_of(h.launches.begin(), h.launches.end(), [](const Sent& s) { return s.out; });
     if (out && !recipe_.copies) return std::nullopt;
-    if (out && (h.copied || h.type->effect == Effect::effectful)) return std::nullopt;
+    if (out && (h.copied || h.type->idempotency == Idempotency::nonIdempotent)) return std::nullopt;
     if (out) {
-      Millis due = h.launches.back().at + (p95_ > 0 ? p95_ : 0.6 * h.type->promised);
+      Millis due = h.launches.back().at + (p95_ > 0 ? p95_ : 0.6 * h.type->latencyObjective);
       if (due > now_) {
         later_.insert({due, id});
         return std::nullopt;
@@ -312,7 +315,7 @@
     bool last = static_cast<int>(h.launches.size()) >= recipe_.launches;
     Millis left = h.outer - now_;
     return Decision{Act::launch, id, *to, static_cast<int>(h.launches.size()) - 1,
-                    last ? left : std::min(left, std::max(h.type->promised, kTimeoutShare * left))};
+                    last ? left : std::min(left, std::max(h.type->latencyObjective, kTimeoutShare * left))};
   }
 
   std::optional<EndpointId> choose(const Held& h, Destination& d, bool copy) {
@@ -339,7 +342,7 @@
   }
 
   const Recipe& recipe_;
-  DeploymentTerms terms_;
+  DeploymentSettings terms_;
   std::mt19937 chance_;
   Millis now_{0};
   Millis p95_{0};
@@ -361,7 +364,7 @@
 
 }  // namespace
 
-std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentTerms& terms,
+std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentSettings& terms,
                                     std::uint64_t seed) {
   if (name == "ours") return std::make_unique<Ours>(terms, seed);
   for (const Recipe& r : kRecipes) {
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -64,7 +64,7 @@
 
 Millis Clients::left(std::uint32_t callback, Millis now) const {
   const Handed& c = trace_.callbacks[callback];
-  return c.due + plan_.types[c.type].terms.outer - now;
+  return c.due + plan_.types[c.type].terms.deadlineAfter - now;
 }
 
 void Clients::comesAgain(Millis at, std::uint32_t callback) {
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -141,17 +141,17 @@
   json types = json::array();
   for (const TypePlan& t : plan.types) {
     json row{{"name", t.name},
-             {"aim-s", t.terms.promised / kSecond},
-             {"deadline-s", t.terms.outer / kSecond},
-             {"importance", t.terms.gain},
-             {"late-worth", t.terms.lateShare},
+             {"aim-s", t.terms.latencyObjective / kSecond},
+             {"deadline-s", t.terms.deadlineAfter / kSecond},
+             {"importance", t.terms.priorityWeight},
+             {"late-worth", t.terms.lateWeightShare},
              {"keep-order", t.terms.ordered}};
-    row["effect"] = t.terms.effect == Effect::pure        ? "safe"
-                    : t.terms.effect == Effect::receipted ? "keyed"
-                                                          : "unsafe";
-    if (t.terms.effect == Effect::receipted) {
-      row["group"] = t.terms.zoneGroup ? "zone" : "all";
-      row["repeat-window-s"] = t.terms.repeatWindow / kSecond;
+    row["effect"] = t.terms.idempotency == Idempotency::idempotent          ? "safe"
+                    : t.terms.idempotency == Idempotency::idempotentWithKey ? "keyed"
+                                                                            : "unsafe";
+    if (t.terms.idempotency == Idempotency::idempotentWithKey) {
+      row["group"] = t.terms.deduplicatesWithinZone ? "zone" : "all";
+      row["repeat-window-s"] = t.terms.deduplicationWindow / kSecond;
     }
     types.push_back(row);
   }
@@ -159,15 +159,15 @@
   for (int n = 0; n < plan.load.tenants; ++n) {
     tenants.push_back({{"name", "tenant-" + std::to_string(n)}, {"quota-per-s", plan.load.quotaPerSecond}});
   }
-  DeploymentTerms terms = plan.terms(dispatcher);
+  DeploymentSettings terms = plan.terms(dispatcher);
   json settings{{"request-classes", types},
                 {"orgs", tenants},
-                {"over-share-worth", terms.overShareGain},
+                {"over-share-worth", terms.overQuotaWeightShare},
                 {"kinds", {"partner"}},
                 {"zones", plan.world.rooms},
                 {"zone", terms.zone.value},
-                {"replicas-of-me", terms.instances},
-                {"me", terms.me},
+                {"replicas-of-me", terms.dispatcherCount},
+                {"me", terms.dispatcherIndex},
                 {"family-info",
                  {{"call-slots", terms.maxConcurrentRequests},
                   {"decay", "linear"},
@@ -179,18 +179,18 @@
                   {"may-duplicate", terms.mayHedge},
                   {"cancel", terms.mayCancel},
                   {"probes", terms.mayHealthCheck},
-                  {"retry-after", terms.shedAdvice},
-                  {"max-retry-after-s", terms.longestAdvice / kSecond},
-                  {"conn-idle-s", terms.connectionIdle / kSecond},
+                  {"retry-after", terms.mayAdviseRetryAfter},
+                  {"max-retry-after-s", terms.maxRetryAfter / kSecond},
+                  {"conn-idle-s", terms.connectionIdleTimeout / kSecond},
                   {"connect-timeout-s", plan.fleet.connectWithin / kSecond}}},
                 {"rules",
-                 {{"cold-from", terms.coldFrom},
-                  {"cold-s", terms.coldSpan / kSecond},
-                  {"fall-multiple", terms.fallMultiple},
-                  {"fall-s", terms.fallSpan / kSecond},
+                 {{"cold-from", terms.slowStartInitialShare},
+                  {"cold-s", terms.slowStartDuration / kSecond},
+                  {"fall-multiple", terms.overloadThreshold},
+                  {"fall-s", terms.overloadWindow / kSecond},
                   {"drain-grace-s", plan.world.drainGrace / kSecond},
                   {"answer-slack-s", plan.world.answerSlack / kSecond},
-                  {"order-pause-s", terms.orderPause / kSecond}}}};
+                  {"order-pause-s", terms.orderingPause / kSecond}}}};
   if (plan.world.reports) settings["report"] = {{"fields", {"x1"}}};
   char seed[20];
   std::snprintf(
@@ -207,17 +207,18 @@
               {"disk_mb", plan.fleet.diskMegabytes}}},
             {"known", json::parse(known)},
             {"settings", settings}};
-  if (!terms.rooms.tiers.empty()) {
+  if (!terms.zoneFailover.priorities.empty()) {
     json tiers = json::array();
-    for (const auto& tier : terms.rooms.tiers) {
+    for (const auto& tier : terms.zoneFailover.priorities) {
       tiers.push_back(json::array());
       for (ZoneId room : tier) tiers.back().push_back(plan.world.rooms[room.value]);
     }
-    const RoomTerms& r = terms.rooms;
+    const ZoneFailoverSettings& r = terms.zoneFailover;
     file["rooms"] = {
         {"tiers", tiers},
-        {"spill", {{"share", r.spillShare}, {"slots", r.spillSlots}, {"per_s", r.spillPerSecond}}},
-        {"return", {{"climb_s", r.climb / kSecond}, {"from", r.climbFrom}}}};
+        {"spill",
+         {{"share", r.spilloverShare}, {"slots", r.spilloverRequestShare}, {"per_s", r.spilloverPerSecond}}},
+        {"return", {{"climb_s", r.recoveryRampDuration / kSecond}, {"from", r.recoveryRampInitialShare}}}};
   }
   if (plan.fleet.writesAside) file["journal"] = {{"writer", "aside"}};
   return file.dump(1);
--- a/src/lab/gates.cpp
+++ b/src/lab/gates.cpp
@@ -51,14 +51,14 @@
  public:
   explicit Work(std::uint64_t seed) : admission_({kHeldMost, true, kLongestAdvice, 1, 0.05}, seed) {}
   Verdict asked(Millis now, Millis, int held, Millis worked) override {
-    AdmissionCall call = admission_.asked({now, held, 0, 0, worked}, 1, false);
-    return {call.take, call.wait};
+    AdmissionDecision call = admission_.decide({now, held, 0, 0, worked}, 1, false);
+    return {call.accepted, call.retryAfter};
   }
-  void turnEnded(Millis now, Millis worked, std::size_t) override { admission_.turnEnded(now, worked); }
-  void ended(Millis now) override { admission_.ended(now); }
+  void turnEnded(Millis now, Millis worked, std::size_t) override { admission_.recordTurn(now, worked); }
+  void ended(Millis now) override { admission_.recordFinished(now); }
 
  private:
-  Admission admission_;
+  AdmissionController admission_;
 };
 
 // CoDel (RFC 8289) over the time that a command lay unread, where a drop is a refusal.
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -167,7 +167,7 @@
   std::snprintf(fields, sizeof fields, "c=%s,t=tenant-%u,d=%.0f,dest=%u", type.name.c_str(), c.tenant,
                 std::max(0.0, std::floor(clients_.left(callback, clock_.now()))), c.destination);
   std::string list = fields;
-  if (type.terms.effect == Effect::receipted) list += ",k=" + World::refOf(c.origin);
+  if (type.terms.idempotency == Idempotency::idempotentWithKey) list += ",k=" + World::refOf(c.origin);
   if (clients_.again(callback)) list += ",r=1";
   std::string ref = World::refOf(callback);
   std::string body = "callback " + ref + " " + padding_;
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -277,7 +277,7 @@
        static_cast<std::uint32_t>(full ? What::busy : What::taken));
     if (full) return;
     const Handed& c = trace_.callbacks[callback];
-    Millis outer = c.due + plan_.types[c.type].terms.outer;
+    Millis outer = c.due + plan_.types[c.type].terms.deadlineAfter;
     to.held[callback] = {outer, {}};
     if (sabotage_.forgetsCallbacks && callback % 20 == 0) return;
     round(d, [&](Policy& p) {
--- a/src/lab/plan.cpp
+++ b/src/lab/plan.cpp
@@ -305,38 +305,40 @@
   static constexpr std::pair<const char*, TierShape> kShapes[] = {
       {"none", TierShape::none}, {"near", TierShape::near}, {"ring", TierShape::ring}};
   in.choice("tiers", f.tiers, kShapes);
-  in.number("spill_share", f.rooms.spillShare, 0, 100);
-  in.number("spill_slots", f.rooms.spillSlots, 0, 1);
-  in.number("spill_per_s", f.rooms.spillPerSecond, 0, 1e6);
-  in.number("climb_s", f.rooms.climb, 0.01, 3600, kMillisPerSecond);
-  in.number("climb_from", f.rooms.climbFrom, 0.001, 1);
+  in.number("spill_share", f.rooms.spilloverShare, 0, 100);
+  in.number("spill_slots", f.rooms.spilloverRequestShare, 0, 1);
+  in.number("spill_per_s", f.rooms.spilloverPerSecond, 0, 1e6);
+  in.number("climb_s", f.rooms.recoveryRampDuration, 0.01, 3600, kMillisPerSecond);
+  in.number("climb_from", f.rooms.recoveryRampInitialShare, 0.001, 1);
   in.number("restart_s", f.restart, 0.05, 600, kMillisPerSecond);
   in.done();
 }
 
 TypePlan readType(Section& in) {
-  static constexpr std::pair<const char*, Effect> kEffects[] = {
-      {"pure", Effect::pure}, {"receipted", Effect::receipted}, {"effectful", Effect::effectful}};
+  static constexpr std::pair<const char*, Idempotency> kEffects[] = {
+      {"pure", Idempotency::idempotent},
+      {"receipted", Idempotency::idempotentWithKey},
+      {"effectful", Idempotency::nonIdempotent}};
   static constexpr std::pair<const char*, bool> kGroups[] = {{"all", false}, {"room", true}};
   TypePlan t;
-  t.terms.promised = 1000;
-  t.terms.outer = 5000;
+  t.terms.latencyObjective = 1000;
+  t.terms.deadlineAfter = 5000;
   in.text("name", t.name, true);
   in.number("share", t.share, 0, 1e6);
-  in.choice("effect", t.terms.effect, kEffects, true);
-  in.number("promised_ms", t.terms.promised, 1, 1e7);
-  in.number("outer_ms", t.terms.outer, 1, 1e7);
-  in.number("gain", t.terms.gain, 0, 1e6);
-  in.number("late_share", t.terms.lateShare, 0, 1);
-  in.number("window_ms", t.terms.repeatWindow, 1, 1e7);
-  in.choice("group", t.terms.zoneGroup, kGroups);
+  in.choice("effect", t.terms.idempotency, kEffects, true);
+  in.number("promised_ms", t.terms.latencyObjective, 1, 1e7);
+  in.number("outer_ms", t.terms.deadlineAfter, 1, 1e7);
+  in.number("gain", t.terms.priorityWeight, 0, 1e6);
+  in.number("late_share", t.terms.lateWeightShare, 0, 1);
+  in.number("window_ms", t.terms.deduplicationWindow, 1, 1e7);
+  in.choice("group", t.terms.deduplicatesWithinZone, kGroups);
   in.flag("ordered", t.terms.ordered);
   in.number("keys", t.keys, 0, 1e9);
-  if (t.terms.outer < t.terms.promised) {
+  if (t.terms.deadlineAfter < t.terms.latencyObjective) {
     in.wrong("outer_ms",
              "'outer_ms' must be at least 'promised_ms': a callback is promised before it is too late");
   }
-  if (t.terms.effect == Effect::receipted && t.terms.repeatWindow <= 0) {
+  if (t.terms.idempotency == Idempotency::idempotentWithKey && t.terms.deduplicationWindow <= 0) {
     in.wrong("effect", "a receipted type needs 'window_ms', the time within which a repeat is dropped");
   }
   if (t.terms.ordered && t.keys == 0) in.wrong("ordered", "an ordered type needs 'keys', how many there are");
@@ -440,7 +442,8 @@
 Millis Plan::end() const {
   Millis longest = drainAfter;
   if (longest <= 0) {
-    for (const TypePlan& t : types) longest = std::max(longest, t.terms.outer + 2 * world.answerSlack);
+    for (const TypePlan& t : types)
+      longest = std::max(longest, t.terms.deadlineAfter + 2 * world.answerSlack);
   }
   return duration + longest;
 }
@@ -465,38 +468,38 @@
   return found;
 }
 
-DeploymentTerms Plan::terms(int dispatcher) const {
-  DeploymentTerms t;
+DeploymentSettings Plan::terms(int dispatcher) const {
+  DeploymentSettings t;
   for (const TypePlan& type : types) t.types.push_back(type.terms);
   t.kinds = {{false, world.perCall}};
   t.tenantQuotaPerSecond.assign(static_cast<std::size_t>(load.tenants), load.quotaPerSecond);
-  t.overShareGain = 0.05;
+  t.overQuotaWeightShare = 0.05;
   t.maxConcurrentRequests = fleet.slots;
   t.maxInFlight = fleet.held;
   t.maxAttempts = fleet.launches;
-  t.instances = fleet.dispatchers;
-  t.me = static_cast<std::uint32_t>(dispatcher);
+  t.dispatcherCount = fleet.dispatchers;
+  t.dispatcherIndex = static_cast<std::uint32_t>(dispatcher);
   t.zone = ZoneId{static_cast<std::uint8_t>(dispatcher % static_cast<int>(world.rooms.size()))};
   t.mayHedge = fleet.copies;
   t.mayHealthCheck = fleet.probes;
   t.mayCancel = fleet.withdraw;
-  t.shedAdvice = fleet.advice;
-  t.limitReported = world.reports;
-  t.longestAdvice = fleet.longestAdvice;
-  t.connectionIdle = world.connectionIdle;
-  t.coldFrom = world.coldFrom;
-  t.coldSpan = world.coldSpan;
-  t.fallMultiple = world.fallMultiple;
-  t.fallSpan = world.fallSpan;
-  t.orderPause = world.orderPause;
+  t.mayAdviseRetryAfter = fleet.advice;
+  t.reportsRateLimit = world.reports;
+  t.maxRetryAfter = fleet.longestAdvice;
+  t.connectionIdleTimeout = world.connectionIdle;
+  t.slowStartInitialShare = world.coldFrom;
+  t.slowStartDuration = world.coldSpan;
+  t.overloadThreshold = world.fallMultiple;
+  t.overloadWindow = world.fallSpan;
+  t.orderingPause = world.orderPause;
   if (fleet.tiers == TierShape::none) return t;
-  t.rooms = fleet.rooms;
+  t.zoneFailover = fleet.rooms;
   auto rooms = static_cast<int>(world.rooms.size());
   for (int n = 0; n < rooms; ++n) {
     ZoneId room{static_cast<std::uint8_t>((dispatcher + n) % rooms)};
     bool joins = fleet.tiers == TierShape::near && n > 1;
-    if (!joins) t.rooms.tiers.emplace_back();
-    t.rooms.tiers.back().push_back(room);
+    if (!joins) t.zoneFailover.priorities.emplace_back();
+    t.zoneFailover.priorities.back().push_back(room);
   }
   return t;
 }
--- a/src/lab/plan.h
+++ b/src/lab/plan.h
@@ -133,8 +133,8 @@
   int sockets{512};
   Millis restart{600};
   TierShape tiers{TierShape::none};
-  RoomTerms rooms;          // but for the tiers, which follow from that
-  bool writesAside{false};  // a thread of its own writes the journal
+  ZoneFailoverSettings rooms;  // but for the tiers, which follow from that
+  bool writesAside{false};     // a thread of its own writes the journal
 };
 
 struct Plan {
@@ -155,7 +155,7 @@
   // The endpoints that a trouble strikes.
   std::vector<int> struck(const TroublePlan& trouble) const;
   // What a dispatcher in that room is told at its start.
-  DeploymentTerms terms(int dispatcher) const;
+  DeploymentSettings terms(int dispatcher) const;
 };
 
 const char* nameOf(TroubleKind kind);
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -42,7 +42,7 @@
 };
 
 // "ours", or a baseline by its name. Throws Malformed with the names there are.
-std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentTerms& terms,
+std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentSettings& terms,
                                     std::uint64_t seed);
 const std::vector<std::string>& policyNames();
 
--- a/src/lab/tally.cpp
+++ b/src/lab/tally.cpp
@@ -112,18 +112,18 @@
     if (h.origin != c) continue;
     const TrafficType& type = plan.types[h.type].terms;
     ++t.due;
-    t.gainDue += type.gain;
+    t.gainDue += type.priorityWeight;
     Tally::Slice& s = sliceOf(h.due);
     ++s.due;
-    s.gainDue += type.gain;
+    s.gainDue += type.priorityWeight;
     Millis span = delivered[c] - h.due;
-    if (span > type.outer) continue;
+    if (span > type.deadlineAfter) continue;
     ++t.completed;
     ++s.completed;
-    double gain = type.gain * type.shareLeft(span - type.promised, Decay::linear);
+    double gain = type.priorityWeight * type.weightShareAt(span - type.latencyObjective, WeightDecay::linear);
     t.gain += gain;
     s.gain += gain;
-    if (span <= type.promised) ++t.inTime;
+    if (span <= type.latencyObjective) ++t.inTime;
     all.add(std::max(0.0, span));
     bySlice[static_cast<std::size_t>(&s - t.series.data())].push_back(span);
   }
--- a/src/lab/town.cpp
+++ b/src/lab/town.cpp
@@ -310,11 +310,11 @@
     const Handed& handed = trace_.callbacks[callback];
     const TrafficType& type = plan_.types[handed.type].terms;
     bool fresh = true;
-    if (type.effect == Effect::receipted) {
+    if (type.idempotency == Idempotency::idempotentWithKey) {
       auto room = static_cast<std::uint64_t>(plan_.roomOf(static_cast<int>(id)));
-      std::uint64_t group = type.zoneGroup ? room + 1 : 0;
+      std::uint64_t group = type.deduplicatesWithinZone ? room + 1 : 0;
       auto [at, first] = receipts_.try_emplace(std::uint64_t{handed.origin} << 8 | group, now);
-      fresh = first || now - at->second > type.repeatWindow;
+      fresh = first || now - at->second > type.deduplicationWindow;
       if (fresh) at->second = now;
       if (receipts_.size() > kReceiptsKept) {
         std::erase_if(receipts_, [&](const auto& r) { return now - r.second > 1e6; });
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -57,7 +57,7 @@
       auto orders = ordersFrom(path, added);
       auto terms = stonewing::net::termsOf(orders);
       std::cout << orders.name << " at " << orders.listen << ": " << terms.types.size() << " traffic types, "
-                << terms.rooms.tiers.size() << " tiers of rooms\n";
+                << terms.zoneFailover.priorities.size() << " tiers of rooms\n";
     }
     if (*serve) {
       stonewing::net::holdSignals();
--- a/src/net/book.cpp
+++ b/src/net/book.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-Book::Book(const HostFacts& facts, const std::string& folder, std::size_t mostBytes, bool aside)
+Book::Book(const NameTables& facts, const std::string& folder, std::size_t mostBytes, bool aside)
     : facts_(facts), journal_(folder, mostBytes, aside) {}
 
 Held Book::decode(std::string_view key, std::string_view ref, std::string_view list, std::string_view body,
@@ -77,7 +77,7 @@
     std::string_view name = item.substr(0, equals);
     std::string_view value = item.substr(equals + 1);
     if (name == "c") {
-      held.type = placeOf<TrafficTypeId>(facts_.types, value, "class");
+      held.type = placeOf<TrafficTypeId>(facts_.trafficTypes, value, "class");
       typed = true;
     } else if (name == "t") {
       held.tenant = placeOf<TenantId>(facts_.tenants, value, "tenant");
--- a/src/net/book.h
+++ b/src/net/book.h
@@ -62,7 +62,7 @@
 class Book {
  public:
   // aside: a thread of its own writes the journal.
-  Book(const HostFacts& facts, const std::string& folder, std::size_t mostBytes, bool aside = false);
+  Book(const NameTables& facts, const std::string& folder, std::size_t mostBytes, bool aside = false);
 
   // Reads what an earlier process left; returns the bytes of a torn tail that were cut.
   std::size_t restore();
@@ -145,7 +145,7 @@
   static std::string owedRecord(MessageId id, const Notice& notice);
   void drop(MessageId id);
 
-  const HostFacts& facts_;
+  const NameTables& facts_;
   Journal journal_;
   std::uint32_t next_{1};
   std::size_t heldBytes_{0};
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -37,20 +37,20 @@
   return site == nullptr ? std::string_view("gone") : std::string_view(site->note.name);
 }
 
-Calls::Calls(Loop& loop, Rules& rules, Book& book, const Catalog& catalog, const DeploymentTerms& terms,
-             const HostFacts& facts, std::size_t mostLinks, std::size_t mostProbes)
+Calls::Calls(Loop& loop, Rules& rules, Book& book, const Catalog& catalog, const DeploymentSettings& terms,
+             const NameTables& facts, std::size_t mostLinks, std::size_t mostProbes)
     : loop_(loop),
       rules_(rules),
       book_(book),
       catalog_(catalog),
       facts_(facts),
-      connectWithin_(facts.connectWithin > 0 ? facts.connectWithin : kForever),
+      connectWithin_(facts.connectTimeout > 0 ? facts.connectTimeout : kForever),
       mayCopy_(terms.mayHedge),
       mostLinks_(mostLinks),
       mostProbes_(mostProbes) {
   // What is written near the end of that time may cross the other side's close, and would end as a break that
   // proves nothing. It is left out by as much as a connection may take to come up.
-  if (terms.connectionIdle > 0) idleMost_ = terms.connectionIdle;
+  if (terms.connectionIdleTimeout > 0) idleMost_ = terms.connectionIdleTimeout;
   if (idleMost_ > connectWithin_) idleMost_ -= connectWithin_;
 }
 
@@ -362,7 +362,8 @@
   if (ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending)) {
     book_.neverRan(m.message, m.attempt);
   }
-  LoadReport report = line.status() != 0 ? reportIn(line.header("X-Load"), facts_.reported) : LoadReport{};
+  LoadReport report =
+      line.status() != 0 ? reportIn(line.header("X-Load"), facts_.loadReportFields) : LoadReport{};
   log::debug("launch.ended", {{"callback", m.ref},
                               {"launch", m.attempt},
                               {"endpoint", nameAt(line.endpoint)},
@@ -417,7 +418,7 @@
                             : status == 429 ? AttemptOutcome::rejected
                             : status == 503 ? AttemptOutcome::rejected
                                             : AttemptOutcome::error;
-    probeEnded(line, ending, reportIn(line.header("X-Load"), facts_.reported));
+    probeEnded(line, ending, reportIn(line.header("X-Load"), facts_.loadReportFields));
   } else if (status == 200 && line.members.size() > 1) {
     readMany(line, wait);
   } else if (status == 200) {
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -59,7 +59,7 @@
   EndpointState phase{};
 };
 
-Row rowOf(const json& entry, const HostFacts& facts) try {
+Row rowOf(const json& entry, const NameTables& facts) try {
   Row row;
   row.site.note.name = entry.at("id").get<std::string>();
   row.phase = phaseOf(entry.at("state").get<std::string>());
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-Catalog::Catalog(Loop& loop, Rules& rules, const HostFacts& facts, sockaddr_in discovery, std::string host,
+Catalog::Catalog(Loop& loop, Rules& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
                  std::uint64_t seed)
     : loop_(loop),
       rules_(rules),
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -22,7 +22,7 @@
 // Which endpoints there are, as discovery tells it: a list to start from, then a watch that goes on and on.
 class Catalog : public HttpLink::Owner {
  public:
-  Catalog(Loop& loop, Rules& rules, const HostFacts& facts, sockaddr_in discovery, std::string host,
+  Catalog(Loop& loop, Rules& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
           std::uint64_t seed);
 
   // Tells the rules a list, or changes. Throws Malformed and tells nothing where it cannot be read. False:
@@ -55,7 +55,7 @@
 
   Loop& loop_;
   Rules& rules_;
-  const HostFacts& facts_;
+  const NameTables& facts_;
   sockaddr_in discovery_;
   std::string host_;
   std::unique_ptr<HttpLink> link_;
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -174,14 +174,15 @@
 
 namespace {
 
-AdmissionTerms admissionTerms(const DeploymentTerms& terms) {
-  AdmissionTerms t;
-  t.heldMost = terms.maxInFlight;
-  t.mayAdvise = terms.shedAdvice;
-  t.longestAdvice = terms.longestAdvice;
-  t.gainMost = 0;
-  for (const TrafficType& type : terms.types) t.gainMost = std::max(t.gainMost, type.gain);
-  t.overShareGain = terms.overShareGain;
+AdmissionSettings admissionTerms(const DeploymentSettings& terms) {
+  AdmissionSettings t;
+  t.maxInFlight = terms.maxInFlight;
+  t.mayAdviseRetryAfter = terms.mayAdviseRetryAfter;
+  t.maxRetryAfter = terms.maxRetryAfter;
+  t.maxPriorityWeight = 0;
+  for (const TrafficType& type : terms.types)
+    t.maxPriorityWeight = std::max(t.maxPriorityWeight, type.priorityWeight);
+  t.overQuotaWeightShare = terms.overQuotaWeightShare;
   return t;
 }
 
@@ -220,16 +221,16 @@
   return orders;
 }
 
-DeploymentTerms within(DeploymentTerms terms, const Descriptors& descriptors) {
+DeploymentSettings within(DeploymentSettings terms, const Descriptors& descriptors) {
   terms.maxConcurrentRequests = descriptors.slots;
   return terms;
 }
 
 }  // namespace
 
-DeploymentTerms termsOf(const Orders& orders) {
-  DeploymentTerms terms = readFacts(orders.settings);
-  terms.rooms = readRooms(orders.rooms, readHostFacts(orders.settings).zones);
+DeploymentSettings termsOf(const Orders& orders) {
+  DeploymentSettings terms = readDeploymentSettings(orders.settings);
+  terms.zoneFailover = readZoneFailoverSettings(orders.rooms, readNameTables(orders.settings).zones);
   return terms;
 }
 
@@ -238,7 +239,7 @@
       reread_(std::move(reread)),
       terms_(termsOf(orders_)),
       descriptors_(descriptorsOf(orders_.sockets, terms_.maxConcurrentRequests)),
-      facts_(readHostFacts(orders.settings)),
+      facts_(readNameTables(orders.settings)),
       rules_(within(terms_, descriptors_), orders.seed),
       admission_(admissionTerms(terms_), orders.seed + 1),
       book_(facts_, orders.state, orders.diskBytes, orders.writesAside),
@@ -321,9 +322,9 @@
     keep();
     Millis decided = steadyNow();
     if (!book_.under()) notices_.tick();
-    for (; overBefore_ < book_.overSoFar(); ++overBefore_) admission_.ended(loop_.now());
+    for (; overBefore_ < book_.overSoFar(); ++overBefore_) admission_.recordFinished(loop_.now());
     Millis before = std::exchange(worked_, ownWork());
-    admission_.turnEnded(loop_.now(), worked_ - before);
+    admission_.recordTurn(loop_.now(), worked_ - before);
     tellRooms();
     tellSlow(dispatched - began, decided - dispatched, steadyNow() - began);
   }
@@ -347,17 +348,17 @@
 
 // What is believed of rooms, as it changes.
 void Dispatcher::tellRooms() {
-  const Rooms& rooms = rules_.state().zones;
-  if (!rooms.named()) return;
+  const ZoneFailover& rooms = rules_.state().zones;
+  if (!rooms.isEnabled()) return;
   roomsTold_.resize(facts_.zones.size());
   for (std::size_t n = 0; n < roomsTold_.size(); ++n) {
     ZoneId zone{static_cast<std::uint8_t>(n)};
-    int now = rooms.lost(zone) ? 1 : rooms.climbing(loop_.now(), zone) ? 2 : 0;
+    int now = rooms.isLost(zone) ? 1 : rooms.isRamping(loop_.now(), zone) ? 2 : 0;
     if (std::exchange(roomsTold_[n], now) == now) continue;
     if (now == 1) log::warn("room.lost", {{"room", facts_.zones[n]}});
     if (now == 2)
       log::warn("room.returns",
-                {{"room", facts_.zones[n]}, {"fed_per_s", rooms.fedPerSecond(loop_.now(), zone)}});
+                {{"room", facts_.zones[n]}, {"fed_per_s", rooms.rampAttemptsPerSecond(loop_.now(), zone)}});
     if (now == 0) log::info("room.well", {{"room", facts_.zones[n]}});
   }
 }
@@ -455,11 +456,11 @@
   // Refused unseen, which is harmless: out of places, on the way out, or the client has not waited for us and
   // hands it in elsewhere; accepted too, it would be delivered for nothing.
   if (left || state_ > State::leaving) return {"-BUSY\r\n"};
-  AdmissionFacts facts{loop_.now(), rules_.state().messagesInFlight, book_.full(),
-                       hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
-  AdmissionCall call =
-      admission_.asked(facts, terms_.types.at(held.type.value).gain, rules_.overShare(held.tenant));
-  if (!call.take) return {busy(call.wait)};
+  AdmissionInputs facts{loop_.now(), rules_.state().messagesInFlight, book_.full(),
+                        hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
+  AdmissionDecision call = admission_.decide(facts, terms_.types.at(held.type.value).priorityWeight,
+                                             rules_.overShare(held.tenant));
+  if (!call.accepted) return {busy(call.retryAfter)};
   held.outerWall -= loop_.heldUp();  // its time counts from when the client sent it
   Millis outer = loop_.now() + (held.outerWall - wall);
   TrafficTypeId type = held.type;
@@ -467,10 +468,10 @@
   OrderingKey key = held.key;
   DestinationId destination = held.destination;
   auto id = book_.take(std::move(held));
-  if (!id) return {busy(admission_.refusal(loop_.now()))};
+  if (!id) return {busy(admission_.recordRejection(loop_.now()))};
   rules_.taken(*id, type, tenant, key, destination, outer);
   log::debug("callback.taken", {{"callback", words[2]},
-                                {"type", facts_.types[type.value]},
+                                {"type", facts_.trafficTypes[type.value]},
                                 {"destination", destination.value},
                                 {"left_ms", outer - loop_.now()}});
   return {"+OK\r\n", *id};
@@ -523,7 +524,7 @@
                      log::debug("callback.answered", {{"callback", held->ref}});
                    return std::nullopt;
                  }
-                 return busy(admission_.refusal(loop_.now()));
+                 return busy(admission_.recordRejection(loop_.now()));
                });
   book_.forgetLost();
 }
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -51,7 +51,7 @@
 Descriptors descriptorsOf(std::size_t sockets, int slots);
 
 // What the deployment and the operator state together. Throws Malformed.
-DeploymentTerms termsOf(const Orders& orders);
+DeploymentSettings termsOf(const Orders& orders);
 
 // Holds back the signals that a dispatcher takes as events, from now until there is one. A reload asked for
 // earlier would end the process.
@@ -99,9 +99,9 @@
 
   Orders orders_;
   std::function<Orders()> reread_;
-  DeploymentTerms terms_;
+  DeploymentSettings terms_;
   Descriptors descriptors_;
-  HostFacts facts_;
+  NameTables facts_;
   State state_{State::restoring};
   Millis toldToEnd_{0};
   Millis wakeAt_{-1};
@@ -114,7 +114,7 @@
   bool rereadWanted_{false};
   Loop loop_;
   Rules rules_;
-  Admission admission_;
+  AdmissionController admission_;
   Book book_;
   Catalog catalog_;
   Calls calls_;
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -73,13 +73,13 @@
 
 }  // namespace
 
-Rules::Rules(DeploymentTerms terms, std::uint64_t seed)
+Rules::Rules(DeploymentSettings terms, std::uint64_t seed)
     : terms_(std::move(terms)),
       chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
-      s_(Rooms(terms_, mix(seed))) {
-  s_.reusableIdleTime = terms_.connectionIdle;
+      s_(ZoneFailover(terms_, mix(seed))) {
+  s_.reusableIdleTime = terms_.connectionIdleTimeout;
   for (double quota : terms_.tenantQuotaPerSecond) {
-    s_.tenantQuotas.push_back({std::max(1.0, kTenantBurst * quota / terms_.instances)});
+    s_.tenantQuotas.push_back({std::max(1.0, kTenantBurst * quota / terms_.dispatcherCount)});
   }
 }
 
@@ -118,29 +118,30 @@
   quietUntil_ = -1;
   for (auto& [destination, d] : s_.destinations) d.ranking.clear();
   for (auto& [id, p] : s_.routes) p.endpoints.clear();
-  s_.zones.listBegins();
+  s_.zones.beginEndpointList();
   for (auto& [id, e] : s_.endpoints) {
     if (whole && !s_.listedEndpoints.contains(id)) e.state = EndpointState::removed;
     if (e.state != EndpointState::ready) continue;
     e.route->endpoints.push_back(&e);
     e.destination->ranking.push_back(&e);
-    s_.zones.listed(id, e.destination->id, e.zone);
+    s_.zones.addEndpoint(id, e.destination->id, e.zone);
     if (e.route->outage || e.consecutiveFailures > 0) s_.healthCheckCandidates.insert(id);
   }
-  s_.zones.listEnds(s_.now);
+  s_.zones.commitEndpointList(s_.now);
   for (auto& [id, p] : s_.routes) {  // most may have started at this instant: they begin spread by chance
     if (p.nextPacedRequestAt < 0 && paced(p))
       p.nextPacedRequestAt = std::max(0.0, s_.now - draw() * kPaceDepth * paceGap(p));
   }
   // Fixed for each destination; the own zone goes first, since crossing zones takes time and is priced.
   auto place = [&](const Endpoint* e) {
-    return std::tuple(s_.zones.tier(e->destination->id, e->zone), mix(e->id.value ^ mix(terms_.me)), e->id);
+    return std::tuple(s_.zones.priority(e->destination->id, e->zone),
+                      mix(e->id.value ^ mix(terms_.dispatcherIndex)), e->id);
   };
   for (auto& [destination, d] : s_.destinations) {
     std::sort(d.ranking.begin(), d.ranking.end(),
               [&](const Endpoint* a, const Endpoint* b) { return place(a) < place(b); });
   }
-  s_.forgetRemovedEndpoints(kForgotten * terms_.coldSpan);
+  s_.forgetRemovedEndpoints(kForgotten * terms_.slowStartDuration);
 }
 
 void Rules::taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
@@ -150,8 +151,8 @@
   if (tenant.value < s_.tenantQuotas.size()) {
     TenantQuota& t = s_.tenantQuotas[tenant.value];
     // Dispatchers carry unlike loads: our part of a quota is an even one, or what came here so far.
-    double quota = std::max(terms_.tenantQuotaPerSecond[tenant.value] / terms_.instances / 1000,
-                            ++t.acceptedCount / std::max(terms_.coldSpan, s_.now - s_.startedAt));
+    double quota = std::max(terms_.tenantQuotaPerSecond[tenant.value] / terms_.dispatcherCount / 1000,
+                            ++t.acceptedCount / std::max(terms_.slowStartDuration, s_.now - s_.startedAt));
     t.tokens = std::min(std::max(1.0, quota * kTenantBurst * 1000),
                         t.tokens + quota * (s_.now - std::exchange(t.refilledAt, s_.now)));
     c.overQuota = t.tokens < 1;
@@ -170,7 +171,8 @@
                         .sentAt = sent,
                         .pending = false,
                         .provablyNotExecuted = neverRan});
-  if (!neverRan && type(c).ordered) s_.orderedQueues[c.orderingKey].pausedUntil = s_.now + terms_.orderPause;
+  if (!neverRan && type(c).ordered)
+    s_.orderedQueues[c.orderingKey].pausedUntil = s_.now + terms_.orderingPause;
   s_.retryExhaustionTimes.insert({s_.now, id});
   s_.updateIndexes(id, c);
 }
@@ -188,16 +190,18 @@
       ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending);
   s_.releaseRequest(l);
   e.lastUsedAt = s_.now;
-  Millis leastTrust = kTrustLeast * terms_.connectionIdle;  // connections also break that were hardly idle
+  Millis leastTrust =
+      kTrustLeast * terms_.connectionIdleTimeout;  // connections also break that were hardly idle
   // A new connection refused with no report, where answers hold one: not by the limit, the table is full.
   bool shutOut = ending == AttemptOutcome::rejected && s_.loadReportSeen && report.rateLimit < 0 &&
                  wait <= 0 && l.connectionIdleTime <= 0;
-  if (shutOut || (ending == AttemptOutcome::connectFailed && p.lastSuccessAt > s_.now - terms_.coldSpan)) {
+  if (shutOut ||
+      (ending == AttemptOutcome::connectFailed && p.lastSuccessAt > s_.now - terms_.slowStartDuration)) {
     s_.reusableIdleTime *= kTrustCut;  // calls complete there, so its table is full
   } else if (l.connectionIdleTime > leastTrust && ending == AttemptOutcome::reset) {
     s_.reusableIdleTime = std::min(s_.reusableIdleTime, kTrustCut * l.connectionIdleTime);
   } else if (l.connectionIdleTime > kTrustCut * s_.reusableIdleTime && ending == AttemptOutcome::completed) {
-    s_.reusableIdleTime = std::min(terms_.connectionIdle, kTrustGrowth * s_.reusableIdleTime);
+    s_.reusableIdleTime = std::min(terms_.connectionIdleTimeout, kTrustGrowth * s_.reusableIdleTime);
   }
   s_.reusableIdleTime = std::max(s_.reusableIdleTime, leastTrust);
   noteReport(p, e, report);
@@ -222,7 +226,7 @@
       ending == AttemptOutcome::cancelled) {
     auto line = s_.orderedQueues.find(c->orderingKey);
     if (type(*c).ordered && line != s_.orderedQueues.end())
-      line->second.pausedUntil = s_.now + terms_.orderPause;
+      line->second.pausedUntil = s_.now + terms_.orderingPause;
   }
   bool atOnce =
       worn || (l.provablyNotExecuted &&
@@ -239,11 +243,11 @@
 // When a settled message may have no attempt left: now, or when the window of one that may have run closes.
 Millis Rules::spentAt(const Message& c) const {
   const TrafficType& t = type(c);
-  if (t.effect == Effect::pure || !repeatAllowed(c, nullptr))
+  if (t.idempotency == Idempotency::idempotent || !repeatAllowed(c, nullptr))
     return repeatAllowed(c, nullptr) ? c.deadline : s_.now;
   Millis at = c.deadline;
   for (const Attempt& l : c.attempts) {
-    if (mayHaveRun(l)) at = std::min(at, l.sentAt + t.repeatWindow * (1 - kWindowMargin));
+    if (mayHaveRun(l)) at = std::min(at, l.sentAt + t.deduplicationWindow * (1 - kWindowMargin));
   }
   return at;
 }
@@ -274,7 +278,7 @@
 // What a route usually takes: by its own samples, the instance's or, with neither, the latency objective.
 LatencyQuantiles Rules::usual(const Route& p, const TrafficType& t) const {
   if (p.latencies.samples.size() >= kEnoughPooled) return p.latencies.quantiles;
-  LatencyQuantiles known{t.promised * kDelayUnknown, t.promised * kDelayUnknown / kLate};
+  LatencyQuantiles known{t.latencyObjective * kDelayUnknown, t.latencyObjective * kDelayUnknown / kLate};
   if (s_.latencies.samples.size() >= kEnoughSamples) known = s_.latencies.quantiles;
   return {std::max(known.p95, p.latencies.quantiles.p95), known.p50};
 }
@@ -282,7 +286,7 @@
 Millis Rules::copyDelay(const Message& c, const Endpoint& e, const Route& p, Millis sent) const {
   const TrafficType& t = type(c);
   Millis p95 = e.latencies.samples.size() >= kEnoughSamples ? e.latencies.quantiles.p95 : usual(p, t).p95;
-  Millis clamped = std::clamp(p95, t.promised * kDelayLeast, t.promised * kDelayMost);
+  Millis clamped = std::clamp(p95, t.latencyObjective * kDelayLeast, t.latencyObjective * kDelayMost);
   return std::min(clamped, (c.deadline - sent) / 2);
 }
 
@@ -301,7 +305,8 @@
 Millis Rules::pause(const Route& p) {
   Millis gap = 1000 / shareOfCapacity(p);
   if (shareTold(p) <= 0) {
-    gap = std::min(gap, usual(p, terms_.types.front()).p50 * std::max(1.0, kUnknownGap * terms_.instances));
+    gap = std::min(gap,
+                   usual(p, terms_.types.front()).p50 * std::max(1.0, kUnknownGap * terms_.dispatcherCount));
   }
   return gap * kPauseFirst * std::exp2(p.consecutiveRejections - 1) * (0.5 + draw());
 }
@@ -322,7 +327,7 @@
 
 void Rules::returned(Route& p) {
   p.outage = false;
-  p.warmingUp = s_.now - p.lastSuccessAt > kBlip * terms_.fallSpan;
+  p.warmingUp = s_.now - p.lastSuccessAt > kBlip * terms_.overloadWindow;
   p.warmUpStartedAt = p.recentSuccessesAt = s_.now;
   p.nextSlowStartSendAt = s_.now + coldSpacing(p) * draw();
   p.successShare = 1;
@@ -346,7 +351,8 @@
   s_.recordSuccess(e, true);
   e.lastSuccessAt = s_.now;
   if (!p.warmingUp) {
-    p.recentSuccesses = 1 + p.recentSuccesses * std::exp(-(s_.now - p.recentSuccessesAt) / terms_.coldSpan);
+    p.recentSuccesses =
+        1 + p.recentSuccesses * std::exp(-(s_.now - p.recentSuccessesAt) / terms_.slowStartDuration);
     p.recentSuccessesAt = s_.now;
   }
   if (p.outage && p.outageConfirmed) returned(p);
@@ -386,10 +392,10 @@
   }
   // Shut, not merely over its limit: a wait longer than a limit's span, or refusals alone for long. A limit
   // that others use up refuses us a few times in a row too, and a ramp after that would cost the service.
-  bool nothingElse =
-      p.consecutiveRejections >= kRefusalsMost && s_.now - p.rejectedSince > kShutSpans * terms_.fallSpan;
+  bool nothingElse = p.consecutiveRejections >= kRefusalsMost &&
+                     s_.now - p.rejectedSince > kShutSpans * terms_.overloadWindow;
   if (p.outage) p.outageConfirmed = true;
-  if (!p.outage && (wait > kShutWait * terms_.fallSpan || nothingElse)) outageBegins(p, true);
+  if (!p.outage && (wait > kShutWait * terms_.overloadWindow || nothingElse)) outageBegins(p, true);
 }
 
 void Rules::probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) {
@@ -428,22 +434,22 @@
 void Rules::easePace(Route& p) {
   Millis since = s_.now - std::exchange(p.rateHalvingsAt, s_.now);
   if (p.rateHalvings > 0)
-    p.rateHalvings = std::max(0.0, p.rateHalvings - since / (kPaceEase * terms_.fallSpan));
+    p.rateHalvings = std::max(0.0, p.rateHalvings - since / (kPaceEase * terms_.overloadWindow));
 }
 
 // Danger: noise that reads as a limit near nothing would keep a route shut; no gap is longer than a
 // slow-start duration.
 Millis Rules::paceGap(const Route& p) const {
-  return std::min(terms_.coldSpan, 1000 * std::exp2(p.rateHalvings) / std::max(1e-9, shareTold(p)));
+  return std::min(terms_.slowStartDuration, 1000 * std::exp2(p.rateHalvings) / std::max(1e-9, shareTold(p)));
 }
 
 // Our even part of the limit that is told, in calls a second; 0 where none is.
 double Rules::shareTold(const Route& p) const {
   double told = p.reportedRateLimit;
-  if (told < 0 && terms_.weightsTold) {
+  if (told < 0 && terms_.hasReportedWeights) {
     for (const Endpoint* e : p.endpoints) told = std::max(told, e->weight * kRoughWeight);
   }
-  return std::max(0.0, told) / terms_.instances;
+  return std::max(0.0, told) / terms_.dispatcherCount;
 }
 
 // Our part of what the route can do, calls a second: our even part of what is told, or a part of what we were
@@ -451,15 +457,15 @@
 // repeats of clients count in it too.
 double Rules::shareOfCapacity(const Route& p) const {
   auto part = static_cast<double>(p.endpoints.size()) / std::max<double>(1, p.destination->ranking.size());
-  double asked =
-      kAskedShare * part * p.destination->acceptedCount / std::max(terms_.coldSpan, s_.now - s_.startedAt);
+  double asked = kAskedShare * part * p.destination->acceptedCount /
+                 std::max(terms_.slowStartDuration, s_.now - s_.startedAt);
   return std::max({shareTold(p), asked * 1000, 1e-9});
 }
 
 // The same by what it did for us before an outage, if that is more.
 double Rules::shareShown(const Route& p) const {
-  Millis span =
-      std::clamp(s_.now - s_.startedAt, terms_.fallSpan, terms_.coldSpan);  // not from one or two alone
+  Millis span = std::clamp(s_.now - s_.startedAt, terms_.overloadWindow,
+                           terms_.slowStartDuration);  // not from one or two alone
   return std::max(p.recentSuccesses / span * 1000, shareOfCapacity(p));
 }
 
@@ -467,11 +473,13 @@
 // of what it takes, which grows while it warms; the instances together send about two in a overload window
 // where that part is not known.
 Millis Rules::coldSpacing(const Route& p) {
-  double warm = p.warmingUp ? std::clamp((s_.now - p.warmUpStartedAt) / terms_.coldSpan, 0.0, 1.0) : 0;
-  double whole = kToldShare * terms_.fallMultiple * shareShown(p) / 1000;
-  double least = kColdTogether / terms_.instances / terms_.fallSpan;
-  double rate = std::max(least, whole * (terms_.coldFrom + (1 - terms_.coldFrom) * warm));
-  double growth = p.warmingUp ? whole * (1 - terms_.coldFrom) / terms_.coldSpan : 0;
+  double warm =
+      p.warmingUp ? std::clamp((s_.now - p.warmUpStartedAt) / terms_.slowStartDuration, 0.0, 1.0) : 0;
+  double whole = kToldShare * terms_.overloadThreshold * shareShown(p) / 1000;
+  double least = kColdTogether / terms_.dispatcherCount / terms_.overloadWindow;
+  double rate =
+      std::max(least, whole * (terms_.slowStartInitialShare + (1 - terms_.slowStartInitialShare) * warm));
+  double growth = p.warmingUp ? whole * (1 - terms_.slowStartInitialShare) / terms_.slowStartDuration : 0;
   return growth > 0 ? (std::sqrt(rate * rate + 2 * growth) - rate) / growth : 1 / rate;
 }
 
@@ -481,13 +489,13 @@
 
 bool Rules::pathOpen(Route& p) {
   if (!reached(std::max({p.retryAfterUntil, p.backoffUntil, p.nextPacedRequestAt}))) return false;
-  if (p.warmingUp && s_.now - p.warmUpStartedAt >= terms_.coldSpan) {
+  if (p.warmingUp && s_.now - p.warmUpStartedAt >= terms_.slowStartDuration) {
     p.warmingUp = p.outageConfirmed = false;
     lookAgain(p);
   }
   if (!p.outage && !p.warmingUp) return true;
   if (p.outage && terms_.mayHealthCheck) return false;
-  reached(p.warmingUp ? std::min(p.nextSlowStartSendAt, p.warmUpStartedAt + terms_.coldSpan)
+  reached(p.warmingUp ? std::min(p.nextSlowStartSendAt, p.warmUpStartedAt + terms_.slowStartDuration)
                       : p.nextSlowStartSendAt);
   return s_.now >= p.nextSlowStartSendAt;
 }
@@ -495,14 +503,16 @@
 // A lost room gets nothing, one that returns is fed along its curve, and strangers keep to their part of a
 // room. What cannot go anywhere waits; how long that will be is not known, so it is asked again before long.
 bool Rules::roomOpen(const Endpoint& e) {
-  return reached(std::min(s_.zones.launchFrom(e.destination->id, e.zone), s_.now + terms_.fallSpan));
+  return reached(
+      std::min(s_.zones.attemptAllowedFrom(e.destination->id, e.zone), s_.now + terms_.overloadWindow));
 }
 
 double Rules::gainAt(const Message& c, Millis at) const {
   const TrafficType& t = type(c);
   if (at > c.deadline) return 0;
-  Millis late = at - (c.deadline - t.outer) - t.promised;
-  return t.gain * t.shareLeft(late, terms_.decay) * (c.overQuota ? terms_.overShareGain : 1);
+  Millis late = at - (c.deadline - t.deadlineAfter) - t.latencyObjective;
+  return t.priorityWeight * t.weightShareAt(late, terms_.decay) *
+         (c.overQuota ? terms_.overQuotaWeightShare : 1);
 }
 
 bool Rules::anyMayHaveRun(const Message& c) const {
@@ -513,12 +523,12 @@
 bool Rules::repeatAllowed(const Message& c, const Endpoint* to, const Attempt* self) const {
   const TrafficType& t = type(c);
   if (static_cast<int>(c.attempts.size()) - (self != nullptr) >= terms_.maxAttempts) return false;
-  if (t.effect == Effect::pure) return true;
+  if (t.idempotency == Idempotency::idempotent) return true;
   for (const Attempt& l : c.attempts) {
     if (!mayHaveRun(l) || &l == self) continue;
-    if (t.effect == Effect::effectful) return false;
-    if (s_.now >= l.sentAt + t.repeatWindow * (1 - kWindowMargin)) return false;
-    if (to != nullptr && t.zoneGroup && l.endpoint->zone != to->zone) return false;
+    if (t.idempotency == Idempotency::nonIdempotent) return false;
+    if (s_.now >= l.sentAt + t.deduplicationWindow * (1 - kWindowMargin)) return false;
+    if (to != nullptr && t.deduplicatesWithinZone && l.endpoint->zone != to->zone) return false;
   }
   return true;
 }
@@ -536,8 +546,9 @@
 // A shed reply promises that trying again is harmless.
 bool Rules::shedAllowed(const Message& c) const {
   const TrafficType& t = type(c);
-  if (t.effect == Effect::pure || !anyMayHaveRun(c)) return true;
-  return t.effect == Effect::receipted && !t.zoneGroup && repeatAllowed(c, nullptr);
+  if (t.idempotency == Idempotency::idempotent || !anyMayHaveRun(c)) return true;
+  return t.idempotency == Idempotency::idempotentWithKey && !t.deduplicatesWithinZone &&
+         repeatAllowed(c, nullptr);
 }
 
 bool Rules::keyFree(MessageId id, const Message& c) {
@@ -556,7 +567,7 @@
   if (e.batchRound != s_.round || e.batchSize >= perCall(e)) return false;
   const Route& p = *e.route;
   return !(p.outage || p.warmingUp) ||
-         1 + kFurtherWeight * e.batchSize <= std::max(kColdCall, terms_.fallSpan / coldSpacing(p));
+         1 + kFurtherWeight * e.batchSize <= std::max(kColdCall, terms_.overloadWindow / coldSpacing(p));
 }
 
 bool Rules::room(const Route& p, const Endpoint& e) {
@@ -579,7 +590,7 @@
 }
 
 Millis Rules::restEnds(const Endpoint& e) const {
-  return e.lastFailureAt + std::min(terms_.coldSpan, terms_.fallSpan * e.consecutiveFailures);
+  return e.lastFailureAt + std::min(terms_.slowStartDuration, terms_.overloadWindow * e.consecutiveFailures);
 }
 
 // First in rank, the next when that one has enough: its part of the window, or failures while others work.
@@ -634,11 +645,11 @@
     s_.retryBudget = std::max(0.0, s_.retryBudget - 1);
   }
   Millis span = c.deadline - s_.now;
-  if (!terms_.mayCancel && type(c).effect != Effect::effectful) {
-    span = std::min(span, std::max(type(c).promised, kStuck * usual(p, type(c)).p95));
+  if (!terms_.mayCancel && type(c).idempotency != Idempotency::nonIdempotent) {
+    span = std::min(span, std::max(type(c).latencyObjective, kStuck * usual(p, type(c)).p95));
   }
   c.hedged = c.hedged || copy;
-  bool spilled = s_.zones.launched(s_.now, e.destination->id, e.zone);
+  bool spilled = s_.zones.recordAttempt(s_.now, e.destination->id, e.zone);
   c.attempts.push_back({.endpoint = &e,
                         .sentAt = s_.now,
                         .connectionIdleTime = idle,
@@ -658,7 +669,7 @@
 }
 
 Millis Rules::silenceOf(const Message& c, const Route& p) const {
-  return kSilent * std::max(usual(p, type(c)).p95, kDelayLeast * type(c).promised);
+  return kSilent * std::max(usual(p, type(c)).p95, kDelayLeast * type(c).latencyObjective);
 }
 
 // A hung endpoint gives no late answer to learn from: a route with nothing answered for long since an attempt
@@ -697,7 +708,7 @@
 }
 
 Decision Rules::shed(MessageId id, Millis away) {
-  return {Act::shed, over(id), {}, 0, terms_.shedAdvice ? std::min(away, terms_.longestAdvice) : 0};
+  return {Act::shed, over(id), {}, 0, terms_.mayAdviseRetryAfter ? std::min(away, terms_.maxRetryAfter) : 0};
 }
 
 // Danger: what waits in vain and never ran passes for failed, as if it had been tried. In a large fleet
@@ -728,19 +739,20 @@
 // In a line the oldest has the least left.
 std::optional<Decision> Rules::makeRoom() {
   bool full = s_.messagesInFlight > std::max(1, static_cast<int>(terms_.maxInFlight * (1 - kRoomKept)));
-  if (!full && !s_.zones.named()) return std::nullopt;
+  if (!full && !s_.zones.isEnabled()) return std::nullopt;
   std::optional<MessageId> least;
   double leastGain = 0;
   Millis away = 0;
   for (const Destination* d : s_.destinationsWithWaiting) {
-    if (!full && !s_.zones.overfull(d->id)) continue;
+    if (!full && !s_.zones.isBacklogTooLong(d->id)) continue;
     const Route* p = d->ranking.empty() ? nullptr : d->ranking.front()->route;
-    Millis opens = p == nullptr
-                       ? s_.now
-                       : std::max({s_.now, p->retryAfterUntil, p->outage ? s_.now + terms_.coldSpan : 0});
-    opens = std::max(opens, s_.now + s_.zones.backlog(d->id));
+    Millis opens =
+        p == nullptr
+            ? s_.now
+            : std::max({s_.now, p->retryAfterUntil, p->outage ? s_.now + terms_.slowStartDuration : 0});
+    opens = std::max(opens, s_.now + s_.zones.backlogDelay(d->id));
     for (const auto& [kind, line] : d->waitQueue.lists()) {
-      bool alike = !kind.attempted || terms_.types[kind.type.value].effect == Effect::pure;
+      bool alike = !kind.attempted || terms_.types[kind.type.value].idempotency == Idempotency::idempotent;
       for (const auto& [limit, id] : line) {
         const Message& c = s_.messages.at(id);
         if (!alike && !shedAllowed(c)) continue;
@@ -820,7 +832,8 @@
     MessageId id = *at;
     seen_.copyFrom = MessageId{id.value + 1};
     Message& c = s_.messages.at(id);
-    if (c.finished || c.responseStarted || c.hedged || type(c).effect == Effect::effectful) continue;
+    if (c.finished || c.responseStarted || c.hedged || type(c).idempotency == Idempotency::nonIdempotent)
+      continue;
     if (!c.attempts.back().pending || c.attempts.back().cancelled) continue;
     const Attempt& l = c.attempts.back();
     Millis due = l.sentAt + copyDelay(c, *l.endpoint, *l.endpoint->route, l.sentAt);
@@ -834,11 +847,12 @@
 // turns from rising to falling only where the time left meets one of a few spans: the best stands beside one.
 template <class Visit>
 void Rules::mostUrgent(const WaitList& line, const TrafficType& t, Millis from, Visit visit) const {
-  Millis step = kUrgencyStep * t.promised;
-  Millis lateAgain = t.outer - t.promised;
+  Millis step = kUrgencyStep * t.latencyObjective;
+  Millis lateAgain = t.deadlineAfter - t.latencyObjective;
   WaitQueue::visitAround(line, {from, from + step, from + lateAgain, from + step + lateAgain}, visit);
-  if (terms_.decay != Decay::halving || t.lateShare <= 0) return;
-  Millis floor = lateAgain + t.promised * std::log2(t.lateShare);  // from there on nothing more is lost
+  if (terms_.decay != WeightDecay::halving || t.lateWeightShare <= 0) return;
+  Millis floor =
+      lateAgain + t.latencyObjective * std::log2(t.lateWeightShare);  // from there on nothing more is lost
   WaitQueue::visitAround(line, {from + floor, from + step + floor}, visit);
 }
 
@@ -849,8 +863,8 @@
   auto consider = [&](MessageId id, const Message& c, Endpoint* to) {
     Millis latency = usual(*to->route, type(c)).p50;
     auto gainIn = [&](Millis late) { return gainAt(c, s_.now + latency + late); };
-    double lost = gainIn(0) - gainIn(kUrgencyStep * type(c).promised);    // by waiting
-    auto place = std::tuple(lost / std::max(1.0, latency), -c.deadline);  // for a slot's time
+    double lost = gainIn(0) - gainIn(kUrgencyStep * type(c).latencyObjective);  // by waiting
+    auto place = std::tuple(lost / std::max(1.0, latency), -c.deadline);        // for a slot's time
     if (best && (place < bestPlace || (place == bestPlace && *best <= id))) return;
     best = id;
     bestTo = to;
@@ -922,10 +936,11 @@
     bool turn = p.outage && p.endpoints[p.healthCheckTurn % p.endpoints.size()] == &e;
     if (p.healthCheckPending || (!turn && p.outage))
       continue;  // looked at again when the health check has ended
-    Millis rest = std::max(restEnds(e),
-                           e.lastFailureAt + std::min(terms_.coldSpan, terms_.fallSpan * terms_.instances));
+    Millis rest = std::max(
+        restEnds(e),
+        e.lastFailureAt + std::min(terms_.slowStartDuration, terms_.overloadWindow * terms_.dispatcherCount));
     Millis due = std::max({p.outage || p.warmingUp ? p.nextSlowStartSendAt : rest, p.retryAfterUntil,
-                           p.backoffUntil, s_.zones.probeFrom(e.zone)});
+                           p.backoffUntil, s_.zones.healthCheckAllowedFrom(e.zone)});
     if (!reached(due)) {
       s_.scheduledHealthChecks.insert({due, id});
       continue;
@@ -933,7 +948,7 @@
     if (p.outage) ++p.healthCheckTurn;
     p.healthCheckPending = true;
     pushed(p);
-    s_.zones.probed(s_.now, e.zone);
+    s_.zones.recordHealthCheck(s_.now, e.zone);
     return Decision{Act::probe, {}, id, 0, 0};
   }
   return std::nullopt;
--- a/src/rules.h
+++ b/src/rules.h
@@ -13,7 +13,7 @@
 // The decisions of one instance. Tell it what happened, then pull decisions until there is none.
 class Rules {
  public:
-  Rules(DeploymentTerms terms, std::uint64_t seed);
+  Rules(DeploymentSettings terms, std::uint64_t seed);
 
   void roundBegins(Millis now);
   void listBegins();
@@ -75,7 +75,8 @@
   void easePace(Route& p);
   // Whether a limit binds there that is known: from then on calls keep their distance before any refusal.
   bool paced(const Route& p) const {
-    return (p.reportedRateLimit > 0 || (p.reportedRateLimit < 0 && terms_.limitReported)) && shareTold(p) > 0;
+    return (p.reportedRateLimit > 0 || (p.reportedRateLimit < 0 && terms_.reportsRateLimit)) &&
+           shareTold(p) > 0;
   }
   Millis paceGap(const Route& p) const;
   void noteFailure(Route& p, Endpoint& e, Millis sent, AttemptOutcome ending);
@@ -113,7 +114,7 @@
   bool reached(Millis at);
   double draw();
 
-  DeploymentTerms terms_;
+  DeploymentSettings terms_;
   std::mt19937 chance_;
   PolicyState s_;
   Millis wakeWanted_{-1};
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -12,75 +12,75 @@
 namespace stonewing::testing {
 namespace {
 
-AdmissionTerms admissionTerms() {
-  AdmissionTerms t;
-  t.heldMost = 100;
-  t.mayAdvise = true;
-  t.longestAdvice = 2000;
-  t.gainMost = 2;
-  t.overShareGain = 0.05;
+AdmissionSettings admissionTerms() {
+  AdmissionSettings t;
+  t.maxInFlight = 100;
+  t.mayAdviseRetryAfter = true;
+  t.maxRetryAfter = 2000;
+  t.maxPriorityWeight = 2;
+  t.overQuotaWeightShare = 0.05;
   return t;
 }
 
 TEST(Admission, TakesAllWhileNothingPresses) {
-  Admission a(admissionTerms(), 1);
-  for (int n = 0; n < 50; ++n) a.turnEnded(n, 5);
-  EXPECT_TRUE(a.asked({50, 99, 0.5}, 0.01, true).take);
-  EXPECT_FALSE(a.asked({50, 100, 0.5}, 2, false).take);
+  AdmissionController a(admissionTerms(), 1);
+  for (int n = 0; n < 50; ++n) a.recordTurn(n, 5);
+  EXPECT_TRUE(a.decide({50, 99, 0.5}, 0.01, true).accepted);
+  EXPECT_FALSE(a.decide({50, 100, 0.5}, 2, false).accepted);
 }
 
 // Danger: a loop that is behind answers everybody too late; then they all hand in again, and it stays behind.
 TEST(Admission, TurnsAwayWhatIsWorthLeastFirstWhileTheLoopIsBehindAndStopsSoonAfter) {
-  Admission a(admissionTerms(), 1);
-  a.turnEnded(1000, 30);
-  EXPECT_FALSE(a.asked({1000, 10, 0}, 2, true).take);
-  EXPECT_FALSE(a.asked({1000, 10, 0}, 0.5, false).take);
-  EXPECT_TRUE(a.asked({1000, 10, 0}, 1, false).take);
-  EXPECT_TRUE(a.asked({1000, 10, 0}, 2, false).take);
-  a.turnEnded(1060, 100);
-  EXPECT_FALSE(a.asked({1060, 10, 0}, 2, false).take);
-  for (int n = 1; n <= 8; ++n) a.turnEnded(1060 + n, 2);
-  EXPECT_TRUE(a.asked({1070, 10, 0}, 0.01, true).take);
-  a.turnEnded(1100, 500);
-  EXPECT_TRUE(a.asked({9000, 10, 0}, 0.01, true).take);  // a rest ends it too
+  AdmissionController a(admissionTerms(), 1);
+  a.recordTurn(1000, 30);
+  EXPECT_FALSE(a.decide({1000, 10, 0}, 2, true).accepted);
+  EXPECT_FALSE(a.decide({1000, 10, 0}, 0.5, false).accepted);
+  EXPECT_TRUE(a.decide({1000, 10, 0}, 1, false).accepted);
+  EXPECT_TRUE(a.decide({1000, 10, 0}, 2, false).accepted);
+  a.recordTurn(1060, 100);
+  EXPECT_FALSE(a.decide({1060, 10, 0}, 2, false).accepted);
+  for (int n = 1; n <= 8; ++n) a.recordTurn(1060 + n, 2);
+  EXPECT_TRUE(a.decide({1070, 10, 0}, 0.01, true).accepted);
+  a.recordTurn(1100, 500);
+  EXPECT_TRUE(a.decide({9000, 10, 0}, 0.01, true).accepted);  // a rest ends it too
 }
 
 // Danger: a turn that reads a surge is over before anybody knows that it was long.
 TEST(Admission, TurnsAwayInTheVeryTurnThatGrowsLong) {
-  Admission a(admissionTerms(), 1);
-  EXPECT_TRUE(a.asked({1000, 10, 0, 0, 15}, 0.01, true).take);
-  EXPECT_FALSE(a.asked({1000, 10, 0, 0, 30}, 0.5, false).take);
-  EXPECT_TRUE(a.asked({1000, 10, 0, 0, 30}, 2, false).take);
-  EXPECT_FALSE(a.asked({1000, 10, 0, 0, 60}, 2, false).take);
+  AdmissionController a(admissionTerms(), 1);
+  EXPECT_TRUE(a.decide({1000, 10, 0, 0, 15}, 0.01, true).accepted);
+  EXPECT_FALSE(a.decide({1000, 10, 0, 0, 30}, 0.5, false).accepted);
+  EXPECT_TRUE(a.decide({1000, 10, 0, 0, 30}, 2, false).accepted);
+  EXPECT_FALSE(a.decide({1000, 10, 0, 0, 60}, 2, false).accepted);
 }
 
 // Danger: with a folder that hangs nothing ends, and an advice by the rate of ends keeps clients away for
 // seconds from other dispatchers that could take what they have.
 TEST(Admission, AFolderThatHangsRefusesAllSoonAndSendsNobodyFarAway) {
-  Admission a(admissionTerms(), 1);
-  EXPECT_TRUE(a.asked({1000, 10, 0, 10}, 0.01, true).take);
-  AdmissionCall soon = a.asked({1000, 10, 0, 100}, 2, false);
-  EXPECT_FALSE(soon.take);
-  EXPECT_LE(soon.wait, 150);
-  for (int n = 0; n < 50; ++n) EXPECT_LE(a.asked({5000, 10, 0, 3000}, 2, false).wait, 600);
+  AdmissionController a(admissionTerms(), 1);
+  EXPECT_TRUE(a.decide({1000, 10, 0, 10}, 0.01, true).accepted);
+  AdmissionDecision soon = a.decide({1000, 10, 0, 100}, 2, false);
+  EXPECT_FALSE(soon.accepted);
+  EXPECT_LE(soon.retryAfter, 150);
+  for (int n = 0; n < 50; ++n) EXPECT_LE(a.decide({5000, 10, 0, 3000}, 2, false).retryAfter, 600);
 }
 
 TEST(Admission, AJournalThatFillsUpKeepsTheRestForWhatIsWorthMore) {
-  Admission a(admissionTerms(), 1);
-  EXPECT_TRUE(a.asked({0, 10, 0.9}, 0.01, true).take);
-  EXPECT_FALSE(a.asked({0, 10, 0.95}, 0.9, false).take);
-  EXPECT_TRUE(a.asked({0, 10, 0.95}, 2, false).take);
-  EXPECT_FALSE(a.asked({0, 10, 1}, 2, false).take);
+  AdmissionController a(admissionTerms(), 1);
+  EXPECT_TRUE(a.decide({0, 10, 0.9}, 0.01, true).accepted);
+  EXPECT_FALSE(a.decide({0, 10, 0.95}, 0.9, false).accepted);
+  EXPECT_TRUE(a.decide({0, 10, 0.95}, 2, false).accepted);
+  EXPECT_FALSE(a.decide({0, 10, 1}, 2, false).accepted);
 }
 
 // Danger: told one and the same time, all who were refused come back in one moment.
 TEST(Admission, TellsTimesThatLieApartAndFollowTheRateOfEnds) {
-  Admission a(admissionTerms(), 1);
-  for (int n = 0; n < 100; ++n) a.ended(n * 10.0);  // a hundred a second
+  AdmissionController a(admissionTerms(), 1);
+  for (int n = 0; n < 100; ++n) a.recordFinished(n * 10.0);  // a hundred a second
   std::set<int> told;
   Millis first = 0, last = 0;
   for (int n = 0; n < 40; ++n) {
-    last = a.asked({1000, 100, 0}, 2, false).wait;
+    last = a.decide({1000, 100, 0}, 2, false).retryAfter;
     if (n == 0) first = last;
     told.insert(static_cast<int>(last));
     EXPECT_GE(last, 20);
@@ -88,19 +88,19 @@
   }
   EXPECT_GT(told.size(), 25u);
   EXPECT_GT(last, 3 * first);
-  AdmissionTerms quiet = admissionTerms();
-  quiet.mayAdvise = false;
-  EXPECT_EQ(Admission(quiet, 1).asked({0, 100, 0}, 2, false).wait, 0);
+  AdmissionSettings quiet = admissionTerms();
+  quiet.mayAdviseRetryAfter = false;
+  EXPECT_EQ(AdmissionController(quiet, 1).decide({0, 100, 0}, 2, false).retryAfter, 0);
 }
 
 RC_GTEST_PROP(Admission, NeverTakesWhatIsWorthLessThanWhatItRefuses,
               (std::uint16_t work, std::uint16_t full)) {
-  Admission a(admissionTerms(), 7);
-  a.turnEnded(10, work % 150);
-  AdmissionFacts facts{10, 50, (full % 110) / 100.0};
+  AdmissionController a(admissionTerms(), 7);
+  a.recordTurn(10, work % 150);
+  AdmissionInputs facts{10, 50, (full % 110) / 100.0};
   bool refusedMore = false;
   for (double gain = 2; gain > 0; gain -= 0.1) {
-    bool take = a.asked(facts, gain, false).take;
+    bool take = a.decide(facts, gain, false).accepted;
     RC_ASSERT(!(refusedMore && take));
     refusedMore = refusedMore || !take;
   }
@@ -138,12 +138,12 @@
 // The choice among those that wait is the one that a walk over all of them makes.
 RC_GTEST_PROP(Waiting, TheMostUrgentIsFoundWithoutAWalk, (std::uint32_t seed)) {
   std::mt19937 chance(seed);
-  DeploymentTerms terms = plainTerms();
-  terms.decay = chance() % 2 == 0 ? Decay::linear : Decay::halving;
-  terms.types = {trafficType(Effect::pure), trafficType(Effect::receipted)};
-  terms.types[1].gain = 1.7;
-  terms.types[1].promised = 600;
-  terms.types[0].lateShare = chance() % 3 == 0 ? 0 : 0.3;
+  DeploymentSettings terms = plainTerms();
+  terms.decay = chance() % 2 == 0 ? WeightDecay::linear : WeightDecay::halving;
+  terms.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey)};
+  terms.types[1].priorityWeight = 1.7;
+  terms.types[1].latencyObjective = 600;
+  terms.types[0].lateWeightShare = chance() % 3 == 0 ? 0 : 0.3;
   terms.maxConcurrentRequests = 1;
   Bed bed(terms);
   std::map<std::uint32_t, std::pair<std::uint16_t, Millis>> waits;
@@ -158,12 +158,15 @@
   auto urgency = [&](std::uint32_t id) {
     auto [type, outer] = waits.at(id);
     const TrafficType& t = terms.types[type];
-    Millis latency = t.promised * 0.6 / 2;  // nothing was measured yet
+    Millis latency = t.latencyObjective * 0.6 / 2;  // nothing was measured yet
     auto gainAt = [&](Millis at) {
-      return at > outer ? 0 : t.gain * t.shareLeft(at - (outer - t.outer) - t.promised, terms.decay);
+      return at > outer
+                 ? 0
+                 : t.priorityWeight *
+                       t.weightShareAt(at - (outer - t.deadlineAfter) - t.latencyObjective, terms.decay);
     };
     Millis from = bed.now + latency;
-    return (gainAt(from) - gainAt(from + 0.5 * t.promised)) / std::max(1.0, latency);
+    return (gainAt(from) - gainAt(from + 0.5 * t.latencyObjective)) / std::max(1.0, latency);
   };
   double chosen = urgency(launches[0].message.value);
   for (const auto& [id, w] : waits) RC_ASSERT(urgency(id) <= chosen + 1e-9);
@@ -173,7 +176,7 @@
 // held.
 TEST(Passes, CostByWhatIsDueAndNotByWhatIsHeld) {
   auto spent = [](int held) {
-    DeploymentTerms terms = plainTerms();
+    DeploymentSettings terms = plainTerms();
     terms.maxConcurrentRequests = 20;
     terms.maxInFlight = 100000;
     Bed bed(terms);
@@ -195,11 +198,12 @@
 // The same day is played beside it with an empty part of a list in each round, which has all walked anew.
 RC_GTEST_PROP(Passes, DecideTheSameWhereNothingIsWalked, (std::uint32_t seed)) {
   std::mt19937 chance(seed);
-  DeploymentTerms terms = plainTerms(chance() % 2 == 0 ? Effect::pure : Effect::receipted);
+  DeploymentSettings terms =
+      plainTerms(chance() % 2 == 0 ? Idempotency::idempotent : Idempotency::idempotentWithKey);
   terms.mayHealthCheck = chance() % 3 != 0;
   terms.kinds[0].maxBatchSize = chance() % 4 == 0 ? 4 : 1;
   terms.maxConcurrentRequests = 4 + static_cast<int>(chance() % 12);
-  terms.types[0].outer = 4000;
+  terms.types[0].deadlineAfter = 4000;
   Bed quiet(terms, 1 + seed % 3), walked(terms, 1 + seed % 3);
   auto both = [&](auto what) { what(quiet), what(walked); };
   both([](Bed& bed) { bed.warm(40); });
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -22,32 +22,32 @@
 
 namespace stonewing::testing {
 
-inline TrafficType trafficType(Effect effect) {
+inline TrafficType trafficType(Idempotency effect) {
   TrafficType t;
-  t.promised = 1000;
-  t.outer = 10000;
-  t.lateShare = 0.5;
-  t.effect = effect;
-  t.repeatWindow = 4000;
+  t.latencyObjective = 1000;
+  t.deadlineAfter = 10000;
+  t.lateWeightShare = 0.5;
+  t.idempotency = effect;
+  t.deduplicationWindow = 4000;
   return t;
 }
 
-inline DeploymentTerms plainTerms(Effect effect = Effect::pure) {
-  DeploymentTerms t;
+inline DeploymentSettings plainTerms(Idempotency effect = Idempotency::idempotent) {
+  DeploymentSettings t;
   t.types = {trafficType(effect)};
   t.kinds = {{false, 1}};
   t.maxConcurrentRequests = 8;
   t.maxInFlight = 100;
   t.maxAttempts = 6;
-  t.instances = 2;
-  t.mayHedge = t.mayHealthCheck = t.mayCancel = t.shedAdvice = true;
-  t.longestAdvice = 2000;
-  t.connectionIdle = 10000;
-  t.coldFrom = 0.2;
-  t.coldSpan = 10000;
-  t.fallMultiple = 2;
-  t.fallSpan = 1500;
-  t.orderPause = 500;
+  t.dispatcherCount = 2;
+  t.mayHedge = t.mayHealthCheck = t.mayCancel = t.mayAdviseRetryAfter = true;
+  t.maxRetryAfter = 2000;
+  t.connectionIdleTimeout = 10000;
+  t.slowStartInitialShare = 0.2;
+  t.slowStartDuration = 10000;
+  t.overloadThreshold = 2;
+  t.overloadWindow = 1500;
+  t.orderingPause = 500;
   return t;
 }
 
@@ -56,7 +56,7 @@
 // One instance under test, with a clock; destination 1 has the endpoints 1 .. n, all in zone 0 unless listed
 // anew.
 struct Bed {
-  explicit Bed(DeploymentTerms terms = plainTerms(), int endpoints = 2) : rules(std::move(terms), 7) {
+  explicit Bed(DeploymentSettings terms = plainTerms(), int endpoints = 2) : rules(std::move(terms), 7) {
     rules.roundBegins(now);
     rules.listBegins();
     for (int n = 1; n <= endpoints; ++n) list(static_cast<std::uint64_t>(n));
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -25,8 +25,8 @@
   "limits":{"open-cap":50,"max-attempts":5,"cancel":true,"may-duplicate":false,"conn-idle-s":10,"connect-timeout-s":1.5},
   "rules":{"cold-from":0.2,"cold-s":10,"fall-multiple":2,"fall-s":1.5}})";
 
-DeploymentTerms withCopies(bool may) {
-  DeploymentTerms terms = readFacts(kSettings);
+DeploymentSettings withCopies(bool may) {
+  DeploymentSettings terms = readDeploymentSettings(kSettings);
   terms.mayHedge = may;
   return terms;
 }
@@ -37,8 +37,8 @@
   int listener = loopback(0, true);
   int far = -1;
   net::Loop loop;
-  DeploymentTerms terms;
-  HostFacts facts = readHostFacts(kSettings);
+  DeploymentSettings terms;
+  NameTables facts = readNameTables(kSettings);
   Rules rules{terms, 7};
   std::size_t disk;
   net::Book book{facts, folder.path.string(), disk};
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -35,15 +35,15 @@
 };
 
 Push worst(const World& w, std::uint32_t seed) {
-  DeploymentTerms terms = plainTerms();
-  terms.types[0].outer = 6000;
+  DeploymentSettings terms = plainTerms();
+  terms.types[0].deadlineAfter = 6000;
   terms.maxConcurrentRequests = 20;
   terms.maxInFlight = 2000;
-  terms.instances = w.dispatchers;
+  terms.dispatcherCount = w.dispatchers;
   terms.mayHealthCheck = w.probes;
   terms.mayHedge = true;
   terms.maxAttempts = 12;
-  terms.limitReported = w.reports;
+  terms.reportsRateLimit = w.reports;
   struct End {
     Millis at;
     int who;
@@ -56,7 +56,7 @@
   auto draw = [&] { return static_cast<double>(chance()) / 4294967296.0; };
   std::vector<std::unique_ptr<Rules>> all;
   auto begin = [&](int who, Millis now) {
-    terms.me = static_cast<std::uint32_t>(who);
+    terms.dispatcherIndex = static_cast<std::uint32_t>(who);
     auto rules = std::make_unique<Rules>(terms, seed * 1000 + static_cast<std::uint32_t>(who) + all.size());
     rules->roundBegins(now);
     rules->listBegins();
@@ -126,12 +126,13 @@
   std::sort(arrivals.begin(), arrivals.end());
   Push push;
   double byTold = 0;
-  for (std::size_t i = 0, j = 0; j < arrivals.size() && arrivals[j].first < kBack + terms.coldSpan; ++j) {
+  for (std::size_t i = 0, j = 0; j < arrivals.size() && arrivals[j].first < kBack + terms.slowStartDuration;
+       ++j) {
     byTold += arrivals[j].second;
-    while (arrivals[i].first <= arrivals[j].first - terms.fallSpan) byTold -= arrivals[i++].second;
-    double warm = std::min(1.0, (arrivals[j].first - kBack) / terms.coldSpan);
-    double may = w.capacity * (terms.coldFrom + (1 - terms.coldFrom) * warm);
-    double n = terms.fallMultiple * may * terms.fallSpan / 1000;
+    while (arrivals[i].first <= arrivals[j].first - terms.overloadWindow) byTold -= arrivals[i++].second;
+    double warm = std::min(1.0, (arrivals[j].first - kBack) / terms.slowStartDuration);
+    double may = w.capacity * (terms.slowStartInitialShare + (1 - terms.slowStartInitialShare) * warm);
+    double n = terms.overloadThreshold * may * terms.overloadWindow / 1000;
     auto many = static_cast<double>(j - i + 1);
     double part = many / (n + 2 * std::sqrt(n) + 2);
     push.most = std::max(push.most, part);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -273,9 +273,9 @@
 
 // The list's side alone, and a discovery that the test plays.
 struct Watcher {
-  HostFacts facts = readHostFacts(kSettings);
+  NameTables facts = readNameTables(kSettings);
   net::Loop loop;
-  Rules rules{readFacts(kSettings), 7};
+  Rules rules{readDeploymentSettings(kSettings), 7};
   int backlog;
   int listener = loopback(0, true, backlog);
   int far = -1;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -77,16 +77,16 @@
 }
 
 TEST(Facts, SkipUnknownKeysAndNameAMissingOne) {
-  EXPECT_EQ(readFacts(kFacts).maxConcurrentRequests, 4);
+  EXPECT_EQ(readDeploymentSettings(kFacts).maxConcurrentRequests, 4);
   std::string text = kFacts;
   text.replace(text.find("open-cap"), 8, "xxxx-xxx");
   try {
-    readFacts(text);
+    readDeploymentSettings(text);
     ADD_FAILURE();
   } catch (const wire::Malformed& problem) {
     EXPECT_NE(std::string(problem.what()).find("open-cap"), std::string::npos);
   }
-  EXPECT_THROW(readFacts("nonsense"), wire::Malformed);
+  EXPECT_THROW(readDeploymentSettings("nonsense"), wire::Malformed);
 }
 
 }  // namespace
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -30,7 +30,7 @@
   std::vector<Sent> sent;
 };
 struct Model {
-  DeploymentTerms terms;
+  DeploymentSettings terms;
   std::map<std::uint32_t, Taken> all;  // ids rise in the order of taking
   std::map<EndpointId, std::pair<EndpointState, std::uint8_t>> list;
   std::map<std::uint64_t, Millis> waitUntil;
@@ -38,11 +38,13 @@
   std::uint64_t path(EndpointId e) const { return terms.kinds[0].routesApart ? e.value : 0; }
   static bool mayHaveRun(const Sent& s) { return s.out || !s.proven; }
   bool repeatHarmless(const Taken& c, const EndpointId* to, Millis now) const {
-    if (c.type.effect == Effect::pure) return true;
+    if (c.type.idempotency == Idempotency::idempotent) return true;
     for (const Sent& s : c.sent) {
       if (!mayHaveRun(s)) continue;
-      if (c.type.effect == Effect::effectful || now > s.at + c.type.repeatWindow) return false;
-      if (c.type.zoneGroup && (to == nullptr || list.at(*to).second != list.at(s.what.endpoint).second))
+      if (c.type.idempotency == Idempotency::nonIdempotent || now > s.at + c.type.deduplicationWindow)
+        return false;
+      if (c.type.deduplicatesWithinZone &&
+          (to == nullptr || list.at(*to).second != list.at(s.what.endpoint).second))
         return false;
     }
     return true;
@@ -53,7 +55,7 @@
     for (const auto& [other, o] : all) {
       if (o.key != c.key || !o.type.ordered || other == id) continue;
       for (const Sent& s : o.sent) {
-        if (s.mayRunOn && now < s.endedAt + terms.orderPause) return false;
+        if (s.mayRunOn && now < s.endedAt + terms.orderingPause) return false;
         if (other < id && s.out) return false;
       }
       if (other < id && o.finals == 0) return false;
@@ -97,13 +99,14 @@
   EXPECT_TRUE(rc::check([] {
     Model model;
     model.terms = plainTerms();
-    DeploymentTerms& terms = model.terms;
-    terms.types = {trafficType(Effect::pure), trafficType(Effect::receipted), trafficType(Effect::effectful)};
+    DeploymentSettings& terms = model.terms;
+    terms.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
+                   trafficType(Idempotency::nonIdempotent)};
     for (TrafficType& t : terms.types) t.ordered = *rc::gen::arbitrary<bool>();
-    terms.types[1].zoneGroup = *rc::gen::arbitrary<bool>();
+    terms.types[1].deduplicatesWithinZone = *rc::gen::arbitrary<bool>();
     terms.kinds[0].routesApart = *rc::gen::arbitrary<bool>();
-    if (*rc::gen::arbitrary<bool>()) terms.rooms.tiers = {{ZoneId{0}}, {ZoneId{1}}};
-    terms.rooms.spillSlots = 0.5;
+    if (*rc::gen::arbitrary<bool>()) terms.zoneFailover.priorities = {{ZoneId{0}}, {ZoneId{1}}};
+    terms.zoneFailover.spilloverRequestShare = 0.5;
     terms.maxConcurrentRequests = *rc::gen::inRange(1, 12);
     terms.maxInFlight = *rc::gen::inRange(2, 30);
     terms.mayHedge = *rc::gen::arbitrary<bool>();
@@ -179,8 +182,8 @@
       }
       while (auto d = bed.rules.next()) {
         if (d->act == Act::launch) {
-          const Rooms& rooms = bed.rules.state().zones;
-          RC_ASSERT(!rooms.lost(ZoneId{model.list.at(d->endpoint).second}));
+          const ZoneFailover& rooms = bed.rules.state().zones;
+          RC_ASSERT(!rooms.isLost(ZoneId{model.list.at(d->endpoint).second}));
           int strangers = 0;
           for (const auto& [id, c] : bed.rules.state().messages) {
             for (const Attempt& l : c.attempts) strangers += l.pending && l.isSpillover;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -246,7 +246,7 @@
 
 struct BookBed {
   Folder folder;
-  HostFacts facts = readHostFacts(kSettings);
+  NameTables facts = readNameTables(kSettings);
   net::Book book;
   explicit BookBed(std::size_t most = 60000, bool aside = false)
       : book(facts, folder.path.string(), most, aside) {}
@@ -554,7 +554,7 @@
   EXPECT_TRUE(within(2000, [&] {
     Folder copy;
     std::filesystem::copy(node.folder.path / "journal", copy.path / "journal");
-    HostFacts facts = readHostFacts(kSettings);
+    NameTables facts = readNameTables(kSettings);
     net::Book book(facts, copy.path.string(), 3'000'000);
     book.restore();
     return book.owed().empty();
@@ -1076,7 +1076,7 @@
     Node node(settings, row(endpoint), world.address());
     std::string ref = ahead > 0 ? "ahead" : "before";
     {
-      HostFacts facts = readHostFacts(settings);
+      NameTables facts = readNameTables(settings);
       net::Book book(facts, node.folder.path.string(), 3'000'000);
       auto id = book.take(book.decode("00", ref, "c=order,d=8000,dest=7,k=5c", "x", net::wallNow()));
       book.launched(*id, {"s-1", DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow() + ahead);
@@ -1096,7 +1096,7 @@
     std::string settings = with("\"open-cap\":50", "\"open-cap\":20000");
     Node node(settings, row(world), world.address(), R"({"sockets":256,"disk_mb":40})");
     {
-      HostFacts facts = readHostFacts(settings);
+      NameTables facts = readNameTables(settings);
       net::Book book(facts, node.folder.path.string(), 40'000'000);
       for (std::uint32_t n = 0; n < many; ++n) {
         std::string ref = "r" + std::to_string(n);
@@ -1160,7 +1160,7 @@
   std::string settings = with("\"open-cap\":50", "\"open-cap\":30000");
   Node node(settings, row(world, "plain", "terminating"), world.address(), R"({"sockets":256,"disk_mb":80})");
   {
-    HostFacts facts = readHostFacts(settings);
+    NameTables facts = readNameTables(settings);
     net::Book book(facts, node.folder.path.string(), 80'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string ref = "r" + std::to_string(n);
@@ -1213,7 +1213,7 @@
   std::string settings = with("\"open-cap\":50", "\"open-cap\":2000");
   Node node(settings, row(endpoint), world.address());
   {
-    HostFacts facts = readHostFacts(settings);
+    NameTables facts = readNameTables(settings);
     net::Book book(facts, node.folder.path.string(), 3'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string list = n % 2 == 0 ? "c=order,d=60000,dest=7" : "c=status,d=60000,dest=7";
@@ -1265,7 +1265,7 @@
         {R"("deadline-s":10)", R"("deadline-s":-5)",
          "setting 'deadline-s' of class 'status' is -5; it must be more than 0"}}) {
     try {
-      readFacts(with(c.part, c.other));
+      readDeploymentSettings(with(c.part, c.other));
       ADD_FAILURE() << c.other;
     } catch (const Malformed& problem) {
       EXPECT_EQ(std::string(problem.what()), c.says);
@@ -1273,8 +1273,8 @@
   }
   auto settings = nlohmann::json::parse(kSettings);
   settings["request-classes"] = nlohmann::json::array();
-  EXPECT_THROW(readFacts(settings.dump()), Malformed);
-  EXPECT_EQ(readFacts(with(R"("aim-s":1)", R"("aim-s":1,"hue":"blue")")).types.size(), 2u);
+  EXPECT_THROW(readDeploymentSettings(settings.dump()), Malformed);
+  EXPECT_EQ(readDeploymentSettings(with(R"("aim-s":1)", R"("aim-s":1,"hue":"blue")")).types.size(), 2u);
 }
 
 TEST(Orders, SayWhatIsWrong) {
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -1,4 +1,4 @@
-// Rooms: which is believed lost, what strangers may take of another, and how one that returns is fed.
+// Zones: which is believed lost, what strangers may take of another, and how one that returns is fed.
 #include "rooms/rooms.h"
 
 #include <gtest/gtest.h>
@@ -13,41 +13,42 @@
 
 constexpr ZoneId kOwn{0}, kNear{1}, kFar{2};
 
-DeploymentTerms roomTerms() {
-  DeploymentTerms t = plainTerms();
-  t.types = {trafficType(Effect::pure), trafficType(Effect::receipted), trafficType(Effect::effectful)};
-  t.types[1].zoneGroup = true;
+DeploymentSettings roomTerms() {
+  DeploymentSettings t = plainTerms();
+  t.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
+             trafficType(Idempotency::nonIdempotent)};
+  t.types[1].deduplicatesWithinZone = true;
   t.maxConcurrentRequests = 20;
-  t.rooms.tiers = {{kOwn}, {kNear}, {kFar}};
+  t.zoneFailover.priorities = {{kOwn}, {kNear}, {kFar}};
   return t;
 }
 
-// Three rooms, four destinations with an endpoint in each room; endpoint 10 d + room + 1.
+// Three zones, four destinations with an endpoint in each zone; endpoint 10 d + zone + 1.
 struct RoomBed {
-  DeploymentTerms terms;
-  Rooms rooms;
-  explicit RoomBed(DeploymentTerms asked = roomTerms(), std::uint64_t seed = 1)
+  DeploymentSettings terms;
+  ZoneFailover rooms;
+  explicit RoomBed(DeploymentSettings asked = roomTerms(), std::uint64_t seed = 1)
       : terms(asked), rooms(terms, seed) {
     list(0);
   }
   void list(Millis now, std::set<std::uint8_t> without = {}) {
-    rooms.listBegins();
+    rooms.beginEndpointList();
     for (std::uint16_t d = 1; d <= 4; ++d) {
       for (std::uint8_t z = 0; z < 3; ++z) {
-        if (!without.contains(z)) rooms.listed(at(d, ZoneId{z}), DestinationId{d}, ZoneId{z});
+        if (!without.contains(z)) rooms.addEndpoint(at(d, ZoneId{z}), DestinationId{d}, ZoneId{z});
       }
     }
-    rooms.listEnds(now);
+    rooms.commitEndpointList(now);
   }
   static EndpointId at(std::uint16_t d, ZoneId room) { return EndpointId{10u * d + room.value + 1}; }
   void fails(Millis now, std::uint16_t d, ZoneId room, int times = 2) {
-    rooms.fails(now, at(d, room), DestinationId{d}, room, times);
+    rooms.recordFailures(now, at(d, room), DestinationId{d}, room, times);
   }
-  void works(Millis now, std::uint16_t d, ZoneId room) { rooms.works(now, at(d, room), room, true); }
+  void works(Millis now, std::uint16_t d, ZoneId room) { rooms.recordSuccess(now, at(d, room), room, true); }
   void lose(Millis now, ZoneId room) {
     for (std::uint16_t d = 1; d <= 4; ++d) fails(now + d, d, room);
   }
-  // So many deliveries a second in the own room, for 30 s.
+  // So many deliveries a second in the own zone, for 30 s.
   void busy(double perSecond) {
     for (Millis t = 0; t < 30000; t += 1000 / perSecond) works(t, 1, kOwn);
   }
@@ -56,75 +57,75 @@
 TEST(Rooms, ADeadDestinationOrAnIllRoomIsNoLostRoom) {
   RoomBed bed;
   for (int n = 0; n < 20; ++n) bed.fails(1000 + n, 1, kOwn, 2 + n);
-  EXPECT_FALSE(bed.rooms.lost(kOwn));
+  EXPECT_FALSE(bed.rooms.isLost(kOwn));
   // A third fails, and something is delivered now and then.
   for (int n = 0; n < 50; ++n) {
     bed.fails(2000 + 10 * n, 1, kOwn, 2);
     bed.fails(2001 + 10 * n, 2, kOwn, 2);
     bed.works(2002 + 10 * n, 3, kOwn);
   }
-  EXPECT_FALSE(bed.rooms.lost(kOwn));
+  EXPECT_FALSE(bed.rooms.isLost(kOwn));
   for (std::uint16_t d = 1; d <= 4; ++d) bed.fails(4000, d, kOwn, 1);  // once each: lost answers, most likely
-  EXPECT_FALSE(bed.rooms.lost(kOwn));
+  EXPECT_FALSE(bed.rooms.isLost(kOwn));
   bed.lose(5000, kOwn);
-  EXPECT_TRUE(bed.rooms.lost(kOwn));
-  EXPECT_GT(bed.rooms.launchFrom(DestinationId{1}, kOwn), 1e14);
-  EXPECT_LT(bed.rooms.launchFrom(DestinationId{1}, kNear), 6000);
+  EXPECT_TRUE(bed.rooms.isLost(kOwn));
+  EXPECT_GT(bed.rooms.attemptAllowedFrom(DestinationId{1}, kOwn), 1e14);
+  EXPECT_LT(bed.rooms.attemptAllowedFrom(DestinationId{1}, kNear), 6000);
 }
 
-// Danger: a dispatcher that is cut off itself takes every room for lost, and attempts nothing any more.
+// Danger: a dispatcher that is cut off itself takes every zone for lost, and attempts nothing any more.
 TEST(Rooms, WithEveryRoomLostNoneIs) {
   RoomBed bed;
   for (ZoneId z : {kOwn, kNear, kFar}) bed.lose(1000, z);
-  for (ZoneId z : {kOwn, kNear, kFar}) EXPECT_FALSE(bed.rooms.lost(z));
+  for (ZoneId z : {kOwn, kNear, kFar}) EXPECT_FALSE(bed.rooms.isLost(z));
   bed.works(3000, 1, kFar);
-  EXPECT_TRUE(bed.rooms.lost(kOwn));
-  EXPECT_TRUE(bed.rooms.lost(kNear));
+  EXPECT_TRUE(bed.rooms.isLost(kOwn));
+  EXPECT_TRUE(bed.rooms.isLost(kNear));
 }
 
 TEST(Rooms, ADestinationMayPreferAnotherRoom) {
-  DeploymentTerms terms = roomTerms();
-  terms.rooms.destinations[DestinationId{3}] = {{kFar}, {kOwn, kNear}};
+  DeploymentSettings terms = roomTerms();
+  terms.zoneFailover.destinations[DestinationId{3}] = {{kFar}, {kOwn, kNear}};
   RoomBed bed(terms);
-  EXPECT_FALSE(bed.rooms.stranger(DestinationId{3}, kFar));
-  EXPECT_TRUE(bed.rooms.stranger(DestinationId{3}, kOwn));
-  EXPECT_EQ(bed.rooms.tier(DestinationId{3}, kOwn), bed.rooms.tier(DestinationId{3}, kNear));
-  // Where the best room has no endpoint of a destination, the next is its home.
+  EXPECT_FALSE(bed.rooms.isForeign(DestinationId{3}, kFar));
+  EXPECT_TRUE(bed.rooms.isForeign(DestinationId{3}, kOwn));
+  EXPECT_EQ(bed.rooms.priority(DestinationId{3}, kOwn), bed.rooms.priority(DestinationId{3}, kNear));
+  // Where the best zone has no endpoint of a destination, the next is its home.
   bed.list(1000, {kOwn.value});
-  EXPECT_FALSE(bed.rooms.stranger(DestinationId{1}, kNear));
+  EXPECT_FALSE(bed.rooms.isForeign(DestinationId{1}, kNear));
 }
 
 // Attempts that go out as fast as they may, for so long.
 int fed(RoomBed& bed, Millis from, Millis span) {
   int sent = 0;
   for (Millis t = from; t < from + span; t += 1) {
-    while (bed.rooms.launchFrom(DestinationId{1}, kOwn) <= t) {
-      bed.rooms.launched(t, DestinationId{1}, kOwn);
+    while (bed.rooms.attemptAllowedFrom(DestinationId{1}, kOwn) <= t) {
+      bed.rooms.recordAttempt(t, DestinationId{1}, kOwn);
       if (++sent > 100000) return sent;
     }
   }
   return sent;
 }
 
-// Danger: what was spilled comes home in one moment, into a room that is cold, and fells it.
+// Danger: what was spilled comes home in one moment, into a zone that is cold, and fells it.
 TEST(Rooms, AReturningRoomIsFedAlongItsCurveAndLessAfterAFurtherLoss) {
   RoomBed bed;
   bed.busy(50);
   bed.lose(30000, kOwn);
-  ASSERT_TRUE(bed.rooms.lost(kOwn));
-  EXPECT_GT(bed.rooms.probeFrom(kOwn), 30000);
+  ASSERT_TRUE(bed.rooms.isLost(kOwn));
+  EXPECT_GT(bed.rooms.healthCheckAllowedFrom(kOwn), 30000);
   bed.works(40000, 1, kOwn);
-  ASSERT_TRUE(bed.rooms.climbing(40000, kOwn));
+  ASSERT_TRUE(bed.rooms.isRamping(40000, kOwn));
   EXPECT_NEAR(fed(bed, 40000, 1000), 50 * 0.24, 4);
   EXPECT_NEAR(fed(bed, 45000, 1000), 50 * 0.64, 8);
   bed.lose(46000, kOwn);
-  ASSERT_TRUE(bed.rooms.lost(kOwn));
-  bed.rooms.probed(48000, kOwn);
-  EXPECT_GE(bed.rooms.probeFrom(kOwn) - 48000, 2 * 0.75 * bed.terms.fallSpan);
+  ASSERT_TRUE(bed.rooms.isLost(kOwn));
+  bed.rooms.recordHealthCheck(48000, kOwn);
+  EXPECT_GE(bed.rooms.healthCheckAllowedFrom(kOwn) - 48000, 2 * 0.75 * bed.terms.overloadWindow);
   bed.works(50000, 2, kOwn);
   EXPECT_LE(fed(bed, 50000, 1000), 50 * 0.2);
   bed.works(61000, 2, kOwn);
-  EXPECT_FALSE(bed.rooms.climbing(61000, kOwn));
+  EXPECT_FALSE(bed.rooms.isRamping(61000, kOwn));
   EXPECT_GT(fed(bed, 61000, 1), 1000);
 }
 
@@ -133,32 +134,32 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RoomBed bed(roomTerms(), seed);
     bed.lose(1000, kOwn);
-    probes.insert(bed.rooms.probeFrom(kOwn));
+    probes.insert(bed.rooms.healthCheckAllowedFrom(kOwn));
   }
   EXPECT_EQ(probes.size(), 20u);
   EXPECT_GT(*probes.rbegin() - *probes.begin(), 300);
 }
 
-// Danger: a list that drops a whole room and takes it back finds it cold, and nothing failed that would tell.
+// Danger: a list that drops a whole zone and takes it back finds it cold, and nothing failed that would tell.
 TEST(Rooms, ARoomThatTheListDroppedComesBackSlowly) {
   RoomBed bed;
   bed.busy(50);
   bed.list(30000, {kOwn.value});
-  EXPECT_FALSE(bed.rooms.lost(kOwn));
+  EXPECT_FALSE(bed.rooms.isLost(kOwn));
   bed.list(30500);
-  EXPECT_FALSE(bed.rooms.climbing(30500, kOwn));  // a blip
+  EXPECT_FALSE(bed.rooms.isRamping(30500, kOwn));  // a blip
   bed.list(31000, {kOwn.value});
   bed.list(40000);
-  EXPECT_TRUE(bed.rooms.climbing(40000, kOwn));
+  EXPECT_TRUE(bed.rooms.isRamping(40000, kOwn));
 }
 
 // The plain model goes through all attempts from the start for each one.
 TEST(Rooms, StrangersKeepToTheirPartWhateverComes) {
   EXPECT_TRUE(rc::check([] {
-    DeploymentTerms terms = roomTerms();
+    DeploymentSettings terms = roomTerms();
     terms.maxConcurrentRequests = *rc::gen::inRange(1, 30);
-    terms.rooms.spillSlots = *rc::gen::element(0.0, 0.3, 1.0);
-    terms.rooms.spillPerSecond = *rc::gen::element(3.0, 20.0);
+    terms.zoneFailover.spilloverRequestShare = *rc::gen::element(0.0, 0.3, 1.0);
+    terms.zoneFailover.spilloverPerSecond = *rc::gen::element(3.0, 20.0);
     RoomBed bed(terms);
     bed.busy(*rc::gen::element(5.0, 60.0));
     struct Sent {
@@ -178,12 +179,12 @@
       if (what == 1) bed.works(now, d, room);
       if (what == 2 && !sent.empty()) {
         Sent& s = sent[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(sent.size())))];
-        if (std::exchange(s.out, false)) bed.rooms.ended(s.stranger);
+        if (std::exchange(s.out, false)) bed.rooms.recordAttemptEnd(s.stranger);
       }
-      if (what < 3 || bed.rooms.launchFrom(DestinationId{d}, room) > now) continue;
-      RC_ASSERT(!bed.rooms.lost(room));
-      bool inTrouble = bed.rooms.lost(kOwn) || bed.rooms.climbing(now, kOwn);
-      bool stranger = bed.rooms.launched(now, DestinationId{d}, room);
+      if (what < 3 || bed.rooms.attemptAllowedFrom(DestinationId{d}, room) > now) continue;
+      RC_ASSERT(!bed.rooms.isLost(room));
+      bool inTrouble = bed.rooms.isLost(kOwn) || bed.rooms.isRamping(now, kOwn);
+      bool stranger = bed.rooms.recordAttempt(now, DestinationId{d}, room);
       // The climb may be over by its time before anything tells so.
       RC_ASSERT(!stranger || room != kOwn);
       RC_ASSERT(stranger || !inTrouble || room == kOwn);
@@ -194,19 +195,20 @@
         out += s.stranger && s.out;
         lately += s.stranger && s.room == room && s.at > now - 1000;
       }
-      RC_ASSERT(out <= std::max(1, static_cast<int>(terms.rooms.spillSlots * terms.maxConcurrentRequests)));
-      RC_ASSERT(lately <= 2 * terms.rooms.spillPerSecond + 1);
+      RC_ASSERT(out <= std::max(1, static_cast<int>(terms.zoneFailover.spilloverRequestShare *
+                                                    terms.maxConcurrentRequests)));
+      RC_ASSERT(lately <= 2 * terms.zoneFailover.spilloverPerSecond + 1);
     }
   }));
 }
 
-// The rules with rooms: destination 1 with endpoints 1 and 2 in the own room and 3, 4 in the next; 2 has the
+// The rules with zones: destination 1 with endpoints 1 and 2 in the own zone and 3, 4 in the next; 2 has the
 // same.
 struct RulesBed {
   Millis now = 1000;
-  DeploymentTerms terms;
+  DeploymentSettings terms;
   Rules rules;
-  explicit RulesBed(DeploymentTerms asked = roomTerms()) : terms(asked), rules(asked, 7) {
+  explicit RulesBed(DeploymentSettings asked = roomTerms()) : terms(asked), rules(asked, 7) {
     rules.roundBegins(now);
     rules.listBegins();
     for (std::uint16_t d = 1; d <= 2; ++d) {
@@ -227,7 +229,7 @@
     return found;
   }
   static bool own(EndpointId e) { return e.value % 10 <= 2; }
-  // What goes to the own room fails from now on, what goes elsewhere completes.
+  // What goes to the own zone fails from now on, what goes elsewhere completes.
   std::vector<Decision> play(Millis until, std::set<std::uint32_t> silent = {}) {
     std::vector<Decision> all;
     while (now < until) {
@@ -246,10 +248,10 @@
   }
 };
 
-// Danger: a repair order spilled into another room escapes the first one's receipts, and runs twice.
+// Danger: a repair order spilled into another zone escapes the first one's receipts, and runs twice.
 TEST(RulesWithRooms, WhatMayHaveRunInALostRoomWaitsForItAndEndsInTime) {
   RulesBed bed;
-  bed.take(1, 1);  // receipted in its room
+  bed.take(1, 1);  // idempotent-with-key in its zone
   std::vector<Decision> first = bed.pull();
   ASSERT_EQ(first.front().act, Act::launch);
   ASSERT_TRUE(RulesBed::own(first.front().endpoint));
@@ -257,7 +259,7 @@
   bed.rules.launchEnded(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0, {});  // it may have run
   for (std::uint32_t n = 2; n < 20; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(6000);
-  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int elsewhere = 0, givenUp = 0;
   for (const Decision& d : all) {
     if (d.message == MessageId{1} && d.act == Act::launch) {
@@ -270,14 +272,14 @@
   EXPECT_GE(elsewhere, 8);  // it has delivered nothing yet, and goes by what it was asked
 }
 
-// Danger: more waits for a lost room than others may take; held until it is too late, all of it is lost.
+// Danger: more waits for a lost zone than others may take; held until it is too late, all of it is lost.
 TEST(RulesWithRooms, WhatDoesNotFitElsewhereInTimeIsShedWithATimeToComeBack) {
-  DeploymentTerms terms = roomTerms();
-  terms.rooms.spillPerSecond = 5;
+  DeploymentSettings terms = roomTerms();
+  terms.zoneFailover.spilloverPerSecond = 5;
   RulesBed bed(terms);
   for (std::uint32_t n = 1; n < 30; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(3000);
-  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int shed = 0;
   for (const Decision& d : all) {
     if (d.act != Act::shed) continue;
@@ -292,7 +294,7 @@
   RulesBed bed;
   for (std::uint32_t n = 1; n < 30; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   bed.play(3000);
-  ASSERT_TRUE(bed.rules.state().zones.lost(kOwn));
+  ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int probes = 0;
   for (std::uint32_t n = 100; n < 200; ++n) {
     bed.take(n, 0);
@@ -311,7 +313,7 @@
   const std::vector<std::string> zones{"north", "south"};
   auto why = [&](const char* text) {
     try {
-      readRooms(text, zones);
+      readZoneFailoverSettings(text, zones);
     } catch (const Malformed& problem) {
       return std::string(problem.what());
     }
@@ -326,7 +328,9 @@
   EXPECT_NE(why(R"({"tiers":[["north"]],"destinations":{"x":[["north"]]}})").find("number"),
             std::string::npos);
   EXPECT_NE(why("{}").find("needs 'tiers'"), std::string::npos);
-  EXPECT_EQ(readRooms(R"({"tiers":[["south"]],"destinations":{"7":[["north"]]}})", zones).tiers[0][0], kNear);
+  EXPECT_EQ(readZoneFailoverSettings(R"({"tiers":[["south"]],"destinations":{"7":[["north"]]}})", zones)
+                .priorities[0][0],
+            kNear);
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -20,7 +20,7 @@
 TEST(Answers, AnEffectfulCallbackThatMayHaveRunIsGivenUpAtOnce) {
   for (AttemptOutcome ending :
        {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
-    Bed bed(plainTerms(Effect::effectful));
+    Bed bed(plainTerms(Idempotency::nonIdempotent));
     bed.take(1);
     bed.end(bed.pull(Act::launch).at(0), ending);
     EXPECT_EQ(bed.pull(Act::giveUp).size(), 1u);
@@ -30,7 +30,7 @@
 TEST(Effects, AnEffectfulCallbackIsLaunchedAgainAfterProofThatItNeverRan) {
   for (AttemptOutcome ending :
        {AttemptOutcome::rejected, AttemptOutcome::connectFailed, AttemptOutcome::notSent}) {
-    Bed bed(plainTerms(Effect::effectful));
+    Bed bed(plainTerms(Idempotency::nonIdempotent));
     bed.take(1);
     bed.end(bed.pull(Act::launch).at(0), ending);
     bed.to(4000);
@@ -40,27 +40,27 @@
 
 // Danger: after a restart nothing is known of what was out, and it may have run.
 TEST(Effects, WhatAnEarlierProcessLaunchedCountsAfterARestart) {
-  for (auto [effect, neverRan, again] : {std::tuple{Effect::effectful, false, false},
-                                         {Effect::effectful, true, true},
-                                         {Effect::receipted, false, true},
-                                         {Effect::pure, false, true}}) {
+  for (auto [effect, neverRan, again] : {std::tuple{Idempotency::nonIdempotent, false, false},
+                                         {Idempotency::nonIdempotent, true, true},
+                                         {Idempotency::idempotentWithKey, false, true},
+                                         {Idempotency::idempotent, false, true}}) {
     Bed bed(plainTerms(effect));
     bed.take(1);
     bed.rules.launchedBefore(MessageId{1}, endpoint(1), bed.now - 3000, neverRan);
     EXPECT_EQ(bed.pull(Act::launch).size(), again ? 1u : 0u);
   }
-  Bed late(plainTerms(Effect::receipted));
+  Bed late(plainTerms(Idempotency::idempotentWithKey));
   late.take(1);
   late.rules.launchedBefore(MessageId{1}, endpoint(1), late.now - 3700, false);
   EXPECT_EQ(late.pull(Act::giveUp).size(), 1u);
-  DeploymentTerms terms = plainTerms(Effect::effectful);
+  DeploymentSettings terms = plainTerms(Idempotency::nonIdempotent);
   terms.types[0].ordered = true;
   Bed ordered(terms);
   ordered.take(1, 0, 5);
   ordered.take(2, 0, 5);
   ordered.rules.launchedBefore(MessageId{1}, endpoint(1), ordered.now - 100, false);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
-  ordered.to(ordered.now + terms.orderPause - 1);
+  ordered.to(ordered.now + terms.orderingPause - 1);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
   ordered.to(ordered.now + 1);
   EXPECT_EQ(ordered.pull(Act::launch).size(), 1u);
@@ -80,7 +80,7 @@
 }
 
 TEST(Answers, WhatWasNeverLaunchedIsNotGivenUp) {
-  Bed bed(plainTerms(Effect::effectful), 0);
+  Bed bed(plainTerms(Idempotency::nonIdempotent), 0);
   bed.take(1);
   bed.to(bed.now + 9999);
   EXPECT_TRUE(bed.pull(Act::shed).empty());  // an endpoint may still be listed
@@ -89,7 +89,7 @@
 }
 
 TEST(Answers, WhatMayHaveRunIsGivenUpAtItsOuterLimit) {
-  Bed bed(plainTerms(Effect::effectful));
+  Bed bed(plainTerms(Idempotency::nonIdempotent));
   bed.take(1);
   ASSERT_EQ(bed.pull(Act::launch).size(), 1u);
   bed.to(bed.now + 10000);
@@ -98,7 +98,7 @@
 
 // Danger: a connection that comes up late; the endpoint sees the call when its bytes come.
 TEST(Effects, ALaunchDecidedEarlierBeginsOnlyIfItWouldBeAllowedNow) {
-  DeploymentTerms terms = plainTerms(Effect::receipted);
+  DeploymentSettings terms = plainTerms(Idempotency::idempotentWithKey);
   terms.maxAttempts = 2;
   Bed bed(terms);
   bed.take(1);
@@ -134,7 +134,7 @@
 }
 
 TEST(Effects, AReceiptedRepeatStaysInItsWindow) {
-  Bed bed(plainTerms(Effect::receipted));
+  Bed bed(plainTerms(Idempotency::idempotentWithKey));
   bed.take(1);
   bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::error);
   bed.to(2000);
@@ -146,8 +146,8 @@
 }
 
 TEST(Effects, ACallbackThatMayHaveRunInAZoneGroupIsNotShed) {
-  DeploymentTerms terms = plainTerms(Effect::receipted);
-  terms.types[0].zoneGroup = true;
+  DeploymentSettings terms = plainTerms(Idempotency::idempotentWithKey);
+  terms.types[0].deduplicatesWithinZone = true;
   terms.maxInFlight = 2;
   Bed bed(terms);
   bed.take(1);
@@ -157,7 +157,7 @@
 }
 
 TEST(Holding, ShedsBeforeTheFrontTurnsCallbacksAway) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.maxInFlight = 10;
   Bed bed(terms, 0);
   for (std::uint32_t id = 1; id <= 10; ++id) bed.take(id);
@@ -188,8 +188,8 @@
 }
 
 TEST(Returns, AmongManyInstancesAPathThatWasAskedForIsNotLeftIdle) {
-  DeploymentTerms terms = plainTerms();
-  terms.instances = 200;
+  DeploymentSettings terms = plainTerms();
+  terms.dispatcherCount = 200;
   Bed bed(terms);
   bed.breakDown();
   for (std::uint32_t id = 10; id < 60; ++id) {
@@ -210,7 +210,7 @@
 }
 
 TEST(Returns, AColdDestinationGetsNoFullBatch) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.kinds[0].maxBatchSize = 20;
   Bed bed(terms);
   bed.breakDown();
@@ -281,8 +281,8 @@
 }
 
 TEST(Limits, ABusyInstanceAmongManyPausesByItsOwnPart) {
-  DeploymentTerms terms = plainTerms();
-  terms.instances = 300;
+  DeploymentSettings terms = plainTerms();
+  terms.dispatcherCount = 300;
   Bed bed(terms);
   bed.warm(60);
   bed.take(1);
@@ -404,7 +404,7 @@
     EXPECT_EQ(probes, 1) << out;
     EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, failures);
   }
-  Bed bed(plainTerms(Effect::effectful));
+  Bed bed(plainTerms(Idempotency::nonIdempotent));
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
   bed.end(first, AttemptOutcome::localResourceExhausted, 0);
@@ -415,7 +415,7 @@
 }
 
 TEST(Slots, LongOverdueLaunchesGiveWayToWaitingCallbacks) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
   bed.rules.listBegins();
@@ -478,8 +478,8 @@
   EXPECT_EQ(busy.pull(Act::launch).size(), 5u);
   busy.to(busy.now + 350);
   EXPECT_TRUE(busy.pull(Act::launch).empty());
-  DeploymentTerms terms = plainTerms();
-  terms.types.push_back(trafficType(Effect::effectful));
+  DeploymentSettings terms = plainTerms();
+  terms.types.push_back(trafficType(Idempotency::nonIdempotent));
   Bed bed(terms);
   bed.warm(40);
   bed.take(1, 1);
@@ -584,7 +584,7 @@
 // endpoint answers a health check, and the attempts that still hang at the first take the route out again at
 // once.
 TEST(Returns, AnotherEndpointsProbeEndsAnOutageThatOneHungEndpointBegan) {
-  Bed bed(plainTerms(Effect::effectful));  // no hedges
+  Bed bed(plainTerms(Idempotency::nonIdempotent));  // no hedges
   bed.warm(60);
   const Route& path = bed.rules.state().routes.begin()->second;
   bed.take(1);
@@ -641,7 +641,7 @@
 
 // Danger: where a limit counts calls and a call takes many, calls of one each use it up.
 TEST(Batches, FillAtThePaceOfAToldLimit) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.kinds[0].maxBatchSize = 20;
   Bed bed(terms, 1);
   bed.take(1);
@@ -692,8 +692,8 @@
 
 // Danger: most dispatchers start at one instant, and each sends at once all that the pace lets go ahead.
 TEST(Limits, BeginUnlikeEachOtherAtAPathThatIsNew) {
-  DeploymentTerms terms = plainTerms();
-  terms.limitReported = terms.weightsTold = true;
+  DeploymentSettings terms = plainTerms();
+  terms.reportsRateLimit = terms.hasReportedWeights = true;
   int single = 0, both = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Rules rules(terms, seed);
@@ -736,7 +736,7 @@
 
 // Danger: a report is read by what its route's first endpoint is, and the route has none any more.
 TEST(Limits, AReportMayComeFromTheLastEndpointAfterItHasGone) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   bed.take(1);
@@ -749,7 +749,7 @@
 }
 
 TEST(Batches, CallbacksOfOneRoundShareACallAndASlot) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 5; ++id) bed.take(id);
@@ -761,7 +761,7 @@
 }
 
 TEST(Order, OneAtATimeWithThePause) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.types[0].ordered = true;
   Bed bed(terms);
   bed.take(1, 0, 9);
@@ -783,7 +783,7 @@
 
 // Danger: endpoints and keys are new all day, and what is kept for each fills the memory.
 TEST(Forgetting, EndsWhatWasKeptForEndpointsAndKeysThatAreNoMore) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.kinds = {{true, 1}};
   terms.types[0].ordered = true;
   Bed bed(terms, 0);
@@ -818,7 +818,7 @@
 }
 
 TEST(OddInput, TwoSlotsOneEndpointZeroWaitAndNoTenants) {
-  DeploymentTerms terms = plainTerms();
+  DeploymentSettings terms = plainTerms();
   terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 3; ++id) bed.take(id);
