--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -69,14 +69,14 @@
   if (at == instances_.end()) return nullptr;
   if (std::find(touched_.begin(), touched_.end(), who) == touched_.end()) {
     touched_.push_back(who);
-    guarded(who, [&](Rules& rules) { rules.roundBegins(now); });
+    guarded(who, [&](DispatchPolicy& rules) { rules.beginRound(now); });
   }
   return &at->second;
 }
 
 void Host::create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now) {
   Instance fresh;
-  fresh.rules = std::make_unique<Rules>(readDeploymentSettings(facts), seed);
+  fresh.rules = std::make_unique<DispatchPolicy>(readDeploymentSettings(facts), seed);
   const auto reported = readNameTables(facts).loadReportFields;
   auto placeOf = [&](const char* field) {
     auto at = std::find(reported.begin(), reported.end(), field);
@@ -121,12 +121,12 @@
     throw wire::Malformed("list " + std::to_string(page) + " was never sent");
   }
   if (instance == nullptr) return;
-  guarded(who, [&](Rules& rules) {
-    rules.listBegins();
+  guarded(who, [&](DispatchPolicy& rules) {
+    rules.beginEndpointList();
     for (const Row& r : pages_[page]) {
-      rules.listed(r.endpoint, r.destination, r.kind, r.zone, r.weight, r.phase);
+      rules.addEndpoint(r.endpoint, r.destination, r.kind, r.zone, r.weight, r.phase);
     }
-    rules.listEnds(form != 3);
+    rules.commitEndpointList(form != 3);
   });
 }
 
@@ -167,11 +167,11 @@
   switch (code) {
     case wire::kAlarm:
       in.get<std::uint64_t>("label");
-      tell([](Rules& rules) { rules.woken(); });
+      tell([](DispatchPolicy& rules) { rules.recordTimerFired(); });
       break;
     case wire::kVanished: {
       MessageId id{in.get<std::uint32_t>("rid")};
-      tell([&](Rules& rules) { rules.clientGone(id); });
+      tell([&](DispatchPolicy& rules) { rules.cancelMessage(id); });
       break;
     }
     case wire::kUnderWay: {
@@ -179,7 +179,7 @@
       int launch = in.get<std::uint8_t>("round-no");
       in.endpoint();
       in.get<double>("spent-s");
-      tell([&](Rules& rules) { rules.answerStarted(id, launch); });
+      tell([&](DispatchPolicy& rules) { rules.recordResponseStarted(id, launch); });
       break;
     }
     case wire::kMail: {
@@ -198,7 +198,7 @@
       in.get<std::uint8_t>("bits");
       if (destination < 0 || destination > 0xffff) throw wire::Malformed("dest is out of range");
       DestinationId to{static_cast<std::uint16_t>(destination)};
-      tell([&](Rules& rules) { rules.taken(id, type, tenant, key, to, outerLimit); });
+      tell([&](DispatchPolicy& rules) { rules.acceptMessage(id, type, tenant, key, to, outerLimit); });
       break;
     }
     case wire::kCompleted: {
@@ -211,7 +211,9 @@
       Millis wait = in.get<std::uint32_t>("hold-ms");
       if (ending != AttemptOutcome::rejected) wait = 0;  // with others it is no time
       LoadReport told = report(in, instance);
-      tell([&](Rules& rules) { rules.launchEnded(id, launch, ending, spent, over, wait, told); });
+      tell([&](DispatchPolicy& rules) {
+        rules.recordAttemptOutcome(id, launch, ending, spent, over, wait, told);
+      });
       break;
     }
     case wire::kProbeResult: {
@@ -219,7 +221,7 @@
       AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
       in.get<double>("spent-s");
       LoadReport told = report(in, instance);
-      tell([&](Rules& rules) { rules.probeEnded(endpoint, ending, told); });
+      tell([&](DispatchPolicy& rules) { rules.recordHealthCheckOutcome(endpoint, ending, told); });
       break;
     }
   }
@@ -233,8 +235,8 @@
   for (std::uint32_t i = 0; i < records; ++i) record(in, now);
   if (!in.atEnd()) throw wire::Malformed("bytes are left over behind the last record");
   for (std::uint32_t who : touched_) {
-    guarded(who, [&](Rules& rules) {
-      while (auto decision = rules.next()) out_.act(who, *decision);
+    guarded(who, [&](DispatchPolicy& rules) {
+      while (auto decision = rules.nextDecision()) out_.act(who, *decision);
     });
   }
   return out_.frame(number);
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -28,7 +28,7 @@
     EndpointState phase{};
   };
   struct Instance {
-    std::unique_ptr<Rules> rules;
+    std::unique_ptr<DispatchPolicy> rules;
     std::size_t limitPlace{};  // of "x1" among the reported values
     std::size_t leftPlace{};   // and of "x0"
     bool failed{false};
--- a/src/core/state.h
+++ b/src/core/state.h
@@ -328,7 +328,7 @@
 };
 
 // Spreads ids evenly, the same everywhere.
-inline std::uint64_t mix(std::uint64_t x) {
+inline std::uint64_t hashId(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15u;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -41,38 +41,41 @@
 class Ours final : public Policy {
  public:
   Ours(const DeploymentSettings& terms, std::uint64_t seed) : rules_(terms, seed) {}
-  void roundBegins(Millis now) override { rules_.roundBegins(now); }
+  void roundBegins(Millis now) override { rules_.beginRound(now); }
   void list(const std::vector<ListRow>& rows, bool whole) override {
-    rules_.listBegins();
-    for (const ListRow& r : rows) rules_.listed(r.id, r.destination, KindId{0}, r.room, r.weight, r.phase);
-    rules_.listEnds(whole);
+    rules_.beginEndpointList();
+    for (const ListRow& r : rows)
+      rules_.addEndpoint(r.id, r.destination, KindId{0}, r.room, r.weight, r.phase);
+    rules_.commitEndpointList(whole);
   }
   void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
              Millis outerLimit) override {
-    rules_.taken(id, type, tenant, key, destination, outerLimit);
+    rules_.acceptMessage(id, type, tenant, key, destination, outerLimit);
   }
   void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) override {
-    rules_.launchedBefore(id, endpoint, sent, neverRan);
+    rules_.recordEarlierAttempt(id, endpoint, sent, neverRan);
+  }
+  void goesOutOn(MessageId id, int launch, Millis idle) override {
+    rules_.recordConnectionIdleTime(id, launch, idle);
   }
-  void goesOutOn(MessageId id, int launch, Millis idle) override { rules_.goesOutOn(id, launch, idle); }
   void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
                    LoadReport report) override {
-    rules_.launchEnded(id, launch, ending, spent, over, wait, report);
+    rules_.recordAttemptOutcome(id, launch, ending, spent, over, wait, report);
   }
   void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) override {
-    rules_.probeEnded(id, ending, report);
+    rules_.recordHealthCheckOutcome(id, ending, report);
   }
-  void clientGone(MessageId id) override { rules_.clientGone(id); }
-  void woken() override { rules_.woken(); }
-  std::optional<Decision> next() override { return rules_.next(); }
-  bool mayBegin(MessageId id, int launch) const override { return rules_.mayBegin(id, launch); }
+  void clientGone(MessageId id) override { rules_.cancelMessage(id); }
+  void woken() override { rules_.recordTimerFired(); }
+  std::optional<Decision> next() override { return rules_.nextDecision(); }
+  bool mayBegin(MessageId id, int launch) const override { return rules_.mayStartAttempt(id, launch); }
   int callOf(MessageId id, int launch) const override {
     return rules_.state().messages.at(id).attempts.at(static_cast<std::size_t>(launch)).requestId;
   }
   int held() const override { return rules_.state().messagesInFlight; }
 
  private:
-  Rules rules_;
+  DispatchPolicy rules_;
 };
 
 class Textbook final : public Policy {
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -37,8 +37,9 @@
   return site == nullptr ? std::string_view("gone") : std::string_view(site->note.name);
 }
 
-Calls::Calls(Loop& loop, Rules& rules, Book& book, const Catalog& catalog, const DeploymentSettings& terms,
-             const NameTables& facts, std::size_t mostLinks, std::size_t mostProbes)
+Calls::Calls(Loop& loop, DispatchPolicy& rules, Book& book, const Catalog& catalog,
+             const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
+             std::size_t mostProbes)
     : loop_(loop),
       rules_(rules),
       book_(book),
@@ -84,7 +85,7 @@
                                  {"launch", m.attempt},
                                  {"endpoint", nameAt(endpoint)},
                                  {"time_out_ms", m.due - loop_.now()}});
-      rules_.goesOutOn(m.message, m.attempt, line.up() ? loop_.now() - line.usedAt : 0);
+      rules_.recordConnectionIdleTime(m.message, m.attempt, line.up() ? loop_.now() - line.usedAt : 0);
     }
     // Noted before its last byte: after a kill it may have run. What cannot be noted is not sent.
     for (const Member& m : line.members) {
@@ -120,7 +121,9 @@
 // ended meanwhile, and the attempt passes for one that may have run; or its endpoint has said something on it
 // that nobody asked for, and the attempt passes for answered by that.
 bool Calls::stillWanted(Line& line) {
-  auto may = [&](const Member& m) { return loop_.now() < m.due && rules_.mayBegin(m.message, m.attempt); };
+  auto may = [&](const Member& m) {
+    return loop_.now() < m.due && rules_.mayStartAttempt(m.message, m.attempt);
+  };
   bool spoilt = line.up() && !line.stillGood();
   bool keptBack = loop_.now() > line.sent;
   if (spoilt || (keptBack && !std::all_of(line.members.begin(), line.members.end(), may))) {
@@ -129,7 +132,7 @@
   }
   if (!keptBack) return true;
   line.sent = loop_.now();
-  for (const Member& m : line.members) rules_.goesOutNow(m.message, m.attempt);
+  for (const Member& m : line.members) rules_.recordSendTime(m.message, m.attempt);
   return true;
 }
 
@@ -299,7 +302,7 @@
 // of all others.
 void Calls::probe(EndpointId endpoint) {
   if (probesOut_ >= mostProbes_)
-    return rules_.probeEnded(endpoint, AttemptOutcome::localResourceExhausted, {});
+    return rules_.recordHealthCheckOutcome(endpoint, AttemptOutcome::localResourceExhausted, {});
   Line& line = lineTo(endpoint);
   line.probing = true;
   ++probesOut_;
@@ -354,7 +357,7 @@
   if (told) {
     // Given up on, and now it was delivered after all: nothing more may be sent for it.
     if (ends && book_.find(m.message) != nullptr) {
-      rules_.clientGone(m.message);
+      rules_.cancelMessage(m.message);
       isOver();
     }
     return;
@@ -373,7 +376,7 @@
                               {"limit", report.rateLimit},
                               {"left", report.remainingShare}});
   bool known = ends || book_.find(m.message) == nullptr;
-  rules_.launchEnded(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
+  rules_.recordAttemptOutcome(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
 }
 
@@ -453,7 +456,8 @@
   Line& line = static_cast<Line&>(link);
   if (line.probing || !line.busy()) return true;  // or the journal does not have it yet
   for (Member& m : line.members) {
-    if (!m.told && !rules_.mayBegin(m.message, m.attempt)) tell(line, m, AttemptOutcome::notSent, false, 0);
+    if (!m.told && !rules_.mayStartAttempt(m.message, m.attempt))
+      tell(line, m, AttemptOutcome::notSent, false, 0);
   }
   std::erase_if(line.members, [](const Member& m) { return m.told; });
   if (line.members.empty()) {
@@ -469,7 +473,7 @@
 // meanwhile. Broken off before that byte the call has not run.
 bool Calls::mayGoOn(HttpLink& link) {
   Line& line = static_cast<Line&>(link);
-  auto may = [&](const Member& m) { return m.told || rules_.mayBegin(m.message, m.attempt); };
+  auto may = [&](const Member& m) { return m.told || rules_.mayStartAttempt(m.message, m.attempt); };
   if (line.probing || std::all_of(line.members.begin(), line.members.end(), may)) return true;
   letGo(line, AttemptOutcome::notSent);
   return false;
@@ -478,7 +482,7 @@
 void Calls::probeEnded(Line& line, AttemptOutcome ending, LoadReport report) {
   line.probing = false;
   --probesOut_;
-  rules_.probeEnded(line.endpoint, ending, report);
+  rules_.recordHealthCheckOutcome(line.endpoint, ending, report);
 }
 
 // What we lack ourselves (a descriptor, room in the journal) is no failure of the endpoint. Danger: taken for
--- a/src/net/calls.h
+++ b/src/net/calls.h
@@ -23,8 +23,9 @@
  public:
   // mostProbes: of them at once, so that with the concurrent requests they stay within mostLinks, connections
   // to endpoints.
-  Calls(Loop& loop, Rules& rules, Book& book, const Catalog& catalog, const DeploymentSettings& terms,
-        const NameTables& facts, std::size_t mostLinks, std::size_t mostProbes);
+  Calls(Loop& loop, DispatchPolicy& rules, Book& book, const Catalog& catalog,
+        const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
+        std::size_t mostProbes);
 
   // Attempts of one pass that belong to one call go out together: noted with flush, sent once the book has
   // kept them.
@@ -92,7 +93,7 @@
   Millis connectBy(const Line& line) const;
 
   Loop& loop_;
-  Rules& rules_;
+  DispatchPolicy& rules_;
   Book& book_;
   const Catalog& catalog_;
   const NameTables& facts_;
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -81,8 +81,8 @@
 
 }  // namespace
 
-Catalog::Catalog(Loop& loop, Rules& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
-                 std::uint64_t seed)
+Catalog::Catalog(Loop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
+                 std::string host, std::uint64_t seed)
     : loop_(loop),
       rules_(rules),
       facts_(facts),
@@ -142,15 +142,15 @@
   doubted_ = !goesOn;
   if (unusable > 0) log::warn("list.entries_passed_over", {{"entries", unusable}, {"why", why}});
   if (full || !rows.empty()) {
-    rules_.listBegins();
+    rules_.beginEndpointList();
     for (Row& row : rows) {
       const EndpointNote& note = row.site.note;
       EndpointId id = idOf(note.name);
-      rules_.listed(id, note.destination, note.kind, note.zone, row.weight, row.phase);
+      rules_.addEndpoint(id, note.destination, note.kind, note.zone, row.weight, row.phase);
       destinations_.insert(note.destination);
       sites_[id] = std::move(row.site);
     }
-    rules_.listEnds(full && goesOn);
+    rules_.commitEndpointList(full && goesOn);
     // What the module has forgotten is not needed here either.
     std::erase_if(sites_, [&](const auto& site) { return !rules_.state().endpoints.contains(site.first); });
     std::erase_if(ids_, [&](const auto& name) { return !sites_.contains(name.second); });
@@ -162,17 +162,17 @@
 
 // In one go: the end of a list costs by all that is held.
 void Catalog::remember(const std::map<MessageId, Held>& held) {
-  rules_.listBegins();
+  rules_.beginEndpointList();
   for (const auto& [callback, one] : held) {
     for (const AttemptRecord& launch : one.attempts) {
       const EndpointNote& note = launch.endpoint;
       EndpointId id = idOf(note.name);
       if (!sites_.try_emplace(id, Site{note, {}, {}}).second) continue;
       destinations_.insert(note.destination);
-      rules_.listed(id, note.destination, note.kind, note.zone, 0, EndpointState::removed);
+      rules_.addEndpoint(id, note.destination, note.kind, note.zone, 0, EndpointState::removed);
     }
   }
-  rules_.listEnds(false);
+  rules_.commitEndpointList(false);
 }
 
 void Catalog::moveTo(sockaddr_in discovery, std::string host) {
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -22,7 +22,7 @@
 // Which endpoints there are, as discovery tells it: a list to start from, then a watch that goes on and on.
 class Catalog : public HttpLink::Owner {
  public:
-  Catalog(Loop& loop, Rules& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
+  Catalog(Loop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
           std::uint64_t seed);
 
   // Tells the rules a list, or changes. Throws Malformed and tells nothing where it cannot be read. False:
@@ -54,7 +54,7 @@
   void later(Millis first, Millis most);
 
   Loop& loop_;
-  Rules& rules_;
+  DispatchPolicy& rules_;
   const NameTables& facts_;
   sockaddr_in discovery_;
   std::string host_;
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -269,7 +269,7 @@
 // future, and the window of its repeat open for as much longer. When it was is not known then: its window
 // passes for over.
 void Dispatcher::restore() {
-  rules_.roundBegins(loop_.now());
+  rules_.beginRound(loop_.now());
   if (!orders_.known.empty()) {
     try {
       catalog_.told(json::parse(orders_.known));
@@ -281,14 +281,14 @@
   Millis toSteady = loop_.now() - wallNow();
   catalog_.remember(book_.held());
   for (const auto& [id, held] : book_.held()) {
-    rules_.taken(id, held.type, held.tenant, held.key, held.destination, held.outerWall + toSteady);
+    rules_.acceptMessage(id, held.type, held.tenant, held.key, held.destination, held.outerWall + toSteady);
     log::debug("callback.restored", {{"callback", held.ref},
                                      {"launches", held.attempts.size()},
                                      {"left_ms", held.outerWall + toSteady - loop_.now()}});
     for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
       if (sent > loop_.now() + kClockOff) sent = 0;
-      rules_.launchedBefore(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
+      rules_.recordEarlierAttempt(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
     }
   }
 }
@@ -301,10 +301,10 @@
   worked_ = ownWork();  // up to the last turn's end; sleep costs nothing
   while (state_ != State::ended) {
     loop_.wait(due());
-    rules_.roundBegins(loop_.now());
+    rules_.beginRound(loop_.now());
     if (wakeAt_ >= 0 && loop_.now() >= wakeAt_) {
       wakeAt_ = -1;
-      rules_.woken();
+      rules_.recordTimerFired();
     }
     Millis began = steadyNow();
     began_ = began;
@@ -459,7 +459,7 @@
   AdmissionInputs facts{loop_.now(), rules_.state().messagesInFlight, book_.full(),
                         hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
   AdmissionDecision call = admission_.decide(facts, terms_.types.at(held.type.value).priorityWeight,
-                                             rules_.overShare(held.tenant));
+                                             rules_.isOverQuota(held.tenant));
   if (!call.accepted) return {busy(call.retryAfter)};
   held.outerWall -= loop_.heldUp();  // its time counts from when the client sent it
   Millis outer = loop_.now() + (held.outerWall - wall);
@@ -469,7 +469,7 @@
   DestinationId destination = held.destination;
   auto id = book_.take(std::move(held));
   if (!id) return {busy(admission_.recordRejection(loop_.now()))};
-  rules_.taken(*id, type, tenant, key, destination, outer);
+  rules_.acceptMessage(*id, type, tenant, key, destination, outer);
   log::debug("callback.taken", {{"callback", words[2]},
                                 {"type", facts_.trafficTypes[type.value]},
                                 {"destination", destination.value},
@@ -482,7 +482,7 @@
 void Dispatcher::decide() {
   Millis until = steadyNow() + kDecideMost;
   moreToDecide_ = false;
-  for (int n = 1; auto decision = rules_.next(); ++n) {
+  for (int n = 1; auto decision = rules_.nextDecision(); ++n) {
     carryOut(*decision);
     if (n % kDecideLook != 0 || steadyNow() < until) continue;
     moreToDecide_ = true;
@@ -511,11 +511,11 @@
 void Dispatcher::act() {
   for (MessageId id : book_.lostTakes()) {
     log::debug("callback.not_kept", {{"callback", id.value}});
-    rules_.clientGone(id);  // its attempt, if there is one, is not sent either
+    rules_.cancelMessage(id);  // its attempt, if there is one, is not sent either
   }
   // Danger: a write that hung in the loop, or long decisions, have made the turn old. What goes out counts
   // from now.
-  if (loop_.late(kWriteWait)) rules_.roundBegins(loop_.now());
+  if (loop_.late(kWriteWait)) rules_.beginRound(loop_.now());
   calls_.send();
   intake_.send([this](MessageId id) { return book_.decided(id); },
                [this](MessageId id) -> std::optional<std::string> {
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -113,7 +113,7 @@
   bool endWanted_{false};
   bool rereadWanted_{false};
   Loop loop_;
-  Rules rules_;
+  DispatchPolicy rules_;
   AdmissionController admission_;
   Book book_;
   Catalog catalog_;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -150,7 +150,8 @@
   for (std::uint32_t id = 1; id <= 40; ++id) {
     Millis outer = bed.now + 20 + chance() % 10000;
     auto type = static_cast<std::uint16_t>(chance() % 2);
-    bed.rules.taken(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{0}, DestinationId{1}, outer);
+    bed.rules.acceptMessage(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{0}, DestinationId{1},
+                            outer);
     waits[id] = {type, outer};
   }
   auto launches = bed.pull(Act::launch);
@@ -212,15 +213,15 @@
   bool ill = false;
   // But for the alarms: the list has probes asked for anew too.
   auto next = [](Bed& bed) {
-    auto d = bed.rules.next();
-    while (d && d->act == Act::wake) d = bed.rules.next();
+    auto d = bed.rules.nextDecision();
+    while (d && d->act == Act::wake) d = bed.rules.nextDecision();
     return d;
   };
   for (int round = 0; round < 400; ++round) {
     Millis now = quiet.now + 1 + chance() % 40;
     both([&](Bed& bed) { bed.to(now); });
-    walked.rules.listBegins();
-    walked.rules.listEnds(false);
+    walked.rules.beginEndpointList();
+    walked.rules.commitEndpointList(false);
     if (chance() % 60 == 0) ill = !ill;
     for (; !due.empty() && due.begin()->first <= now; due.erase(due.begin())) both(due.begin()->second);
     for (std::uint32_t n = chance() % 3; n > 0 && quiet.rules.state().messagesInFlight < 60; --n, ++id) {
@@ -234,7 +235,8 @@
       if (d->act == Act::withdraw) both([&](Bed& bed) { bed.end(*d, AttemptOutcome::cancelled); });
       if (d->act == Act::probe)
         due.emplace(now + 30, [e = d->endpoint, ill](Bed& bed) {
-          bed.rules.probeEnded(e, ill ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
+          bed.rules.recordHealthCheckOutcome(e, ill ? AttemptOutcome::timeout : AttemptOutcome::completed,
+                                             {});
         });
       if (d->act != Act::launch || (ill && chance() % 8 != 0)) continue;
       AttemptOutcome ending = chance() % 10 == 0 ? AttemptOutcome::error : AttemptOutcome::completed;
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -57,26 +57,26 @@
 // anew.
 struct Bed {
   explicit Bed(DeploymentSettings terms = plainTerms(), int endpoints = 2) : rules(std::move(terms), 7) {
-    rules.roundBegins(now);
-    rules.listBegins();
+    rules.beginRound(now);
+    rules.beginEndpointList();
     for (int n = 1; n <= endpoints; ++n) list(static_cast<std::uint64_t>(n));
-    rules.listEnds(true);
+    rules.commitEndpointList(true);
   }
   void list(std::uint64_t n, EndpointState phase = EndpointState::ready, std::uint8_t zone = 0) {
-    rules.listed(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{zone}, 1, phase);
+    rules.addEndpoint(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{zone}, 1, phase);
   }
-  void to(Millis at) { rules.roundBegins(now = at); }
+  void to(Millis at) { rules.beginRound(now = at); }
   void take(std::uint32_t id, std::uint16_t type = 0, std::uint64_t key = 0) {
-    rules.taken(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
-                now + 10000);
+    rules.acceptMessage(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
+                        now + 10000);
   }
   void end(const Decision& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
-    rules.launchEnded(launch.message, launch.attempt, ending, spent, ending == AttemptOutcome::completed,
-                      wait, {});
+    rules.recordAttemptOutcome(launch.message, launch.attempt, ending, spent,
+                               ending == AttemptOutcome::completed, wait, {});
   }
   std::vector<Decision> pull(Act act) {
     std::vector<Decision> found;
-    while (auto d = rules.next()) {
+    while (auto d = rules.nextDecision()) {
       if (d->act == act) found.push_back(*d);
     }
     return found;
@@ -99,7 +99,7 @@
   }
 
   Millis now = 1000;
-  Rules rules;
+  DispatchPolicy rules;
 };
 
 // Stand-ins on loopback for the other sides of a real dispatcher.
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -39,7 +39,7 @@
   net::Loop loop;
   DeploymentSettings terms;
   NameTables facts = readNameTables(kSettings);
-  Rules rules{terms, 7};
+  DispatchPolicy rules{terms, 7};
   std::size_t disk;
   net::Book book{facts, folder.path.string(), disk};
   net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:9"), "nowhere", 1};
@@ -49,7 +49,7 @@
   bool withdraws{false};  // as the module decides it, too
 
   explicit Desk(bool mayCopy = false, std::size_t most = 3'000'000) : terms(withCopies(mayCopy)), disk(most) {
-    rules.roundBegins(loop.now());
+    rules.beginRound(loop.now());
     list("in_service");
   }
   void list(const std::string& state) {
@@ -66,16 +66,16 @@
     net::Held held = book.decode("00", ref, "c=" + type + ",d=1,dest=7", body, 0);
     ids[ref] = *book.take(std::move(held));
     const net::Held* kept = book.find(ids[ref]);
-    rules.taken(ids[ref], kept->type, {}, {}, DestinationId{7}, loop.now() + left);
+    rules.acceptMessage(ids[ref], kept->type, {}, {}, DestinationId{7}, loop.now() + left);
   }
   void round(Millis most) {
     loop.wait(loop.now() + most);
-    rules.roundBegins(loop.now());
+    rules.beginRound(loop.now());
   }
   // One whose window of a second has just begun, with an attempt that may have run.
   void takeRepeat(const std::string& ref, const std::string& body = "x") {
     take(ref, "repeat", 9000, body);
-    rules.launchedBefore(ids[ref], catalog.idOf("s-1"), loop.now(), false);
+    rules.recordEarlierAttempt(ids[ref], catalog.idOf("s-1"), loop.now(), false);
     round(5);
   }
   // The last call is answered 200, and what it carried is over.
@@ -98,14 +98,14 @@
   }
   // Decided, noted and sent, as the dispatcher does it. meanwhile: while the journal is written.
   void decide(const std::function<void()>& meanwhile = [] {}) {
-    while (auto d = rules.next()) {
+    while (auto d = rules.nextDecision()) {
       if (d->act == Act::launch) calls.launch(*d);
       if (d->act == Act::withdraw && withdraws) calls.withdraw(*d);
     }
     calls.flush();
     book.commit();
     meanwhile();
-    if (loop.late(5)) rules.roundBegins(loop.now());
+    if (loop.late(5)) rules.beginRound(loop.now());
     calls.send();
   }
   // Whether the endpoint reads up to these bytes, or so many.
@@ -199,7 +199,7 @@
   desk.take("first", "status", 9000);
   desk.take("second", "status", 8000);
   ASSERT_TRUE(desk.sent("second - 1\r\nx\r\n"));
-  desk.rules.clientGone(desk.ids["first"]);
+  desk.rules.cancelMessage(desk.ids["first"]);
   desk.callOff("first");
   EXPECT_FALSE(desk.out("second"));
   EXPECT_TRUE(within(1000, [&] { return desk.closed(); }));
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -54,15 +54,16 @@
   };
   std::mt19937 chance(seed);
   auto draw = [&] { return static_cast<double>(chance()) / 4294967296.0; };
-  std::vector<std::unique_ptr<Rules>> all;
+  std::vector<std::unique_ptr<DispatchPolicy>> all;
   auto begin = [&](int who, Millis now) {
     terms.dispatcherIndex = static_cast<std::uint32_t>(who);
-    auto rules = std::make_unique<Rules>(terms, seed * 1000 + static_cast<std::uint32_t>(who) + all.size());
-    rules->roundBegins(now);
-    rules->listBegins();
+    auto rules =
+        std::make_unique<DispatchPolicy>(terms, seed * 1000 + static_cast<std::uint32_t>(who) + all.size());
+    rules->beginRound(now);
+    rules->beginEndpointList();
     for (std::uint64_t n = 1; n <= 2; ++n)
-      rules->listed(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
-    rules->listEnds(true);
+      rules->addEndpoint(endpoint(n), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
+    rules->commitEndpointList(true);
     return rules;
   };
   std::vector<double> shares;
@@ -79,7 +80,7 @@
       arrivals;  // calls and health checks that reach it from its return on; by told
   std::uint32_t next = 1;
   for (Millis now = kStep; now < kUntil; now += kStep) {
-    for (auto& rules : all) rules->roundBegins(now);
+    for (auto& rules : all) rules->beginRound(now);
     if (w.restarts && std::abs(now - (kOutFrom + 4000)) < kStep / 2) {
       for (std::size_t n = 0; n < all.size(); n += 2) {
         all[n] = begin(static_cast<int>(n), now);
@@ -94,20 +95,20 @@
       AttemptOutcome ending = e.good ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
       LoadReport report = e.good && w.reports ? LoadReport{w.capacity, 0.6} : LoadReport{};
       if (e.d.act == Act::probe)
-        all[n]->probeEnded(e.d.endpoint, ending, report);
+        all[n]->recordHealthCheckOutcome(e.d.endpoint, ending, report);
       else
-        all[n]->launchEnded(e.d.message, e.d.attempt, ending, now - e.sent, e.good, 0, report);
+        all[n]->recordAttemptOutcome(e.d.message, e.d.attempt, ending, now - e.sent, e.good, 0, report);
     }
     for (std::size_t n = 0; n < all.size(); ++n) {
       double rate = w.capacity * w.load * shares[n] / sum * kStep / 1000;
       int many = std::poisson_distribution<int>(rate)(chance);
       for (; many > 0; --many)
-        all[n]->taken(MessageId{next++}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1},
-                      now + 6000);
+        all[n]->acceptMessage(MessageId{next++}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0},
+                              DestinationId{1}, now + 6000);
       int lastCall = -1;
-      while (auto d = all[n]->next()) {
+      while (auto d = all[n]->nextDecision()) {
         if (d->act == Act::withdraw)
-          all[n]->launchEnded(d->message, d->attempt, AttemptOutcome::cancelled, 100, false, 0, {});
+          all[n]->recordAttemptOutcome(d->message, d->attempt, AttemptOutcome::cancelled, 100, false, 0, {});
         if (d->act != Act::launch && d->act != Act::probe) continue;
         if (d->act == Act::launch) {
           const auto& launches = all[n]->state().messages.at(d->message).attempts;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -275,21 +275,21 @@
 struct Watcher {
   NameTables facts = readNameTables(kSettings);
   net::Loop loop;
-  Rules rules{readDeploymentSettings(kSettings), 7};
+  DispatchPolicy rules{readDeploymentSettings(kSettings), 7};
   int backlog;
   int listener = loopback(0, true, backlog);
   int far = -1;
   std::string in;
   net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:" + std::to_string(portOf(listener))),
                        "d",  1};
-  explicit Watcher(int most = 8) : backlog(most) { rules.roundBegins(loop.now()); }
+  explicit Watcher(int most = 8) : backlog(most) { rules.beginRound(loop.now()); }
   ~Watcher() {
     if (far >= 0) ::close(far);
     ::close(listener);
   }
   void turn() {
     loop.wait(loop.now() + 2);
-    rules.roundBegins(loop.now());
+    rules.beginRound(loop.now());
     loop.dispatch();
     catalog.tick();
   }
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -114,7 +114,7 @@
     terms.mayHealthCheck = *rc::gen::arbitrary<bool>();
     Bed bed(terms, 0);
     auto relist = [&](bool whole) {
-      bed.rules.listBegins();
+      bed.rules.beginEndpointList();
       std::set<EndpointId> named;
       for (std::uint64_t n = 1; n <= 4; ++n) {
         if (*rc::gen::inRange(0, 3) == 0) continue;
@@ -128,7 +128,7 @@
       for (auto& [id, known] : model.list) {
         if (whole && !named.contains(id)) known.first = EndpointState::removed;
       }
-      bed.rules.listEnds(whole);
+      bed.rules.commitEndpointList(whole);
     };
     relist(true);
     std::vector<Decision> probes;
@@ -148,15 +148,16 @@
           EndpointId to = model.list.rbegin()->first;
           Millis sent = bed.now - *rc::gen::element(20.0, 2500.0, 6000.0);
           bool proven = *rc::gen::arbitrary<bool>();
-          bed.rules.launchedBefore(MessageId{nextId}, to, sent, proven);
+          bed.rules.recordEarlierAttempt(MessageId{nextId}, to, sent, proven);
           model.all[nextId].sent.push_back(
               {{Act::launch, MessageId{nextId}, to, 0, 0}, sent, false, proven, !proven, bed.now});
         }
         ++nextId;
       }
       if (what == 10 && !probes.empty()) {
-        bed.rules.probeEnded(probes.back().endpoint,
-                             *rc::gen::element(AttemptOutcome::completed, AttemptOutcome::timeout), {});
+        bed.rules.recordHealthCheckOutcome(
+            probes.back().endpoint, *rc::gen::element(AttemptOutcome::completed, AttemptOutcome::timeout),
+            {});
         probes.pop_back();
       }
       for (auto& [id, c] : model.all) {
@@ -180,7 +181,7 @@
           bed.end(s.what, ending, bed.now - s.at, wait);
         }
       }
-      while (auto d = bed.rules.next()) {
+      while (auto d = bed.rules.nextDecision()) {
         if (d->act == Act::launch) {
           const ZoneFailover& rooms = bed.rules.state().zones;
           RC_ASSERT(!rooms.isLost(ZoneId{model.list.at(d->endpoint).second}));
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -207,25 +207,25 @@
 struct RulesBed {
   Millis now = 1000;
   DeploymentSettings terms;
-  Rules rules;
+  DispatchPolicy rules;
   explicit RulesBed(DeploymentSettings asked = roomTerms()) : terms(asked), rules(asked, 7) {
-    rules.roundBegins(now);
-    rules.listBegins();
+    rules.beginRound(now);
+    rules.beginEndpointList();
     for (std::uint16_t d = 1; d <= 2; ++d) {
       for (std::uint64_t n = 1; n <= 4; ++n) {
-        rules.listed(endpoint(10u * d + n), DestinationId{d}, KindId{0}, ZoneId{n > 2}, 1,
-                     EndpointState::ready);
+        rules.addEndpoint(endpoint(10u * d + n), DestinationId{d}, KindId{0}, ZoneId{n > 2}, 1,
+                          EndpointState::ready);
       }
     }
-    rules.listEnds(true);
+    rules.commitEndpointList(true);
   }
-  void to(Millis at) { rules.roundBegins(now = at); }
+  void to(Millis at) { rules.beginRound(now = at); }
   void take(std::uint32_t id, std::uint16_t type, std::uint16_t d = 1) {
-    rules.taken(MessageId{id}, TrafficTypeId{type}, {}, {}, DestinationId{d}, now + 10000);
+    rules.acceptMessage(MessageId{id}, TrafficTypeId{type}, {}, {}, DestinationId{d}, now + 10000);
   }
   std::vector<Decision> pull() {
     std::vector<Decision> found;
-    while (auto d = rules.next()) found.push_back(*d);
+    while (auto d = rules.nextDecision()) found.push_back(*d);
     return found;
   }
   static bool own(EndpointId e) { return e.value % 10 <= 2; }
@@ -236,11 +236,12 @@
       for (const Decision& d : pull()) {
         all.push_back(d);
         if (d.act == Act::probe)
-          rules.probeEnded(d.endpoint, own(d.endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed,
-                           {});
+          rules.recordHealthCheckOutcome(
+              d.endpoint, own(d.endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         if (d.act != Act::launch || silent.contains(d.message.value)) continue;
         AttemptOutcome ending = own(d.endpoint) ? AttemptOutcome::connectFailed : AttemptOutcome::completed;
-        rules.launchEnded(d.message, d.attempt, ending, 10, ending == AttemptOutcome::completed, 0, {});
+        rules.recordAttemptOutcome(d.message, d.attempt, ending, 10, ending == AttemptOutcome::completed, 0,
+                                   {});
       }
       to(now + 20);
     }
@@ -256,7 +257,8 @@
   ASSERT_EQ(first.front().act, Act::launch);
   ASSERT_TRUE(RulesBed::own(first.front().endpoint));
   bed.to(1500);
-  bed.rules.launchEnded(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0, {});  // it may have run
+  bed.rules.recordAttemptOutcome(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0,
+                                 {});  // it may have run
   for (std::uint32_t n = 2; n < 20; ++n) bed.take(n, 0, static_cast<std::uint16_t>(1 + n % 2));
   std::vector<Decision> all = bed.play(6000);
   ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -13,7 +13,7 @@
   auto first = bed.pull(Act::wake);
   ASSERT_FALSE(first.empty());
   bed.to(first.back().span - 1e-7);
-  bed.rules.woken();
+  bed.rules.recordTimerFired();
   EXPECT_FALSE(bed.pull(Act::wake).empty());
 }
 
@@ -46,19 +46,19 @@
                                          {Idempotency::idempotent, false, true}}) {
     Bed bed(plainTerms(effect));
     bed.take(1);
-    bed.rules.launchedBefore(MessageId{1}, endpoint(1), bed.now - 3000, neverRan);
+    bed.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), bed.now - 3000, neverRan);
     EXPECT_EQ(bed.pull(Act::launch).size(), again ? 1u : 0u);
   }
   Bed late(plainTerms(Idempotency::idempotentWithKey));
   late.take(1);
-  late.rules.launchedBefore(MessageId{1}, endpoint(1), late.now - 3700, false);
+  late.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), late.now - 3700, false);
   EXPECT_EQ(late.pull(Act::giveUp).size(), 1u);
   DeploymentSettings terms = plainTerms(Idempotency::nonIdempotent);
   terms.types[0].ordered = true;
   Bed ordered(terms);
   ordered.take(1, 0, 5);
   ordered.take(2, 0, 5);
-  ordered.rules.launchedBefore(MessageId{1}, endpoint(1), ordered.now - 100, false);
+  ordered.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), ordered.now - 100, false);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
   ordered.to(ordered.now + terms.orderingPause - 1);
   EXPECT_TRUE(ordered.pull(Act::launch).empty());
@@ -102,7 +102,7 @@
   terms.maxAttempts = 2;
   Bed bed(terms);
   bed.take(1);
-  auto may = [&](int launch) { return bed.rules.mayBegin(MessageId{1}, launch); };
+  auto may = [&](int launch) { return bed.rules.mayStartAttempt(MessageId{1}, launch); };
   Decision first = bed.pull(Act::launch).at(0);
   bed.to(bed.now + 3000);
   EXPECT_TRUE(may(0));
@@ -118,7 +118,7 @@
   EXPECT_FALSE(may(1));
   bed.list(1), bed.list(2);
   EXPECT_TRUE(may(1));
-  bed.rules.clientGone(MessageId{1});
+  bed.rules.cancelMessage(MessageId{1});
   EXPECT_FALSE(may(1));
 }
 
@@ -173,7 +173,7 @@
   bed.to(bed.now + 4000);
   auto probes = bed.pull(Act::probe);
   ASSERT_EQ(probes.size(), 1u);
-  bed.rules.probeEnded(probes[0].endpoint, AttemptOutcome::completed, {});
+  bed.rules.recordHealthCheckOutcome(probes[0].endpoint, AttemptOutcome::completed, {});
   EXPECT_TRUE(bed.pull(Act::probe).empty());  // of the other endpoint: health checks push too
   int sent = 0;
   Millis until = bed.now + 1500;
@@ -196,7 +196,7 @@
     bed.take(id);
     bed.to(bed.now + 100);
   }
-  bed.rules.probeEnded(endpoint(1), AttemptOutcome::completed, {});
+  bed.rules.recordHealthCheckOutcome(endpoint(1), AttemptOutcome::completed, {});
   int sent = 0;
   for (int n = 0; n < 40; ++n) {
     for (const Decision& d : bed.pull(Act::launch)) {
@@ -216,7 +216,7 @@
   bed.breakDown();
   for (std::uint32_t id = 10; id < 40; ++id) bed.take(id);
   bed.to(bed.now + 4000);
-  bed.rules.probeEnded(bed.pull(Act::probe).at(0).endpoint, AttemptOutcome::completed, {});
+  bed.rules.recordHealthCheckOutcome(bed.pull(Act::probe).at(0).endpoint, AttemptOutcome::completed, {});
   bed.to(bed.now + 1500);
   EXPECT_LE(bed.pull(Act::launch).size(), 5u);  // of 20
 }
@@ -239,10 +239,11 @@
   std::set<EndpointId> early, later, probed;
   for (std::uint32_t id = 1; id <= 90; ++id) {
     bed.take(id);
-    while (auto next = bed.rules.next()) {
+    while (auto next = bed.rules.nextDecision()) {
       const Decision& d = *next;
       if (d.act == Act::probe) {
-        bed.rules.probeEnded(d.endpoint, id < 30 ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
+        bed.rules.recordHealthCheckOutcome(d.endpoint,
+                                           id < 30 ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         probed.insert(d.endpoint);
       }
       if (d.act != Act::launch) continue;
@@ -322,7 +323,7 @@
   busy.warm(20);
   busy.take(1);
   Decision first = busy.pull(Act::launch).at(0);
-  busy.rules.goesOutOn(first.message, first.attempt, 2000);
+  busy.rules.recordConnectionIdleTime(first.message, first.attempt, 2000);
   busy.end(first, AttemptOutcome::reset);
   EXPECT_LE(busy.rules.state().reusableIdleTime, 1000);
   // Connections that break while they are hardly idle, or as they come up, tell nothing of idle ones.
@@ -362,14 +363,14 @@
     bed.take(1);
     Decision first = bed.pull(Act::launch).at(0);
     bed.to(bed.now + 100);
-    bed.rules.launchEnded(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
-                          c.reports ? LoadReport{25, 0.9} : LoadReport{});
+    bed.rules.recordAttemptOutcome(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
+                                   c.reports ? LoadReport{25, 0.9} : LoadReport{});
     bed.to(bed.now + 1000);
     bed.take(2);
     Decision second = bed.pull(Act::launch).at(0);
-    bed.rules.goesOutOn(second.message, second.attempt, c.kept ? 1000 : 0);
-    bed.rules.launchEnded(second.message, second.attempt, AttemptOutcome::rejected, 40, false, c.wait,
-                          c.with);
+    bed.rules.recordConnectionIdleTime(second.message, second.attempt, c.kept ? 1000 : 0);
+    bed.rules.recordAttemptOutcome(second.message, second.attempt, AttemptOutcome::rejected, 40, false,
+                                   c.wait, c.with);
     EXPECT_EQ(bed.rules.state().reusableIdleTime < 10000, c.cuts) << c.name;
   }
 }
@@ -395,11 +396,11 @@
     int failures = bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures;
     int probes = 0;
     for (int n = 0; n < 500; ++n) {
-      auto d = bed.rules.next();
+      auto d = bed.rules.nextDecision();
       if (!d) break;
       if (d->act != Act::probe) continue;
       ++probes;
-      bed.rules.probeEnded(d->endpoint, AttemptOutcome::localResourceExhausted, {});
+      bed.rules.recordHealthCheckOutcome(d->endpoint, AttemptOutcome::localResourceExhausted, {});
     }
     EXPECT_EQ(probes, 1) << out;
     EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, failures);
@@ -418,16 +419,16 @@
   DeploymentSettings terms = plainTerms();
   terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
-  bed.rules.listBegins();
+  bed.rules.beginEndpointList();
   for (std::uint16_t n : {2, 3}) {
-    bed.rules.listed(endpoint(n), DestinationId{n}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
+    bed.rules.addEndpoint(endpoint(n), DestinationId{n}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
   }
-  bed.rules.listEnds(false);
+  bed.rules.commitEndpointList(false);
   bed.warm(60);
   bed.take(1);
   for (std::uint16_t n : {2, 3}) {
-    bed.rules.taken(MessageId{n}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{n},
-                    bed.now + 10000);
+    bed.rules.acceptMessage(MessageId{n}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{n},
+                            bed.now + 10000);
   }
   EXPECT_EQ(bed.pull(Act::launch).size(), 2u);
   bed.to(bed.now + 1000);
@@ -517,7 +518,7 @@
   for (std::uint32_t id = 1; id <= 12; ++id) {
     worn.take(id);
     for (const Decision& d : worn.pull(Act::launch)) {
-      worn.rules.goesOutOn(d.message, d.attempt, 100);
+      worn.rules.recordConnectionIdleTime(d.message, d.attempt, 100);
       worn.end(d, AttemptOutcome::reset, 1);
     }
   }
@@ -528,7 +529,7 @@
     bed.breakDown();
     bed.to(bed.now + (lasts ? 6000 : 1000));
     for (const Decision& d : bed.pull(Act::probe))
-      bed.rules.probeEnded(d.endpoint, AttemptOutcome::completed, {});
+      bed.rules.recordHealthCheckOutcome(d.endpoint, AttemptOutcome::completed, {});
     EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
     EXPECT_EQ(bed.rules.state().routes.begin()->second.warmingUp, lasts);
   }
@@ -566,7 +567,7 @@
     for (std::uint32_t turn = 0; turn < 300; ++turn) {
       for (std::uint32_t n : {1, 2}) bed.take(2 * turn + n);
       bed.to(bed.now + 10);
-      while (auto d = bed.rules.next()) {
+      while (auto d = bed.rules.nextDecision()) {
         if (d->act == Act::withdraw) bed.end(*d, AttemptOutcome::cancelled);
         if (d->act != Act::launch) continue;
         if (hung == EndpointId{}) hung = d->endpoint;
@@ -593,8 +594,8 @@
   ASSERT_TRUE(path.outage);
   for (; path.outage && bed.now < 40000; bed.to(bed.now + 20)) {
     for (const Decision& d : bed.pull(Act::probe)) {
-      bed.rules.probeEnded(d.endpoint,
-                           d.endpoint == hung ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
+      bed.rules.recordHealthCheckOutcome(
+          d.endpoint, d.endpoint == hung ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
     }
   }
   for (std::uint32_t id = 2; id < 40; ++id) {
@@ -646,8 +647,8 @@
   Bed bed(terms, 1);
   bed.take(1);
   Decision first = bed.pull(Act::launch).at(0);
-  bed.rules.launchEnded(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
-                        {4});  // 2 of them ours
+  bed.rules.recordAttemptOutcome(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
+                                 {4});  // 2 of them ours
   bed.to(bed.now + 20);
   std::set<int> calls;
   int launches = 0;
@@ -670,15 +671,16 @@
   for (double left : {1.0, 0.0}) {
     Bed bed;
     bed.take(1);
-    bed.rules.launchEnded(bed.pull(Act::launch).at(0).message, 0, AttemptOutcome::completed, 100, true, 0,
-                          {4, left});
+    bed.rules.recordAttemptOutcome(bed.pull(Act::launch).at(0).message, 0, AttemptOutcome::completed, 100,
+                                   true, 0, {4, left});
     std::size_t launches = 0;
     for (std::uint32_t id = 2; id <= 200; ++id) {
       bed.to(bed.now + 50);
       bed.take(id);
       for (const Decision& d : bed.pull(Act::launch)) {
         ++launches;
-        bed.rules.launchEnded(d.message, d.attempt, AttemptOutcome::completed, 40, true, 0, {4, left});
+        bed.rules.recordAttemptOutcome(d.message, d.attempt, AttemptOutcome::completed, 40, true, 0,
+                                       {4, left});
       }
     }
     // In 10 s our even part is 20 calls; more only while there is room for all.
@@ -696,18 +698,19 @@
   terms.reportsRateLimit = terms.hasReportedWeights = true;
   int single = 0, both = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Rules rules(terms, seed);
-    rules.roundBegins(100000);
-    rules.listBegins();
-    rules.listed(endpoint(1), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
-    rules.listEnds(true);
+    DispatchPolicy rules(terms, seed);
+    rules.beginRound(100000);
+    rules.beginEndpointList();
+    rules.addEndpoint(endpoint(1), DestinationId{1}, KindId{0}, ZoneId{0}, 1, EndpointState::ready);
+    rules.commitEndpointList(true);
     int launches = 0;
     for (std::uint32_t id = 1; id <= 4; ++id) {
-      rules.taken(MessageId{id}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1}, 110000);
+      rules.acceptMessage(MessageId{id}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1},
+                          110000);
     }
-    while (auto d = rules.next()) launches += d->act == Act::launch ? 1 : 0;
-    rules.roundBegins(101500);  // half of our gap later
-    while (auto d = rules.next()) launches += d->act == Act::launch ? 1 : 0;
+    while (auto d = rules.nextDecision()) launches += d->act == Act::launch ? 1 : 0;
+    rules.beginRound(101500);  // half of our gap later
+    while (auto d = rules.nextDecision()) launches += d->act == Act::launch ? 1 : 0;
     (launches == 1 ? single : both) += 1;
   }
   EXPECT_GT(single, 8);
@@ -724,9 +727,9 @@
     for (const Decision& d : bed.pull(Act::launch)) {
       used.insert(d.endpoint);
       bool first = d.endpoint == *used.begin();
-      bed.rules.launchEnded(d.message, d.attempt,
-                            id == 1 || !first ? AttemptOutcome::completed : AttemptOutcome::rejected, 40,
-                            id == 1 || !first, 0, id == 1 || !first ? LoadReport{100, 1} : LoadReport{});
+      bed.rules.recordAttemptOutcome(
+          d.message, d.attempt, id == 1 || !first ? AttemptOutcome::completed : AttemptOutcome::rejected, 40,
+          id == 1 || !first, 0, id == 1 || !first ? LoadReport{100, 1} : LoadReport{});
     }
     bed.to(bed.now + 200);
   }
@@ -741,9 +744,9 @@
   Bed bed(terms, 1);
   bed.take(1);
   Decision last = bed.pull(Act::launch).at(0);
-  bed.rules.listBegins();
-  bed.rules.listEnds(true);
-  bed.rules.launchEnded(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
+  bed.rules.beginEndpointList();
+  bed.rules.commitEndpointList(true);
+  bed.rules.recordAttemptOutcome(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
   EXPECT_EQ(bed.rules.state().routes.begin()->second.rateHalvings,
             0);  // a batch never goes above the even part
 }
@@ -771,7 +774,7 @@
   ASSERT_EQ(launches.size(), 2u);
   EXPECT_EQ(launches[0].message, MessageId{1});
   EXPECT_EQ(launches[1].message, MessageId{3});
-  bed.rules.clientGone(MessageId{1});
+  bed.rules.cancelMessage(MessageId{1});
   EXPECT_TRUE(bed.pull(Act::launch).empty());  // over, but its attempt has no outcome yet
   bed.end(launches[0], AttemptOutcome::cancelled);
   EXPECT_TRUE(bed.pull(Act::launch).empty());
@@ -788,13 +791,13 @@
   terms.types[0].ordered = true;
   Bed bed(terms, 0);
   bed.list(1000);
-  bed.rules.listEnds(true);
+  bed.rules.commitEndpointList(true);
   bed.take(1);
   Decision held = bed.pull(Act::launch).at(0);  // on a connection that is silent all day
   for (std::uint64_t n = 1; n <= 200; ++n) {
-    bed.rules.listBegins();
+    bed.rules.beginEndpointList();
     bed.list(n);
-    bed.rules.listEnds(true);
+    bed.rules.commitEndpointList(true);
     bed.take(static_cast<std::uint32_t>(n) + 1, 0, n);
     for (const Decision& d : bed.pull(Act::launch))
       bed.end(d, n % 2 != 0 ? AttemptOutcome::completed : AttemptOutcome::error);
@@ -810,11 +813,11 @@
 
 TEST(OddInput, LateAndUnknownIdsArePassedOver) {
   Bed bed;
-  bed.rules.launchEnded(MessageId{99}, 0, AttemptOutcome::completed, 10, true, 0, {});
-  bed.rules.clientGone(MessageId{98});
-  bed.rules.probeEnded(endpoint(77), AttemptOutcome::completed, {});
-  bed.rules.answerStarted(MessageId{97}, 3);
-  EXPECT_FALSE(bed.rules.next().has_value());
+  bed.rules.recordAttemptOutcome(MessageId{99}, 0, AttemptOutcome::completed, 10, true, 0, {});
+  bed.rules.cancelMessage(MessageId{98});
+  bed.rules.recordHealthCheckOutcome(endpoint(77), AttemptOutcome::completed, {});
+  bed.rules.recordResponseStarted(MessageId{97}, 3);
+  EXPECT_FALSE(bed.rules.nextDecision().has_value());
 }
 
 TEST(OddInput, TwoSlotsOneEndpointZeroWaitAndNoTenants) {
