--- a/src/net/book.cpp
+++ b/src/net/book.cpp
@@ -56,14 +56,15 @@
 
 }  // namespace
 
-Book::Book(const NameTables& facts, const std::string& folder, std::size_t mostBytes, bool aside)
+MessageStore::MessageStore(const NameTables& facts, const std::string& folder, std::size_t mostBytes,
+                           bool aside)
     : facts_(facts), journal_(folder, mostBytes, aside) {}
 
-Held Book::decode(std::string_view key, std::string_view ref, std::string_view list, std::string_view body,
-                  Millis wall) const {
-  Held held;
-  held.ref = word(ref, "id");
-  auto [keyEnd, keyError] = std::from_chars(key.data(), key.data() + key.size(), held.key.value, 16);
+StoredMessage MessageStore::decode(std::string_view key, std::string_view ref, std::string_view list,
+                                   std::string_view body, Millis wall) const {
+  StoredMessage held;
+  held.reference = word(ref, "id");
+  auto [keyEnd, keyError] = std::from_chars(key.data(), key.data() + key.size(), held.orderingKey.value, 16);
   if (key.empty() || keyError != std::errc() || keyEnd != key.data() + key.size()) throw Malformed("bad key");
   bool typed = false;
   bool addressed = false;
@@ -87,7 +88,7 @@
         throw Malformed("bad d");
       }
     } else if (name == "k") {
-      held.receipt = word(value, "k");
+      held.idempotencyKey = word(value, "k");
     } else if (name == "dest") {
       auto number = wholeNumber(value);
       if (!number || *number > 0xffff) throw Malformed("bad dest");
@@ -96,29 +97,29 @@
     }
   }
   if (!typed || !addressed || left < 0) throw Malformed("c, d and dest are needed");
-  held.outerWall = wall + left;
+  held.deadlineWall = wall + left;
   held.body = std::make_shared<const std::string>(body);
-  putText(held.taken, key);
-  putText(held.taken, ref);
-  putText(held.taken, list);
+  putText(held.acceptedFields, key);
+  putText(held.acceptedFields, ref);
+  putText(held.acceptedFields, list);
   return held;
 }
 
-std::string Book::takenRecord(MessageId id, const Held& held) {
-  std::string record = recordOf(Tag::taken, id);
-  putBytes(record, held.outerWall);
-  record += held.taken;
+std::string MessageStore::acceptedRecord(MessageId id, const StoredMessage& held) {
+  std::string record = recordOf(RecordTag::accepted, id);
+  putBytes(record, held.deadlineWall);
+  record += held.acceptedFields;
   putText(record, *held.body);
   return record;
 }
 
-std::size_t Book::takenSize(const Held& held) {
-  return sizeof(Tag) + sizeof(MessageId::value) + sizeof held.outerWall + held.taken.size() +
-         sizeof(std::uint32_t) + held.body->size();
+std::size_t MessageStore::acceptedRecordSize(const StoredMessage& held) {
+  return sizeof(RecordTag) + sizeof(MessageId::value) + sizeof held.deadlineWall +
+         held.acceptedFields.size() + sizeof(std::uint32_t) + held.body->size();
 }
 
-std::string Book::launchRecord(MessageId id, const AttemptRecord& launch) {
-  std::string record = recordOf(Tag::launched, id);
+std::string MessageStore::attemptRecord(MessageId id, const AttemptRecord& launch) {
+  std::string record = recordOf(RecordTag::attempted, id);
   putText(record, launch.endpoint.name);
   putBytes(record, launch.endpoint.destination.value);
   putBytes(record, launch.endpoint.kind.value);
@@ -128,15 +129,15 @@
   return record;
 }
 
-std::string Book::owedRecord(MessageId id, const Notice& notice) {
-  std::string record = recordOf(Tag::owed, id);
-  putText(record, notice.ref);
+std::string MessageStore::notificationRecord(MessageId id, const OutcomeNotification& notice) {
+  std::string record = recordOf(RecordTag::notificationPending, id);
+  putText(record, notice.reference);
   putBytes(record, notice.result);
-  putBytes(record, notice.wait);
+  putBytes(record, notice.retryAfter);
   return record;
 }
 
-std::size_t Book::restore() {
+std::size_t MessageStore::restore() {
   std::size_t cut = journal_.replay([this](std::string_view record) {
     try {
       replayed(record);
@@ -148,32 +149,32 @@
   return cut;
 }
 
-void Book::replayed(std::string_view record) {
+void MessageStore::replayed(std::string_view record) {
   ByteReader in(record);
-  auto tag = in.get<Tag>("tag");
+  auto tag = in.get<RecordTag>("tag");
   MessageId id{in.get<std::uint32_t>("callback")};
   next_ = std::max(next_, id.value + 1);
   switch (tag) {
-    case Tag::taken: {
+    case RecordTag::accepted: {
       auto wall = in.get<Millis>("outer limit");
       std::string key = getText(in, "key");
       std::string ref = getText(in, "ref");
       std::string list = getText(in, "list");
       std::string body = getText(in, "body");
       try {
-        Held held = decode(key, ref, list, body, 0);
-        held.outerWall = wall;
-        byRef_[held.ref] = id;
-        heldBytes_ += takenSize(held) + kReserve;
-        held_[id] = std::move(held);
+        StoredMessage held = decode(key, ref, list, body, 0);
+        held.deadlineWall = wall;
+        byReference_[held.reference] = id;
+        inFlightBytes_ += acceptedRecordSize(held) + kReserve;
+        inFlight_[id] = std::move(held);
       } catch (const Malformed& problem) {
         // The settings have changed under it: its end is still owed.
         log::error("callback.undeliverable", {{"callback", ref}, {"why", problem.what()}});
-        owed_[id] = {ref, Result::dead, 0};
+        pendingNotifications_[id] = {ref, FinalOutcome::failed, 0};
       }
       return;
     }
-    case Tag::launched: {
+    case RecordTag::attempted: {
       AttemptRecord launch;
       launch.endpoint.name = getText(in, "endpoint");
       launch.endpoint.destination.value = in.get<std::uint16_t>("destination");
@@ -181,98 +182,100 @@
       launch.endpoint.zone.value = in.get<std::uint8_t>("zone");
       launch.sentWall = in.get<Millis>("sent");
       launch.provablyNotExecuted = in.get<std::uint8_t>("never ran") != 0;
-      if (Held* held = find(id)) held->attempts.push_back(std::move(launch));
+      if (StoredMessage* held = find(id)) held->attempts.push_back(std::move(launch));
       return;
     }
-    case Tag::neverRan: {
+    case RecordTag::notExecuted: {
       auto n = in.get<std::uint32_t>("launch");
-      Held* held = find(id);
+      StoredMessage* held = find(id);
       if (held != nullptr && n < held->attempts.size()) held->attempts[n].provablyNotExecuted = true;
       return;
     }
-    case Tag::owed: {
-      Notice notice;
-      notice.ref = getText(in, "ref");
-      notice.result = in.get<Result>("result");
-      notice.wait = in.get<Millis>("wait");
+    case RecordTag::notificationPending: {
+      OutcomeNotification notice;
+      notice.reference = getText(in, "ref");
+      notice.result = in.get<FinalOutcome>("result");
+      notice.retryAfter = in.get<Millis>("wait");
       drop(id);
-      owed_[id] = std::move(notice);
+      pendingNotifications_[id] = std::move(notice);
       return;
     }
-    case Tag::over:
+    case RecordTag::finished:
       drop(id);
-      owed_.erase(id);
+      pendingNotifications_.erase(id);
       return;
   }
   throw Malformed("unknown tag");
 }
 
-std::size_t Book::liveBytes() const { return heldBytes_ + owed_.size() * kOwedReserve; }
+std::size_t MessageStore::liveBytes() const {
+  return inFlightBytes_ + pendingNotifications_.size() * kOwedReserve;
+}
 
 // The records of all that is held or owed from rewritten_ on, by id, until there are `most` bytes of them.
-void Book::rewriteSome(std::size_t most) {
+void MessageStore::rewriteSome(std::size_t most) {
   std::string bytes;
   MessageId from = rewritten_;
-  auto held = held_.lower_bound(rewritten_);
-  auto owed = owed_.lower_bound(rewritten_);
+  auto held = inFlight_.lower_bound(rewritten_);
+  auto owed = pendingNotifications_.lower_bound(rewritten_);
   auto put = [&](const std::string& record) { bytes += Journal::framed(record); };
-  while (bytes.size() < most && (held != held_.end() || owed != owed_.end())) {
-    if (owed == owed_.end() || (held != held_.end() && held->first < owed->first)) {
-      put(takenRecord(held->first, held->second));
+  while (bytes.size() < most && (held != inFlight_.end() || owed != pendingNotifications_.end())) {
+    if (owed == pendingNotifications_.end() || (held != inFlight_.end() && held->first < owed->first)) {
+      put(acceptedRecord(held->first, held->second));
       for (const AttemptRecord& launch : held->second.attempts) {
-        if (launch.journaled) put(launchRecord(held->first, launch));
+        if (launch.journaled) put(attemptRecord(held->first, launch));
       }
       rewritten_ = MessageId{held->first.value + 1};
       ++held;
     } else {
-      put(owedRecord(owed->first, owed->second));
+      put(notificationRecord(owed->first, owed->second));
       rewritten_ = MessageId{owed->first.value + 1};
       ++owed;
     }
   }
   // What is noted and not written yet of those just passed stands there already.
-  for (Noted& one : noted_) {
+  for (JournalEntry& one : uncommitted_) {
     if (one.message >= from && one.message < rewritten_) one.record.clear();
   }
-  bool good = journal_.addBeside(bytes);
-  bool all = held == held_.end() && owed == owed_.end();
-  if (good && all && noted_.empty()) good = journal_.takeBeside();
+  bool good = journal_.appendToCompaction(bytes);
+  bool all = held == inFlight_.end() && owed == pendingNotifications_.end();
+  if (good && all && uncommitted_.empty()) good = journal_.installCompaction();
   if (!good) rewriteFailed();
 }
 
-void Book::rewriteBegins() {
+void MessageStore::rewriteBegins() {
   rewritten_ = {};
-  if (!journal_.beginBeside()) rewriteFailed();
+  if (!journal_.beginCompaction()) rewriteFailed();
 }
 
-void Book::rewriteFailed() {
-  notAgain_ = journal_.size() + journal_.most() / kWorthRewriting;
+void MessageStore::rewriteFailed() {
+  notAgain_ = journal_.size() + journal_.maxBytes() / kWorthRewriting;
   log::error("journal.not_rewritten", {{"bytes", journal_.size()}});
 }
 
 // Before the room runs out, and where it wins something.
-bool Book::rewriteWanted() const {
+bool MessageStore::rewriteWanted() const {
   std::size_t size = journal_.size();
-  std::size_t part = journal_.most() / kWorthRewriting;
-  return size >= notAgain_ && size + 2 * liveBytes() + 2 * part > journal_.most() &&
+  std::size_t part = journal_.maxBytes() / kWorthRewriting;
+  return size >= notAgain_ && size + 2 * liveBytes() + 2 * part > journal_.maxBytes() &&
          size > liveBytes() + part;
 }
 
 // All at once, since there is no room to wait.
-void Book::rewriteNow() {
-  if (under() || (passedOver_ > 0 && --passedOver_ > 0)) return;
+void MessageStore::rewriteNow() {
+  if (isCommitting() || (passedOver_ > 0 && --passedOver_ > 0)) return;
   do {
-    begin();
-    while (!journal_.written(1000)) {
+    beginCommit();
+    while (!journal_.isWritten(1000)) {
     }
     finished();
-  } while (unwritten());
-  if (!journal_.besideOpen()) rewriteBegins();
+  } while (hasUncommitted());
+  if (!journal_.isCompacting()) rewriteBegins();
   std::size_t before = journal_.size();
-  while (journal_.besideOpen() && !journal_.taking()) rewriteSome(kRewriteAtOnce);
-  if (journal_.taking()) {
-    begin();
-    while (!journal_.written(1000)) {
+  while (journal_.isCompacting() && !journal_.isInstallingCompaction()) rewriteSome(kRewriteAtOnce);
+  if (journal_.isInstallingCompaction()) {
+    beginCommit();
+    while (!journal_.isWritten(1000)) {
     }
     finished();
   }
@@ -281,50 +284,52 @@
 }
 
 // There is always room left for a rewrite beside the file, and for what is held to end.
-bool Book::roomFor(std::size_t more) {
-  auto room = [&] { return journal_.size() + journal_.besideSize() + more + liveBytes() <= journal_.most(); };
+bool MessageStore::roomFor(std::size_t more) {
+  auto room = [&] {
+    return journal_.size() + journal_.compactedSize() + more + liveBytes() <= journal_.maxBytes();
+  };
   if (!room()) rewriteNow();
   return room();
 }
 
-bool Book::keep(std::string record, Noted noted) {
+bool MessageStore::keep(std::string record, JournalEntry noted) {
   if (!journal_.append(record)) return false;
-  if (journal_.besideOpen()) noted.record = std::move(record);
-  noted_.push_back(std::move(noted));
+  if (journal_.isCompacting()) noted.record = std::move(record);
+  uncommitted_.push_back(std::move(noted));
   return true;
 }
 
-bool Book::note(std::string record, Noted noted) {
+bool MessageStore::note(std::string record, JournalEntry noted) {
   roomFor(record.size() + Journal::kFrame);
   return keep(std::move(record), std::move(noted));
 }
 
-void Book::begin() {
+void MessageStore::beginCommit() {
   // While a rewrite takes the file's place nothing is added to either.
-  carried_ = !journal_.taking();
+  carried_ = !journal_.isInstallingCompaction();
   if (carried_) {
-    flying_ = std::exchange(noted_, {});
-    flyingNext_ = next_;
+    committing_ = std::exchange(uncommitted_, {});
+    committingNext_ = next_;
   }
-  journal_.begin();
+  journal_.beginCommit();
 }
 
-void Book::finished() {
-  std::vector<Noted> noted = std::exchange(flying_, {});
-  std::vector<std::size_t> lost = journal_.finish();
-  if (carried_) decidedNext_ = flyingNext_;
+void MessageStore::finished() {
+  std::vector<JournalEntry> noted = std::exchange(committing_, {});
+  std::vector<std::size_t> lost = journal_.finishCommit();
+  if (carried_) decidedNext_ = committingNext_;
   bool shownLost = false;
   for (std::size_t n : lost) {
-    const Noted& one = noted[n];
+    const JournalEntry& one = noted[n];
     shownLost = shownLost || (one.record.empty() && one.message < rewritten_);
-    if (one.tag == Tag::taken) {
-      lostTakes_.insert(one.message);
+    if (one.tag == RecordTag::accepted) {
+      lostAcceptances_.insert(one.message);
       if (find(one.message) == nullptr) continue;
       drop(one.message);
-      --over_;  // it never was accepted
-    } else if (one.tag == Tag::launched) {
-      lostLaunches_.insert({one.message, one.attempt});
-      if (Held* held = find(one.message)) {
+      --finishedCount_;  // it never was accepted
+    } else if (one.tag == RecordTag::attempted) {
+      lostAttempts_.insert({one.message, one.attempt});
+      if (StoredMessage* held = find(one.message)) {
         AttemptRecord& launch = held->attempts[static_cast<std::size_t>(one.attempt)];
         launch.provablyNotExecuted = true;
         launch.journaled = false;
@@ -332,112 +337,113 @@
     }
   }
   if (!lost.empty()) log::error("journal.not_written", {{"records", lost.size()}});
-  if (journal_.besideFailed()) rewriteFailed();
-  if (!journal_.besideOpen()) return;
+  if (journal_.hasCompactionFailed()) rewriteFailed();
+  if (!journal_.isCompacting()) return;
   // Danger: the rewrite already shows what the file would not take; attempts would be counted apart.
   if (shownLost) {
-    journal_.dropBeside();
+    journal_.abandonCompaction();
     return rewriteFailed();
   }
   // What the rewrite has passed hears of it too; the rest it will find as it then is.
   std::string bytes;
-  for (const Noted& one : noted) {
+  for (const JournalEntry& one : noted) {
     if (one.message < rewritten_ && !one.record.empty()) bytes += Journal::framed(one.record);
   }
-  if (!bytes.empty() && !journal_.addBeside(bytes)) rewriteFailed();
+  if (!bytes.empty() && !journal_.appendToCompaction(bytes)) rewriteFailed();
 }
 
-bool Book::landed(Millis patience) {
-  if (under()) {
-    if (!journal_.written(patience)) return false;
+bool MessageStore::finishCommit(Millis patience) {
+  if (isCommitting()) {
+    if (!journal_.isWritten(patience)) return false;
     finished();
   }
-  if (!journal_.besideOpen() && rewriteWanted()) rewriteBegins();
-  if (journal_.besideOpen() && !journal_.taking()) rewriteSome(kRewriteAtOnce);
+  if (!journal_.isCompacting() && rewriteWanted()) rewriteBegins();
+  if (journal_.isCompacting() && !journal_.isInstallingCompaction()) rewriteSome(kRewriteAtOnce);
   return true;
 }
 
-void Book::commit() {
+void MessageStore::commit() {
   do {
-    begin();
-    while (!landed(1000)) {
+    beginCommit();
+    while (!finishCommit(1000)) {
     }
-  } while (unwritten());
+  } while (hasUncommitted());
 }
 
-std::optional<MessageId> Book::take(Held held) {
+std::optional<MessageId> MessageStore::accept(StoredMessage held) {
   MessageId id{next_};
-  std::string record = takenRecord(id, held);
+  std::string record = acceptedRecord(id, held);
   std::size_t bytes = record.size() + kReserve;
   // Room for the record and, beyond it, for one more of its like in every later rewrite.
-  if (2 * (liveBytes() + bytes) > journal_.most() || !roomFor(record.size() + Journal::kFrame + bytes) ||
-      !keep(std::move(record), {Tag::taken, id, 0, {}})) {
+  if (2 * (liveBytes() + bytes) > journal_.maxBytes() || !roomFor(record.size() + Journal::kFrame + bytes) ||
+      !keep(std::move(record), {RecordTag::accepted, id, 0, {}})) {
     return std::nullopt;
   }
   ++next_;
-  heldBytes_ += bytes;
-  byRef_[held.ref] = id;
-  held_[id] = std::move(held);
+  inFlightBytes_ += bytes;
+  byReference_[held.reference] = id;
+  inFlight_[id] = std::move(held);
   return id;
 }
 
-bool Book::launched(MessageId id, const EndpointNote& endpoint, Millis wall) {
-  Held* held = find(id);
+bool MessageStore::recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis wall) {
+  StoredMessage* held = find(id);
   if (held == nullptr) return false;
   AttemptRecord sent{endpoint, wall, false};
-  std::string record = launchRecord(id, sent);
+  std::string record = attemptRecord(id, sent);
   // Room first: a rewrite must not find the attempt, whose record comes after it.
   roomFor(record.size() + Journal::kFrame);
   held->attempts.push_back(std::move(sent));
   int launch = static_cast<int>(held->attempts.size()) - 1;
-  if (keep(std::move(record), {Tag::launched, id, launch, {}})) return true;
+  if (keep(std::move(record), {RecordTag::attempted, id, launch, {}})) return true;
   held->attempts.back().provablyNotExecuted = true;  // it keeps its number, as the module counts it
   held->attempts.back().journaled = false;
   return false;
 }
 
-void Book::neverRan(MessageId id, int launch) {
-  Held* held = find(id);
+void MessageStore::recordNotExecuted(MessageId id, int launch) {
+  StoredMessage* held = find(id);
   auto n = static_cast<std::uint32_t>(launch);
   if (held == nullptr || n >= held->attempts.size()) return;
   held->attempts[n].provablyNotExecuted = true;
   if (!held->attempts[n].journaled) return;
   // Danger: the journal counts attempts by its own records. Counted by ours, one that it never took would
   // have another one, which may have run, pass for one that did not.
-  std::string record = recordOf(Tag::neverRan, id);
+  std::string record = recordOf(RecordTag::notExecuted, id);
   auto first = held->attempts.begin();
   putBytes(record, static_cast<std::uint32_t>(std::count_if(
                        first, first + launch, [](const AttemptRecord& l) { return l.journaled; })));
   note(std::move(record),
-       {Tag::neverRan, id, launch, {}});  // unwritten, it may have run for the next process
+       {RecordTag::notExecuted, id, launch, {}});  // unwritten, it may have run for the next process
 }
 
-void Book::drop(MessageId id) {
-  auto at = held_.find(id);
-  if (at == held_.end()) return;
-  heldBytes_ -= takenSize(at->second) + kReserve;
-  ++over_;
-  byRef_.erase(at->second.ref);
-  held_.erase(at);
+void MessageStore::drop(MessageId id) {
+  auto at = inFlight_.find(id);
+  if (at == inFlight_.end()) return;
+  inFlightBytes_ -= acceptedRecordSize(at->second) + kReserve;
+  ++finishedCount_;
+  byReference_.erase(at->second.reference);
+  inFlight_.erase(at);
 }
 
-void Book::completed(MessageId id) {
+void MessageStore::recordDelivered(MessageId id) {
   if (find(id) == nullptr) return;
-  note(recordOf(Tag::over, id), {Tag::over, id, 0, {}});
+  note(recordOf(RecordTag::finished, id), {RecordTag::finished, id, 0, {}});
   drop(id);
 }
 
-void Book::owe(MessageId id, Result result, Millis wait) {
-  Held* held = find(id);
+void MessageStore::addPendingNotification(MessageId id, FinalOutcome result, Millis wait) {
+  StoredMessage* held = find(id);
   if (held == nullptr) return;
-  Notice notice{held->ref, result, wait};
-  note(owedRecord(id, notice), {Tag::owed, id, 0, {}});
+  OutcomeNotification notice{held->reference, result, wait};
+  note(notificationRecord(id, notice), {RecordTag::notificationPending, id, 0, {}});
   drop(id);
-  owed_[id] = std::move(notice);
+  pendingNotifications_[id] = std::move(notice);
 }
 
-void Book::confirmed(MessageId id) {
-  if (owed_.erase(id) > 0) note(recordOf(Tag::over, id), {Tag::over, id, 0, {}});
+void MessageStore::confirmNotification(MessageId id) {
+  if (pendingNotifications_.erase(id) > 0)
+    note(recordOf(RecordTag::finished, id), {RecordTag::finished, id, 0, {}});
 }
 
 }  // namespace stonewing::net
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -37,7 +37,7 @@
   return site == nullptr ? std::string_view("gone") : std::string_view(site->note.name);
 }
 
-Calls::Calls(Loop& loop, DispatchPolicy& rules, Book& book, const Catalog& catalog,
+Calls::Calls(Loop& loop, DispatchPolicy& rules, MessageStore& book, const Catalog& catalog,
              const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
              std::size_t mostProbes)
     : loop_(loop),
@@ -62,11 +62,11 @@
 }
 
 void Calls::launch(const Decision& d) {
-  const Held* held = book_.find(d.message);
+  const StoredMessage* held = book_.find(d.message);
   int call = rules_.state().messages.at(d.message).attempts.at(static_cast<std::size_t>(d.attempt)).requestId;
   auto& [endpoint, members] = gathered_[call];
   endpoint = d.endpoint;
-  members.push_back({d.message, d.attempt, loop_.now() + d.span, held != nullptr ? held->ref : ""});
+  members.push_back({d.message, d.attempt, loop_.now() + d.span, held != nullptr ? held->reference : ""});
 }
 
 void Calls::flush() {
@@ -90,7 +90,7 @@
     // Noted before its last byte: after a kill it may have run. What cannot be noted is not sent.
     for (const Member& m : line.members) {
       const Site* site = catalog_.find(endpoint);
-      if (site == nullptr || !book_.launched(m.message, site->note, wallNow())) withhold(line);
+      if (site == nullptr || !book_.recordAttempt(m.message, site->note, wallNow())) withhold(line);
     }
     for (const Member& m : line.members) carries_[{m.message, m.attempt}] = &line;
     noted_.push_back(&line);
@@ -106,7 +106,7 @@
       continue;
     }
     for (const Member& m : line->members) {
-      if (book_.find(m.message) == nullptr || book_.lostLaunch(m.message, m.attempt)) withhold(*line);
+      if (book_.find(m.message) == nullptr || book_.isLostAttempt(m.message, m.attempt)) withhold(*line);
     }
     if (!line->failed && !stillWanted(*line)) continue;
     if (!line->failed && line->up()) write(*line);
@@ -175,18 +175,19 @@
   std::string common = "Host: " + catalog_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
                        std::to_string(static_cast<std::int64_t>(latest - loop_.now())) + "\r\n";
   if (line.members.size() == 1) {
-    const Held* held = book_.find(line.members[0].message);
-    std::string head = "POST /v1/messages HTTP/1.1\r\n" + common + "X-Request-Id: " + held->ref + "\r\n";
-    if (!held->receipt.empty()) head += "Idempotency-Key: " + held->receipt + "\r\n";
+    const StoredMessage* held = book_.find(line.members[0].message);
+    std::string head =
+        "POST /v1/messages HTTP/1.1\r\n" + common + "X-Request-Id: " + held->reference + "\r\n";
+    if (!held->idempotencyKey.empty()) head += "Idempotency-Key: " + held->idempotencyKey + "\r\n";
     line.add(head + "Content-Length: " + std::to_string(held->body->size()) + "\r\n\r\n");
     line.add(held->body);
   } else {
     std::vector<std::pair<std::string, std::shared_ptr<const std::string>>> rows;
     std::size_t length = 0;
     for (const Member& m : line.members) {
-      const Held* held = book_.find(m.message);
-      std::string row = held->ref + " " + (held->receipt.empty() ? "-" : held->receipt) + " " +
-                        std::to_string(held->body->size()) + "\r\n";
+      const StoredMessage* held = book_.find(m.message);
+      std::string row = held->reference + " " + (held->idempotencyKey.empty() ? "-" : held->idempotencyKey) +
+                        " " + std::to_string(held->body->size()) + "\r\n";
       length += row.size() + held->body->size() + 2;
       rows.emplace_back(std::move(row), held->body);
     }
@@ -351,8 +352,8 @@
   // harm.
   bool timely = loop_.now() < timeUp(m) - kReadLate;
   auto isOver = [&] {
-    if (timely) return book_.completed(m.message);
-    book_.owe(m.message, Result::dead, 0);
+    if (timely) return book_.recordDelivered(m.message);
+    book_.addPendingNotification(m.message, FinalOutcome::failed, 0);
   };
   if (told) {
     // Given up on, and now it was delivered after all: nothing more may be sent for it.
@@ -363,7 +364,7 @@
     return;
   }
   if (ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending)) {
-    book_.neverRan(m.message, m.attempt);
+    book_.recordNotExecuted(m.message, m.attempt);
   }
   LoadReport report =
       line.status() != 0 ? reportIn(line.header("X-Load"), facts_.loadReportFields) : LoadReport{};
--- a/src/net/calls.h
+++ b/src/net/calls.h
@@ -23,7 +23,7 @@
  public:
   // mostProbes: of them at once, so that with the concurrent requests they stay within mostLinks, connections
   // to endpoints.
-  Calls(Loop& loop, DispatchPolicy& rules, Book& book, const Catalog& catalog,
+  Calls(Loop& loop, DispatchPolicy& rules, MessageStore& book, const Catalog& catalog,
         const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
         std::size_t mostProbes);
 
@@ -94,7 +94,7 @@
 
   Loop& loop_;
   DispatchPolicy& rules_;
-  Book& book_;
+  MessageStore& book_;
   const Catalog& catalog_;
   const NameTables& facts_;
   Millis connectWithin_;
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -144,7 +144,7 @@
   if (full || !rows.empty()) {
     rules_.beginEndpointList();
     for (Row& row : rows) {
-      const EndpointNote& note = row.site.note;
+      const EndpointRecord& note = row.site.note;
       EndpointId id = idOf(note.name);
       rules_.addEndpoint(id, note.destination, note.kind, note.zone, row.weight, row.phase);
       destinations_.insert(note.destination);
@@ -161,11 +161,11 @@
 }
 
 // In one go: the end of a list costs by all that is held.
-void Catalog::remember(const std::map<MessageId, Held>& held) {
+void Catalog::remember(const std::map<MessageId, StoredMessage>& held) {
   rules_.beginEndpointList();
   for (const auto& [callback, one] : held) {
     for (const AttemptRecord& launch : one.attempts) {
-      const EndpointNote& note = launch.endpoint;
+      const EndpointRecord& note = launch.endpoint;
       EndpointId id = idOf(note.name);
       if (!sites_.try_emplace(id, Site{note, {}, {}}).second) continue;
       destinations_.insert(note.destination);
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -14,7 +14,7 @@
 namespace stonewing::net {
 
 struct Site {
-  EndpointNote note;
+  EndpointRecord note;
   sockaddr_in address{};
   std::string authority;  // the address as the list words it
 };
@@ -29,7 +29,7 @@
   // some entries could not be used, and the whole list is to be asked for.
   bool told(const nlohmann::json& answer);
   // Endpoints that no list names any more, but that restored messages were attempted at.
-  void remember(const std::map<MessageId, Held>& held);
+  void remember(const std::map<MessageId, StoredMessage>& held);
 
   const Site* find(EndpointId id) const {
     auto at = sites_.find(id);
--- a/src/net/journal.cpp
+++ b/src/net/journal.cpp
@@ -58,12 +58,12 @@
   ::unlink((path_ + ".new").c_str());
   fd_ = ::open(path_.c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "cannot open " + path_);
-  if (aside) writer_ = std::make_unique<Writer>();
+  if (aside) writer_ = std::make_unique<BackgroundWriter>();
 }
 
 Journal::~Journal() {
-  if (flight_ && !written(0)) return;  // it hangs, and uses both files; the process is about to end
-  dropBeside();
+  if (pending_ && !isWritten(0)) return;  // it hangs, and uses both files; the process is about to end
+  abandonCompaction();
   ::close(fd_);
 }
 
@@ -117,7 +117,7 @@
   to.append(record);
 }
 
-bool Journal::Flight::writeAll(int to, std::string_view part) {
+bool Journal::PendingCommit::writeAll(int to, std::string_view part) {
   while (!part.empty()) {
     auto began = std::chrono::steady_clock::now();
     ssize_t n = ::write(to, part.data(), part.size());
@@ -133,8 +133,8 @@
   bool first = size() == 0;
   std::size_t after = size() + (first ? kHead : 0) + kFrame + record.size();
   if (after > most_) return false;
-  if (after + besideSize_ > most_ && !flight_)
-    dropBeside();  // what is owed comes before what saves room later
+  if (after + besideSize_ > most_ && !pending_)
+    abandonCompaction();  // what is owed comes before what saves room later
   if (first) buffer_ = headOf();
   frame(buffer_, version_, record);
   ends_.push_back(buffer_.size());
@@ -142,7 +142,7 @@
 }
 
 // Half a record would hide all later ones from the next start.
-bool Journal::Flight::writeWhole(std::string_view part) {
+bool Journal::PendingCommit::writeWhole(std::string_view part) {
   // The head stands before the first record, whichever that is.
   bool headless = size == 0 && part.substr(0, kMark.size()) != kMark;
   std::string whole = headless ? headOf() + std::string(part) : std::string();
@@ -157,7 +157,7 @@
   return false;
 }
 
-void Journal::Flight::write() {
+void Journal::PendingCommit::write() {
   try {
     if (!ends.empty() && !writeWhole(bytes)) {
       // Together they had no room. One by one some may: an end is short, and makes room for others.
@@ -177,10 +177,10 @@
   }
 }
 
-void Journal::begin() {
+void Journal::beginCommit() {
   if (ends_.empty() && besideOut_.empty() && !takes_) return;
-  flight_ = std::make_shared<Flight>();
-  Flight& f = *flight_;
+  pending_ = std::make_shared<PendingCommit>();
+  PendingCommit& f = *pending_;
   f.fd = fd_;
   f.size = size_;
   f.path = path_;
@@ -193,17 +193,17 @@
   f.besideBytes = std::exchange(besideOut_, {});
   f.takes = takes_;
   if (writer_) {
-    writer_->hand([flight = flight_] { flight->write(); });
+    writer_->submit([flight = pending_] { flight->write(); });
   } else {
     f.write();
   }
 }
 
-bool Journal::written(Millis patience) { return !flight_ || !writer_ || writer_->done(patience); }
+bool Journal::isWritten(Millis patience) { return !pending_ || !writer_ || writer_->waitUntilDone(patience); }
 
-std::vector<std::size_t> Journal::finish() {
-  if (!flight_) return {};
-  std::shared_ptr<Flight> f = std::exchange(flight_, nullptr);
+std::vector<std::size_t> Journal::finishCommit() {
+  if (!pending_) return {};
+  std::shared_ptr<PendingCommit> f = std::exchange(pending_, nullptr);
   if (f->problem) std::rethrow_exception(f->problem);
   writing_ += writer_ ? 0 : f->spent;  // aside it held nobody up
   size_ = f->size;
@@ -214,7 +214,7 @@
   bool took = std::exchange(takes_, false) && f->besideGood;
   if (!f->besideGood) {
     besideLost_ = true;
-    dropBeside();
+    abandonCompaction();
   } else if (took) {
     ::close(std::exchange(fd_, std::exchange(beside_, -1)));
     size_ = std::exchange(besideSize_, 0);
@@ -223,38 +223,38 @@
 }
 
 std::vector<std::size_t> Journal::commit() {
-  begin();
-  while (!written(1000)) {
+  beginCommit();
+  while (!isWritten(1000)) {
   }
-  return finish();
+  return finishCommit();
 }
 
-bool Journal::beginBeside() {
-  dropBeside();
+bool Journal::beginCompaction() {
+  abandonCompaction();
   beside_ = ::open((path_ + ".new").c_str(), O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600);
-  return beside_ >= 0 && addBeside(headOf());
+  return beside_ >= 0 && appendToCompaction(headOf());
 }
 
-bool Journal::addBeside(std::string_view framed) {
+bool Journal::appendToCompaction(std::string_view framed) {
   bool room = beside_ >= 0 && size() + besideSize_ + framed.size() <= most_;
   if (room && writer_) {
     besideOut_ += framed;
     besideSize_ += framed.size();
     return true;
   }
-  Flight now;
+  PendingCommit now;
   if (room && now.writeAll(beside_, framed)) {
     besideSize_ += framed.size();
     writing_ += now.spent;
     return true;
   }
-  dropBeside();
+  abandonCompaction();
   return false;
 }
 
-bool Journal::takeBeside() {
+bool Journal::installCompaction() {
   if (beside_ < 0 || !ends_.empty()) {
-    dropBeside();
+    abandonCompaction();
     return false;
   }
   // Records are noted in the form of the file that they go to; one of the first version changes at once.
@@ -268,7 +268,7 @@
 
 bool Journal::takeNow() {
   if (::rename((path_ + ".new").c_str(), path_.c_str()) != 0) {
-    dropBeside();
+    abandonCompaction();
     return false;
   }
   ::close(std::exchange(fd_, std::exchange(beside_, -1)));
@@ -277,7 +277,7 @@
   return true;
 }
 
-void Journal::dropBeside() {
+void Journal::abandonCompaction() {
   if (beside_ < 0) return;
   ::close(std::exchange(beside_, -1));
   ::unlink((path_ + ".new").c_str());
--- a/src/net/journal.h
+++ b/src/net/journal.h
@@ -30,35 +30,35 @@
   // Notes a record, to be written by the next commit. False: it has no room, and is not noted.
   bool append(std::string_view record);
   // Writes all that is noted in one go. Nothing may be under way already.
-  void begin();
+  void beginCommit();
   // Whether all that was begun is written; waits for so long, in milliseconds.
-  bool written(Millis patience);
+  bool isWritten(Millis patience);
   // Once it is: the places, in the order of append, of those that could not be written; the file holds the
   // others, whole and in order. Throws where a record that was half written cannot be taken back.
-  std::vector<std::size_t> finish();
+  std::vector<std::size_t> finishCommit();
   std::vector<std::size_t> commit();  // the three together
-  bool under() const { return flight_ != nullptr; }
+  bool isCommitting() const { return pending_ != nullptr; }
   int descriptor() const { return writer_ ? writer_->descriptor() : -1; }
 
   // A rewrite beside the file, in as many steps as its owner likes; what is committed meanwhile goes to the
   // file as ever. A kill at any step leaves the old or the new. Each returns false where it could not be
   // done; the rewrite is then failed and the file is as it was. Written aside, the bytes go with the next
   // begin, and what became of them shows at its finish.
-  bool beginBeside();
-  bool addBeside(std::string_view framed);
-  bool takeBeside();  // in place of the file; nothing may be noted that was not committed
-  void dropBeside();
-  bool besideOpen() const { return beside_ >= 0; }
-  bool taking() const {
+  bool beginCompaction();
+  bool appendToCompaction(std::string_view framed);
+  bool installCompaction();  // in place of the file; nothing may be noted that was not committed
+  void abandonCompaction();
+  bool isCompacting() const { return beside_ >= 0; }
+  bool isInstallingCompaction() const {
     return takes_;
   }  // it is to be taken with the next begin, and nothing else is written then
-  bool besideFailed() { return std::exchange(besideLost_, false); }  // at a finish, since asked last
-  std::size_t besideSize() const { return besideSize_; }
+  bool hasCompactionFailed() { return std::exchange(besideLost_, false); }  // at a finish, since asked last
+  std::size_t compactedSize() const { return besideSize_; }
 
   // Milliseconds spent in writing so far: a slow folder holds its process up, and no processor time shows it.
-  double writing() const { return writing_; }
-  std::size_t size() const { return size_ + buffer_.size() + (flight_ ? flight_->bytes.size() : 0); }
-  std::size_t most() const { return most_; }
+  double writingTime() const { return writing_; }
+  std::size_t size() const { return size_ + buffer_.size() + (pending_ ? pending_->bytes.size() : 0); }
+  std::size_t maxBytes() const { return most_; }
   static std::string framed(std::string_view record);  // in the version that is written now
   static constexpr std::size_t kFrame = 8;
   static constexpr std::size_t kHead = 4;
@@ -68,7 +68,7 @@
   static std::uint32_t sumOf(Version version, std::string_view bytes);
   static void frame(std::string& to, Version version, std::string_view record);
   // One write that is under way: it owns all that its thread touches.
-  struct Flight {
+  struct PendingCommit {
     int fd{-1};
     std::size_t size{0};  // of the file, as it grows
     std::string bytes;
@@ -102,8 +102,8 @@
   bool besideLost_{false};
   double writing_{0};
   Version version_{Version::second};
-  std::shared_ptr<Flight> flight_;
-  std::unique_ptr<Writer> writer_;
+  std::shared_ptr<PendingCommit> pending_;
+  std::unique_ptr<BackgroundWriter> writer_;
 };
 
 }  // namespace stonewing::net
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -18,26 +18,27 @@
 constexpr Millis kPauseFirst = 25;
 constexpr Millis kPauseMost = 400;
 
-std::string lineOf(const Notice& notice) {
-  nlohmann::json line{{"ref", notice.ref}, {"result", notice.result == Result::dead ? "dead" : "bounced"}};
-  if (notice.result == Result::bounced && notice.wait > 0)
-    line["wait_ms"] = static_cast<std::int64_t>(std::ceil(notice.wait));
+std::string lineOf(const OutcomeNotification& notice) {
+  nlohmann::json line{{"ref", notice.reference},
+                      {"result", notice.result == FinalOutcome::failed ? "dead" : "bounced"}};
+  if (notice.result == FinalOutcome::shed && notice.retryAfter > 0)
+    line["wait_ms"] = static_cast<std::int64_t>(std::ceil(notice.retryAfter));
   return line.dump() + "\n";
 }
 
 }  // namespace
 
-Notices::Notices(Loop& loop, Book& book, sockaddr_in platform, std::string host)
+Notices::Notices(Loop& loop, MessageStore& book, sockaddr_in platform, std::string host)
     : loop_(loop), book_(book), platform_(platform), host_(std::move(host)) {}
 
 Millis Notices::due() const {
   if (!out_.empty()) return since_ + kUnanswered;
-  return book_.owed().empty() ? loop_.now() + kPauseMost : notBefore_;
+  return book_.pendingNotifications().empty() ? loop_.now() + kPauseMost : notBefore_;
 }
 
 void Notices::tick() {
   if (!out_.empty() && loop_.now() >= since_ + kUnanswered) broke(*link_);
-  if (out_.empty() && !book_.owed().empty() && loop_.now() >= notBefore_) send();
+  if (out_.empty() && !book_.pendingNotifications().empty() && loop_.now() >= notBefore_) send();
 }
 
 void Notices::moveTo(sockaddr_in platform, std::string host) {
@@ -56,13 +57,13 @@
     if (!link_->open(platform_)) return later();
   }
   std::string lines;
-  auto at = book_.owed().begin();
+  auto at = book_.pendingNotifications().begin();
   // One by one, each in turn, so that one that cannot be read holds up no other.
-  if (oneByOne_) std::advance(at, turn_++ % book_.owed().size());
-  for (; at != book_.owed().end() && lines.size() < kBodyFull; ++at) {
+  if (oneByOne_) std::advance(at, turn_++ % book_.pendingNotifications().size());
+  for (; at != book_.pendingNotifications().end() && lines.size() < kBodyFull; ++at) {
     lines += lineOf(at->second);
     out_.push_back(at->first);
-    log::debug("notice.sent", {{"callback", at->second.ref}, {"new_link", !link_->up()}});
+    log::debug("notice.sent", {{"callback", at->second.reference}, {"new_link", !link_->up()}});
     if (oneByOne_) break;
   }
   link_->add("POST /reports HTTP/1.1\r\nHost: " + host_ + "\r\nContent-Type: application/x-ndjson\r\n" +
@@ -75,12 +76,13 @@
 void Notices::answered(HttpLink& link) {
   if (link.status() == 204) {
     for (MessageId id : std::exchange(out_, {})) {
-      auto at = book_.owed().find(id);
-      if (at != book_.owed().end()) log::debug("notice.confirmed", {{"callback", at->second.ref}});
-      book_.confirmed(id);
+      auto at = book_.pendingNotifications().find(id);
+      if (at != book_.pendingNotifications().end())
+        log::debug("notice.confirmed", {{"callback", at->second.reference}});
+      book_.confirmNotification(id);
     }
     pause_ = 0;
-    if (book_.owed().empty()) oneByOne_ = false;
+    if (book_.pendingNotifications().empty()) oneByOne_ = false;
     return;
   }
   log::warn("notices.refused", {{"status", link.status()}, {"notices", out_.size()}});
--- a/src/net/notices.h
+++ b/src/net/notices.h
@@ -10,13 +10,13 @@
 // Tells the platform of ends without a delivery, again and again until it confirms.
 class Notices : public HttpLink::Owner {
  public:
-  Notices(Loop& loop, Book& book, sockaddr_in platform, std::string host);
+  Notices(Loop& loop, MessageStore& book, sockaddr_in platform, std::string host);
 
   // The platform is at another address from now on; what it has not confirmed goes there.
   void moveTo(sockaddr_in platform, std::string host);
   void tick();  // sends what is owed, gives up what stays unanswered
   Millis due() const;
-  bool idle() const { return book_.owed().empty(); }
+  bool idle() const { return book_.pendingNotifications().empty(); }
 
  private:
   void answered(HttpLink& link) override;
@@ -25,7 +25,7 @@
   void send();
 
   Loop& loop_;
-  Book& book_;
+  MessageStore& book_;
   sockaddr_in platform_;
   std::string host_;
   std::unique_ptr<HttpLink> link_;
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -261,8 +261,8 @@
   state_ = state;
   log::info("phase", {{"name", orders_.name},
                       {"phase", nameOf(static_cast<int>(state))},
-                      {"held", book_.held().size()},
-                      {"owed", book_.owed().size()}});
+                      {"held", book_.inFlight().size()},
+                      {"owed", book_.pendingNotifications().size()}});
 }
 
 // Danger: a wall clock that was set back between two processes makes an attempt of the first lie in the
@@ -279,12 +279,13 @@
   }
   if (std::size_t cut = book_.restore(); cut > 0) log::warn("journal.torn", {{"bytes", cut}});
   Millis toSteady = loop_.now() - wallNow();
-  catalog_.remember(book_.held());
-  for (const auto& [id, held] : book_.held()) {
-    rules_.acceptMessage(id, held.type, held.tenant, held.key, held.destination, held.outerWall + toSteady);
-    log::debug("callback.restored", {{"callback", held.ref},
+  catalog_.remember(book_.inFlight());
+  for (const auto& [id, held] : book_.inFlight()) {
+    rules_.acceptMessage(id, held.type, held.tenant, held.orderingKey, held.destination,
+                         held.deadlineWall + toSteady);
+    log::debug("callback.restored", {{"callback", held.reference},
                                      {"launches", held.attempts.size()},
-                                     {"left_ms", held.outerWall + toSteady - loop_.now()}});
+                                     {"left_ms", held.deadlineWall + toSteady - loop_.now()}});
     for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
       if (sent > loop_.now() + kClockOff) sent = 0;
@@ -316,13 +317,13 @@
     intake_.tick();
     move();
     // Many answers do not wait for the decisions; a few share one write of the journal with their attempts.
-    if (intake_.waiting() >= kManyAnswers || book_.under()) keep();
+    if (intake_.waiting() >= kManyAnswers || book_.isCommitting()) keep();
     // What is decided while a write hangs could not be acted on, and would be decided on what is old by then.
-    if (state_ < State::waiting && !book_.under()) decide();
+    if (state_ < State::waiting && !book_.isCommitting()) decide();
     keep();
     Millis decided = steadyNow();
-    if (!book_.under()) notices_.tick();
-    for (; overBefore_ < book_.overSoFar(); ++overBefore_) admission_.recordFinished(loop_.now());
+    if (!book_.isCommitting()) notices_.tick();
+    for (; overBefore_ < book_.finishedCount(); ++overBefore_) admission_.recordFinished(loop_.now());
     Millis before = std::exchange(worked_, ownWork());
     admission_.recordTurn(loop_.now(), worked_ - before);
     tellRooms();
@@ -337,7 +338,7 @@
   timespec spent{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
   return static_cast<Millis>(spent.tv_sec) * 1000 + static_cast<Millis>(spent.tv_nsec) / 1e6 +
-         book_.writingSoFar();
+         book_.writingTime();
 }
 
 // Its own processor time is asked for only in a turn that has lasted a while: that costs a call of the
@@ -374,7 +375,7 @@
                           {"deciding_ms", decided},
                           {"rest_ms", whole - dispatched - decided},
                           {"turns", std::exchange(slowTurns_, 0)},
-                          {"held", book_.held().size()},
+                          {"held", book_.inFlight().size()},
                           {"clients", intake_.clients()}});
 }
 
@@ -413,17 +414,17 @@
     intake_.leave();
   }
   if (state_ == State::finishing && since >= kLaunchFor) enter(State::waiting);
-  bool done = book_.held().empty() && notices_.idle() && intake_.clients() == 0;
+  bool done = book_.inFlight().empty() && notices_.idle() && intake_.clients() == 0;
   bool nothingOut = state_ == State::waiting && calls_.idle() && notices_.idle();
   if (state_ >= State::finishing && (done || nothingOut || since >= kAnswersFor)) enter(State::ended);
 }
 
 Millis Dispatcher::due() const {
-  if (moreToDecide_ && state_ < State::waiting && !book_.under()) return loop_.now();
+  if (moreToDecide_ && state_ < State::waiting && !book_.isCommitting()) return loop_.now();
   Millis due = std::min({calls_.due(), catalog_.due(), intake_.due()});
-  if (!book_.under()) due = std::min(due, notices_.due());
+  if (!book_.isCommitting()) due = std::min(due, notices_.due());
   if (hangsSince_ >= 0 && !hangTold_) due = std::min(due, hangsSince_ + kSlowTurn);
-  if (wakeAt_ >= 0 && state_ < State::waiting && !book_.under()) due = std::min(due, wakeAt_);
+  if (wakeAt_ >= 0 && state_ < State::waiting && !book_.isCommitting()) due = std::min(due, wakeAt_);
   if (state_ == State::leaving) due = std::min(due, toldToEnd_ + kAcceptFor);
   if (state_ == State::finishing) due = std::min(due, toldToEnd_ + kLaunchFor);
   if (state_ == State::waiting) due = std::min(due, toldToEnd_ + kAnswersFor);
@@ -445,9 +446,9 @@
 Intake::Answered Dispatcher::submit(const std::vector<std::string_view>& words, bool left) {
   if (words.size() != 5) throw Malformed("SUBMIT takes key, id, list and body");
   Millis wall = std::floor(wallNow());  // whole, so that equal spans stay equal
-  Held held = book_.decode(words[1], words[2], words[3], words[4], wall);
-  if (book_.holds(held.ref))
-    return {"+OK\r\n", book_.idOf(held.ref)};  // submitted again, its first answer lost
+  StoredMessage held = book_.decode(words[1], words[2], words[3], words[4], wall);
+  if (book_.contains(held.reference))
+    return {"+OK\r\n", book_.idOf(held.reference)};  // submitted again, its first answer lost
   if (!catalog_.knows(held.destination)) {
     // Before discovery has said anything, ours may just be an old list.
     if (!catalog_.heard()) return {"-BUSY\r\n"};
@@ -456,18 +457,18 @@
   // Refused unseen, which is harmless: out of places, on the way out, or the client has not waited for us and
   // hands it in elsewhere; accepted too, it would be delivered for nothing.
   if (left || state_ > State::leaving) return {"-BUSY\r\n"};
-  AdmissionInputs facts{loop_.now(), rules_.state().messagesInFlight, book_.full(),
+  AdmissionInputs facts{loop_.now(), rules_.state().messagesInFlight, book_.fillShare(),
                         hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
   AdmissionDecision call = admission_.decide(facts, terms_.types.at(held.type.value).priorityWeight,
                                              rules_.isOverQuota(held.tenant));
   if (!call.accepted) return {busy(call.retryAfter)};
-  held.outerWall -= loop_.heldUp();  // its time counts from when the client sent it
-  Millis outer = loop_.now() + (held.outerWall - wall);
+  held.deadlineWall -= loop_.heldUp();  // its time counts from when the client sent it
+  Millis outer = loop_.now() + (held.deadlineWall - wall);
   TrafficTypeId type = held.type;
   TenantId tenant = held.tenant;
-  OrderingKey key = held.key;
+  OrderingKey key = held.orderingKey;
   DestinationId destination = held.destination;
-  auto id = book_.take(std::move(held));
+  auto id = book_.accept(std::move(held));
   if (!id) return {busy(admission_.recordRejection(loop_.now()))};
   rules_.acceptMessage(*id, type, tenant, key, destination, outer);
   log::debug("callback.taken", {{"callback", words[2]},
@@ -494,22 +495,22 @@
 // What changed is written, and only then acted on towards clients and endpoints. Where a thread writes, a
 // folder that hangs keeps that waiting; the loop goes on with what needs no record.
 void Dispatcher::keep() {
-  if (book_.under()) {
-    if (!book_.landed(0)) return hangs();
+  if (book_.isCommitting()) {
+    if (!book_.finishCommit(0)) return hangs();
     if (hangTold_) log::warn("journal.hung", {{"for_ms", loop_.now() - hangsSince_}});
     hangTold_ = false;
     hangsSince_ = -1;
-    if (book_.carried()) act();
+    if (book_.lastCommitHeldRecords()) act();
   }
   do {
-    book_.begin();
-    if (!book_.landed(kWriteWait)) return hangs();
-  } while (book_.unwritten());
+    book_.beginCommit();
+    if (!book_.finishCommit(kWriteWait)) return hangs();
+  } while (book_.hasUncommitted());
   act();
 }
 
 void Dispatcher::act() {
-  for (MessageId id : book_.lostTakes()) {
+  for (MessageId id : book_.lostAcceptances()) {
     log::debug("callback.not_kept", {{"callback", id.value}});
     rules_.cancelMessage(id);  // its attempt, if there is one, is not sent either
   }
@@ -517,16 +518,16 @@
   // from now.
   if (loop_.late(kWriteWait)) rules_.beginRound(loop_.now());
   calls_.send();
-  intake_.send([this](MessageId id) { return book_.decided(id); },
+  intake_.send([this](MessageId id) { return book_.isDecided(id); },
                [this](MessageId id) -> std::optional<std::string> {
-                 if (!book_.lostTake(id)) {
-                   if (const Held* held = book_.find(id))
-                     log::debug("callback.answered", {{"callback", held->ref}});
+                 if (!book_.isLostAcceptance(id)) {
+                   if (const StoredMessage* held = book_.find(id))
+                     log::debug("callback.answered", {{"callback", held->reference}});
                    return std::nullopt;
                  }
                  return busy(admission_.recordRejection(loop_.now()));
                });
-  book_.forgetLost();
+  book_.clearLost();
 }
 
 // A write is under way for long: refusals and errors need no record, and go out.
@@ -534,16 +535,16 @@
   if (hangsSince_ < 0) hangsSince_ = loop_.now();
   if (!hangTold_ && loop_.now() >= hangsSince_ + kSlowTurn) {
     hangTold_ = true;
-    log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", book_.held().size()}});
+    log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", book_.inFlight().size()}});
   }
-  intake_.send([this](MessageId id) { return book_.decided(id) && !book_.lostTake(id); },
+  intake_.send([this](MessageId id) { return book_.isDecided(id) && !book_.isLostAcceptance(id); },
                [](MessageId) { return std::nullopt; });
 }
 
 void Dispatcher::ended(MessageId id, const char* result, Millis wait) {
-  const Held* held = book_.find(id);
+  const StoredMessage* held = book_.find(id);
   if (held == nullptr) return;
-  log::debug("callback.ended", {{"callback", held->ref},
+  log::debug("callback.ended", {{"callback", held->reference},
                                 {"result", result},
                                 {"destination", held->destination.value},
                                 {"launches", held->attempts.size()},
@@ -558,10 +559,10 @@
       return calls_.withdraw(d);
     case Act::shed:
       ended(d.message, "shed", d.span);
-      return book_.owe(d.message, Result::bounced, d.span);
+      return book_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
     case Act::giveUp:
       ended(d.message, "given_up", 0);
-      return book_.owe(d.message, Result::dead, 0);
+      return book_.addPendingNotification(d.message, FinalOutcome::failed, 0);
     case Act::probe:
       return calls_.probe(d.endpoint);
     case Act::closeIdle:
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -115,7 +115,7 @@
   Loop loop_;
   DispatchPolicy rules_;
   AdmissionController admission_;
-  Book book_;
+  MessageStore book_;
   Catalog catalog_;
   Calls calls_;
   Notices notices_;
--- a/src/net/writer.cpp
+++ b/src/net/writer.cpp
@@ -11,7 +11,7 @@
 namespace stonewing::net {
 
 // Kept alive by the thread too: at the end of the process it may still hang in the kernel.
-struct Writer::Shared {
+struct BackgroundWriter::Shared {
   std::mutex guard;
   std::condition_variable handed;
   std::condition_variable finished;
@@ -41,7 +41,7 @@
   }
 };
 
-Writer::Writer() : shared_(std::make_shared<Shared>()) {
+BackgroundWriter::BackgroundWriter() : shared_(std::make_shared<Shared>()) {
   shared_->wake = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   if (shared_->wake < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
   // Signals are the loop's.
@@ -52,20 +52,20 @@
   ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-Writer::~Writer() {
+BackgroundWriter::~BackgroundWriter() {
   std::lock_guard lock(shared_->guard);
   shared_->ends = true;
   shared_->handed.notify_one();
 }
 
-void Writer::hand(std::function<void()> work) {
+void BackgroundWriter::submit(std::function<void()> work) {
   std::lock_guard lock(shared_->guard);
   shared_->work = std::move(work);
   shared_->busy = true;
   shared_->handed.notify_one();
 }
 
-bool Writer::done(Millis patience) {
+bool BackgroundWriter::waitUntilDone(Millis patience) {
   std::unique_lock lock(shared_->guard);
   auto most = std::chrono::duration<double, std::milli>(patience);
   if (shared_->finished.wait_for(lock, most, [this] { return !shared_->busy; })) return true;
@@ -73,6 +73,6 @@
   return false;
 }
 
-int Writer::descriptor() const { return shared_->wake; }
+int BackgroundWriter::descriptor() const { return shared_->wake; }
 
 }  // namespace stonewing::net
--- a/src/net/writer.h
+++ b/src/net/writer.h
@@ -12,19 +12,19 @@
 
 // A thread that does one thing at a time for the loop, so that a folder that hangs does not hold the loop up.
 // Where a thing took longer than the loop would wait for it, a descriptor becomes readable at its end.
-class Writer {
+class BackgroundWriter {
  public:
   // Throws std::system_error where there is no descriptor or thread to be had.
-  Writer();
+  BackgroundWriter();
   // Waits for nothing: what hangs in the kernel is left behind.
-  ~Writer();
-  Writer(const Writer&) = delete;
-  Writer& operator=(const Writer&) = delete;
+  ~BackgroundWriter();
+  BackgroundWriter(const BackgroundWriter&) = delete;
+  BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
   // Nothing may be under way. The work must own all that it touches.
-  void hand(std::function<void()> work);
+  void submit(std::function<void()> work);
   // Whether what was handed is done; waits for so long, in milliseconds.
-  bool done(Millis patience);
+  bool waitUntilDone(Millis patience);
   int descriptor() const;  // readable once something that was waited for in vain is done
 
  private:
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -41,7 +41,7 @@
   NameTables facts = readNameTables(kSettings);
   DispatchPolicy rules{terms, 7};
   std::size_t disk;
-  net::Book book{facts, folder.path.string(), disk};
+  net::MessageStore book{facts, folder.path.string(), disk};
   net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:9"), "nowhere", 1};
   net::Calls calls{loop, rules, book, catalog, terms, facts, 64, 8};
   std::string got;  // by the endpoint
@@ -63,9 +63,9 @@
     ::close(listener);
   }
   void take(const std::string& ref, const std::string& type, Millis left, const std::string& body = "x") {
-    net::Held held = book.decode("00", ref, "c=" + type + ",d=1,dest=7", body, 0);
-    ids[ref] = *book.take(std::move(held));
-    const net::Held* kept = book.find(ids[ref]);
+    net::StoredMessage held = book.decode("00", ref, "c=" + type + ",d=1,dest=7", body, 0);
+    ids[ref] = *book.accept(std::move(held));
+    const net::StoredMessage* kept = book.find(ids[ref]);
     rules.acceptMessage(ids[ref], kept->type, {}, {}, DestinationId{7}, loop.now() + left);
   }
   void round(Millis most) {
@@ -83,7 +83,7 @@
     put(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     return within(1000, [&] {
       turn();
-      return book.held().empty();
+      return book.inFlight().empty();
     });
   }
   void turn() {
@@ -176,7 +176,7 @@
     desk.turn();
     return !desk.out("one");
   }));
-  EXPECT_EQ(desk.book.held().size(), 0u);
+  EXPECT_EQ(desk.book.inFlight().size(), 0u);
 }
 
 // One whose time is up ends at once; the rest of the call goes on.
@@ -217,9 +217,9 @@
     put(desk.far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     ASSERT_TRUE(within(1000, [&] {
       desk.turn();
-      return desk.book.held().empty();
+      return desk.book.inFlight().empty();
     }));
-    EXPECT_EQ(desk.book.owed().size(), left < 1000 ? 1u : 0u) << left;
+    EXPECT_EQ(desk.book.pendingNotifications().size(), left < 1000 ? 1u : 0u) << left;
   }
 }
 
@@ -341,7 +341,7 @@
       EXPECT_EQ(desk.read("\r\n\r\nx"), when < 2) << when;  // on a new connection, or not at all
       char byte;
       EXPECT_LE(::recv(old, &byte, 1, MSG_DONTWAIT), 0) << "two went to it";
-      ASSERT_TRUE(desk.book.holds("two")) << when << stray;  // and nothing has answered it
+      ASSERT_TRUE(desk.book.contains("two")) << when << stray;  // and nothing has answered it
       const Attempt& launch = desk.rules.state().messages.at(desk.ids["two"]).attempts.at(0);
       EXPECT_EQ(launch.pending, when < 2);
       EXPECT_EQ(launch.provablyNotExecuted, when == 2);
@@ -374,7 +374,7 @@
         for (End& end : ends) {
           if (heard(end)) answer(end);
         }
-        return book.held().empty();
+        return book.inFlight().empty();
       }));
     }
   }
@@ -433,7 +433,7 @@
     }
     EXPECT_TRUE(within(1000, [&] {
       pair.turn();
-      return pair.book.held().empty();
+      return pair.book.inFlight().empty();
     }));
     if (order == Order::loserBehind) {
       pair.decide();
@@ -445,13 +445,13 @@
       pair.turn();
       pair.decide();
     }
-    EXPECT_TRUE(pair.book.owed().empty());
+    EXPECT_TRUE(pair.book.pendingNotifications().empty());
     EXPECT_EQ(pair.rules.state().requestsInFlight, 0) << static_cast<int>(order);
     // What comes next waits for an answer of its own, whichever connection it takes.
     pair.take("two", "status", 9000);
     pair.decide();
     for (int n = 0; n < 5; ++n) pair.turn();
-    EXPECT_TRUE(pair.book.holds("two"));
+    EXPECT_TRUE(pair.book.contains("two"));
     EXPECT_EQ(pair.rules.state().requestsInFlight, 1) << static_cast<int>(order);
   }
 }
@@ -466,14 +466,14 @@
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     put(desk.far, answer.substr(0, cut));
     for (int n = 0; n < 2; ++n) desk.turn();
-    ASSERT_TRUE(desk.book.holds("one")) << cut;
+    ASSERT_TRUE(desk.book.contains("one")) << cut;
     EXPECT_TRUE(desk.out("one")) << cut;
     put(desk.far, answer.substr(cut));
     EXPECT_TRUE(within(1000, [&] {
       desk.turn();
-      return desk.book.held().empty();
+      return desk.book.inFlight().empty();
     }));
-    EXPECT_TRUE(desk.book.owed().empty());
+    EXPECT_TRUE(desk.book.pendingNotifications().empty());
   }
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -181,8 +181,8 @@
   net::Journal journal(folder.path.string(), 100000);
   EXPECT_EQ(journal.replay(keep), 0u);
   EXPECT_EQ(read, (std::vector<std::string>{"old", "older", "new"}));
-  ASSERT_TRUE(journal.beginBeside() && journal.addBeside(net::Journal::framed("old")) &&
-              journal.takeBeside());
+  ASSERT_TRUE(journal.beginCompaction() && journal.appendToCompaction(net::Journal::framed("old")) &&
+              journal.installCompaction());
   ASSERT_TRUE(journal.append("newer"));
   EXPECT_TRUE(journal.commit().empty());
   read.clear();
@@ -247,11 +247,11 @@
 struct BookBed {
   Folder folder;
   NameTables facts = readNameTables(kSettings);
-  net::Book book;
+  net::MessageStore book;
   explicit BookBed(std::size_t most = 60000, bool aside = false)
       : book(facts, folder.path.string(), most, aside) {}
   std::optional<MessageId> take(const std::string& ref, std::size_t bytes = 100) {
-    return book.take(book.decode("00", ref, "c=order,d=500,dest=7,k=5c", std::string(bytes, 'b'), 1000));
+    return book.accept(book.decode("00", ref, "c=order,d=500,dest=7,k=5c", std::string(bytes, 'b'), 1000));
   }
 };
 
@@ -262,31 +262,31 @@
   auto done = bed.take("done");
   auto dead = bed.take("dead");
   auto told = bed.take("told");
-  net::EndpointNote endpoint{"s-1", DestinationId{7}, KindId{1}, ZoneId{0}};
-  ASSERT_TRUE(bed.book.launched(*held, endpoint, 1234));
-  ASSERT_TRUE(bed.book.launched(*held, endpoint, 1300));
-  bed.book.neverRan(*held, 0);
-  bed.book.completed(*done);
-  bed.book.owe(*dead, net::Result::bounced, 250);
-  bed.book.owe(*told, net::Result::dead, 0);
-  bed.book.confirmed(*told);
+  net::EndpointRecord endpoint{"s-1", DestinationId{7}, KindId{1}, ZoneId{0}};
+  ASSERT_TRUE(bed.book.recordAttempt(*held, endpoint, 1234));
+  ASSERT_TRUE(bed.book.recordAttempt(*held, endpoint, 1300));
+  bed.book.recordNotExecuted(*held, 0);
+  bed.book.recordDelivered(*done);
+  bed.book.addPendingNotification(*dead, net::FinalOutcome::shed, 250);
+  bed.book.addPendingNotification(*told, net::FinalOutcome::failed, 0);
+  bed.book.confirmNotification(*told);
   bed.book.commit();
-  net::Book again(bed.facts, bed.folder.path.string(), 60000);
+  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   EXPECT_EQ(again.restore(), 0u);
-  ASSERT_EQ(again.held().size(), 1u);
-  const net::Held& h = again.held().at(*held);
-  EXPECT_EQ(h.ref, "held");
-  EXPECT_EQ(h.receipt, "5c");
-  EXPECT_EQ(h.outerWall, 1500);
+  ASSERT_EQ(again.inFlight().size(), 1u);
+  const net::StoredMessage& h = again.inFlight().at(*held);
+  EXPECT_EQ(h.reference, "held");
+  EXPECT_EQ(h.idempotencyKey, "5c");
+  EXPECT_EQ(h.deadlineWall, 1500);
   EXPECT_EQ(h.body->size(), 100u);
   ASSERT_EQ(h.attempts.size(), 2u);
   EXPECT_TRUE(h.attempts[0].provablyNotExecuted);
   EXPECT_FALSE(h.attempts[1].provablyNotExecuted);
   EXPECT_EQ(h.attempts[1].sentWall, 1300);
   EXPECT_EQ(h.attempts[1].endpoint.kind, KindId{1});
-  ASSERT_EQ(again.owed().size(), 1u);
-  EXPECT_EQ(again.owed().at(*dead).wait, 250);
-  EXPECT_GT(again.take(again.decode("0", "new", "c=status,d=1,dest=1", "", 0))->value, told->value);
+  ASSERT_EQ(again.pendingNotifications().size(), 1u);
+  EXPECT_EQ(again.pendingNotifications().at(*dead).retryAfter, 250);
+  EXPECT_GT(again.accept(again.decode("0", "new", "c=status,d=1,dest=1", "", 0))->value, told->value);
 }
 
 // Danger: over its limit on disk a dispatcher counts as crashed, and the old and the new file count together.
@@ -302,8 +302,8 @@
       ++refused;
     }
     if (held.size() > 5 || (!held.empty() && refused > 0 && n % 3 == 0)) {
-      EXPECT_TRUE(bed.book.launched(held.front(), {"s-1", {}, {}, {}}, n));
-      bed.book.completed(held.front());
+      EXPECT_TRUE(bed.book.recordAttempt(held.front(), {"s-1", {}, {}, {}}, n));
+      bed.book.recordDelivered(held.front());
       held.erase(held.begin());
     }
     if (n % 4 == 0) bed.book.commit();
@@ -314,18 +314,19 @@
   bed.book.commit();
   EXPECT_GT(refused, 0u);
   EXPECT_LT(refused, 100u);
-  net::Book again(bed.facts, bed.folder.path.string(), 60000);
+  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   again.restore();
-  EXPECT_EQ(again.held().size(), held.size());
+  EXPECT_EQ(again.inFlight().size(), held.size());
 }
 
-std::string toldOf(const net::Book& book) {
+std::string toldOf(const net::MessageStore& book) {
   std::ostringstream told;
-  for (const auto& [id, held] : book.held()) {
-    told << id.value << held.ref << *held.body;
+  for (const auto& [id, held] : book.inFlight()) {
+    told << id.value << held.reference << *held.body;
     for (const net::AttemptRecord& l : held.attempts) told << " at " << l.sentWall << l.provablyNotExecuted;
   }
-  for (const auto& [id, notice] : book.owed()) told << id.value << notice.ref << notice.wait;
+  for (const auto& [id, notice] : book.pendingNotifications())
+    told << id.value << notice.reference << notice.retryAfter;
   return told.str();
 }
 
@@ -347,31 +348,31 @@
       return of.empty() ? MessageId{0}
                         : std::next(of.begin(), static_cast<long>(chance() % of.size()))->first;
     };
-    auto held = [&] { return any(bed.book.held()); };
+    auto held = [&] { return any(bed.book.inFlight()); };
     auto what = chance() % 7;
     if (what < 2) bed.take("c" + std::to_string(n), 50 + chance() % 5000);
-    if (what == 2) bed.book.launched(held(), {"s-1", DestinationId{7}, {}, {}}, n);
-    if (what == 3) bed.book.neverRan(held(), static_cast<int>(chance() % 3));
-    if (what == 4) bed.book.completed(held());
-    if (what == 5) bed.book.owe(held(), net::Result::bounced, n);
-    if (what == 6) bed.book.confirmed(any(bed.book.owed()));
+    if (what == 2) bed.book.recordAttempt(held(), {"s-1", DestinationId{7}, {}, {}}, n);
+    if (what == 3) bed.book.recordNotExecuted(held(), static_cast<int>(chance() % 3));
+    if (what == 4) bed.book.recordDelivered(held());
+    if (what == 5) bed.book.addPendingNotification(held(), net::FinalOutcome::shed, n);
+    if (what == 6) bed.book.confirmNotification(any(bed.book.pendingNotifications()));
     if (chance() % 3 != 0) continue;
     if (!under) {
-      bed.book.begin();
+      bed.book.beginCommit();
       begun = toldOf(bed.book);
       under = true;
-      if (GetParam() && bed.book.carried() && chance() % 2 == 0) continue;
+      if (GetParam() && bed.book.lastCommitHeldRecords() && chance() % 2 == 0) continue;
     }
-    while (!bed.book.landed(1000)) {
+    while (!bed.book.finishCommit(1000)) {
     }
     under = false;
-    if (!bed.book.carried()) continue;
+    if (!bed.book.lastCommitHeldRecords()) continue;
     int halfWay = std::filesystem::exists(bed.folder.path / "journal.new") ? 1 : 0;
     rewrites += halfWay;
     if (halfWay == 0 && chance() % 16 != 0) continue;
     Folder copy;
     std::filesystem::copy(bed.folder.path / "journal", copy.path / "journal");
-    net::Book again(bed.facts, copy.path.string(), kMost);
+    net::MessageStore again(bed.facts, copy.path.string(), kMost);
     ASSERT_EQ(again.restore(), 0u);
     ASSERT_EQ(toldOf(again), begun) << n;
   }
@@ -397,21 +398,21 @@
   limitFiles(std::filesystem::file_size(bed.folder.path / "journal") + 300);
   auto large = bed.take("large", 2000);
   auto small = bed.take("small", 10);
-  ASSERT_TRUE(bed.book.launched(*first, {std::string(400, 'e'), {}, {}, {}}, 1));
+  ASSERT_TRUE(bed.book.recordAttempt(*first, {std::string(400, 'e'), {}, {}, {}}, 1));
   bed.book.commit();
   limitFiles(0);
-  EXPECT_TRUE(bed.book.lostTake(*large));
-  EXPECT_FALSE(bed.book.lostTake(*small));
-  EXPECT_TRUE(bed.book.lostLaunch(*first, 0));
+  EXPECT_TRUE(bed.book.isLostAcceptance(*large));
+  EXPECT_FALSE(bed.book.isLostAcceptance(*small));
+  EXPECT_TRUE(bed.book.isLostAttempt(*first, 0));
   EXPECT_EQ(bed.book.find(*large), nullptr);
-  ASSERT_TRUE(bed.book.launched(*first, {"s-1", {}, {}, {}}, 2));
-  ASSERT_TRUE(bed.book.launched(*first, {"s-2", {}, {}, {}}, 3));
-  bed.book.neverRan(*first, 0);
-  bed.book.neverRan(*first, 2);
+  ASSERT_TRUE(bed.book.recordAttempt(*first, {"s-1", {}, {}, {}}, 2));
+  ASSERT_TRUE(bed.book.recordAttempt(*first, {"s-2", {}, {}, {}}, 3));
+  bed.book.recordNotExecuted(*first, 0);
+  bed.book.recordNotExecuted(*first, 2);
   bed.book.commit();
-  net::Book again(bed.facts, bed.folder.path.string(), 60000);
+  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   again.restore();
-  EXPECT_EQ(again.held().size(), 2u);
+  EXPECT_EQ(again.inFlight().size(), 2u);
   const auto& launches = again.find(*first)->attempts;
   ASSERT_EQ(launches.size(), 2u);
   EXPECT_EQ(launches[0].sentWall, 2);
@@ -555,9 +556,9 @@
     Folder copy;
     std::filesystem::copy(node.folder.path / "journal", copy.path / "journal");
     NameTables facts = readNameTables(kSettings);
-    net::Book book(facts, copy.path.string(), 3'000'000);
+    net::MessageStore book(facts, copy.path.string(), 3'000'000);
     book.restore();
-    return book.owed().empty();
+    return book.pendingNotifications().empty();
   }));
   EXPECT_EQ(node.end(SIGKILL), -SIGKILL);
   int told = reports;
@@ -1077,9 +1078,9 @@
     std::string ref = ahead > 0 ? "ahead" : "before";
     {
       NameTables facts = readNameTables(settings);
-      net::Book book(facts, node.folder.path.string(), 3'000'000);
-      auto id = book.take(book.decode("00", ref, "c=order,d=8000,dest=7,k=5c", "x", net::wallNow()));
-      book.launched(*id, {"s-1", DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow() + ahead);
+      net::MessageStore book(facts, node.folder.path.string(), 3'000'000);
+      auto id = book.accept(book.decode("00", ref, "c=order,d=8000,dest=7,k=5c", "x", net::wallNow()));
+      book.recordAttempt(*id, {"s-1", DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow() + ahead);
       book.commit();
     }
     ASSERT_TRUE(node.start());
@@ -1097,14 +1098,14 @@
     Node node(settings, row(world), world.address(), R"({"sockets":256,"disk_mb":40})");
     {
       NameTables facts = readNameTables(settings);
-      net::Book book(facts, node.folder.path.string(), 40'000'000);
+      net::MessageStore book(facts, node.folder.path.string(), 40'000'000);
       for (std::uint32_t n = 0; n < many; ++n) {
         std::string ref = "r" + std::to_string(n);
-        auto id = book.take(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow()));
+        auto id = book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow()));
         ASSERT_TRUE(id.has_value());
         std::string name = "gone-" + std::to_string(n % 1024);
-        book.launched(*id, {name, DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow());
-        book.neverRan(*id, 0);
+        book.recordAttempt(*id, {name, DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow());
+        book.recordNotExecuted(*id, 0);
       }
       book.commit();
     }
@@ -1161,10 +1162,10 @@
   Node node(settings, row(world, "plain", "terminating"), world.address(), R"({"sockets":256,"disk_mb":80})");
   {
     NameTables facts = readNameTables(settings);
-    net::Book book(facts, node.folder.path.string(), 80'000'000);
+    net::MessageStore book(facts, node.folder.path.string(), 80'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string ref = "r" + std::to_string(n);
-      ASSERT_TRUE(book.take(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow())));
+      ASSERT_TRUE(book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow())));
     }
     book.commit();
   }
@@ -1214,10 +1215,10 @@
   Node node(settings, row(endpoint), world.address());
   {
     NameTables facts = readNameTables(settings);
-    net::Book book(facts, node.folder.path.string(), 3'000'000);
+    net::MessageStore book(facts, node.folder.path.string(), 3'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string list = n % 2 == 0 ? "c=order,d=60000,dest=7" : "c=status,d=60000,dest=7";
-      ASSERT_TRUE(book.take(book.decode("00", "r" + std::to_string(n) + ".", list, "x", net::wallNow())));
+      ASSERT_TRUE(book.accept(book.decode("00", "r" + std::to_string(n) + ".", list, "x", net::wallNow())));
     }
     book.commit();
   }
