--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -53,18 +53,18 @@
 }  // namespace
 
 template <class Step>
-void Host::guarded(std::uint32_t who, Step step) {
+void InstanceHost::guarded(std::uint32_t who, Step step) {
   Instance& instance = instances_.at(who);
   if (instance.failed) return;
   try {
-    step(*instance.rules);
+    step(*instance.policy);
   } catch (const std::exception& problem) {
     instance.failed = true;
     out_.failure(who, problem.what());
   }
 }
 
-Host::Instance* Host::touch(std::uint32_t who, Millis now) {
+InstanceHost::Instance* InstanceHost::touch(std::uint32_t who, Millis now) {
   auto at = instances_.find(who);
   if (at == instances_.end()) return nullptr;
   if (std::find(touched_.begin(), touched_.end(), who) == touched_.end()) {
@@ -74,9 +74,9 @@
   return &at->second;
 }
 
-void Host::create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now) {
+void InstanceHost::create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now) {
   Instance fresh;
-  fresh.rules = std::make_unique<DispatchPolicy>(readDeploymentSettings(facts), seed);
+  fresh.policy = std::make_unique<DispatchPolicy>(readDeploymentSettings(facts), seed);
   const auto reported = readNameTables(facts).loadReportFields;
   auto placeOf = [&](const char* field) {
     auto at = std::find(reported.begin(), reported.end(), field);
@@ -89,7 +89,7 @@
   touch(who, now);
 }
 
-void Host::rows(wire::Reader& in) {
+void InstanceHost::rows(wire::Reader& in) {
   auto page = in.get<std::uint8_t>("page");
   if (page >= pages_.size()) throw wire::Malformed("list number " + std::to_string(page) + " is above 15");
   auto n = in.get<std::uint32_t>("records");
@@ -109,7 +109,7 @@
   paged_[page] = true;
 }
 
-void Host::view(wire::Reader& in, Millis now) {
+void InstanceHost::view(wire::Reader& in, Millis now) {
   auto who = in.get<std::uint32_t>("who");
   in.get<std::uint32_t>("epoch");
   auto form = in.get<std::uint8_t>("form");
@@ -130,7 +130,7 @@
   });
 }
 
-LoadReport Host::report(wire::Reader& in, const Instance* instance) {
+LoadReport InstanceHost::report(wire::Reader& in, const Instance* instance) {
   LoadReport told;
   auto n = in.get<std::uint8_t>("load");
   for (std::size_t place = 0; place < n; ++place) {
@@ -142,7 +142,7 @@
   return told;
 }
 
-void Host::record(wire::Reader& in, Millis now) {
+void InstanceHost::record(wire::Reader& in, Millis now) {
   auto code = in.get<std::uint16_t>("code");
   if (code == wire::kSnapshotRows) return rows(in);
   if (code == wire::kView) return view(in, now);
@@ -227,8 +227,8 @@
   }
 }
 
-std::string Host::batch(std::uint32_t number, std::uint32_t records, double clockSeconds,
-                        std::string_view body) {
+std::string InstanceHost::batch(std::uint32_t number, std::uint32_t records, double clockSeconds,
+                                std::string_view body) {
   Millis now = finite(clockSeconds, "clock") * kMillisPerSecond;
   touched_.clear();
   wire::Reader in(body);
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -13,7 +13,7 @@
 namespace stonewing {
 
 // Hosts the instances of one process: feeds them the events of a batch, then pulls their decisions.
-class Host {
+class InstanceHost {
  public:
   // One batch: the records behind the header. Throws wire::Malformed on what cannot be read.
   std::string batch(std::uint32_t number, std::uint32_t records, double clockSeconds, std::string_view body);
@@ -28,7 +28,7 @@
     EndpointState phase{};
   };
   struct Instance {
-    std::unique_ptr<DispatchPolicy> rules;
+    std::unique_ptr<DispatchPolicy> policy;
     std::size_t limitPlace{};  // of "x1" among the reported values
     std::size_t leftPlace{};   // and of "x0"
     bool failed{false};
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -23,7 +23,7 @@
 int main() {
   std::uint32_t number = 0;
   try {
-    stonewing::Host host;
+    stonewing::InstanceHost host;
     std::string header(stonewing::wire::kHeaderBytes, '\0');
     std::string body;
     while (readAll(header.data(), header.size(), "header")) {
--- a/src/lab/agenda.h
+++ b/src/lab/agenda.h
@@ -38,15 +38,15 @@
 
 // Wakes the loop to the microsecond. The loop itself sleeps in whole milliseconds, and a world that is up to
 // one late at each step has a tenth less capacity than its plan says.
-class Alarm : public net::Source {
+class Alarm : public net::EventHandler {
  public:
-  explicit Alarm(net::Loop& loop)
+  explicit Alarm(net::EventLoop& loop)
       : loop_(loop), fd_(::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)) {
     if (fd_ < 0 || !loop.watch(fd_, *this))
       throw std::system_error(errno, std::generic_category(), "timerfd");
   }
   ~Alarm() override {
-    loop_.forget(fd_);
+    loop_.unwatch(fd_);
     ::close(fd_);
   }
   void ready(std::uint32_t) override {
@@ -70,14 +70,14 @@
   }
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   int fd_;
   Millis set_{-1};
 };
 
 // The clock of one experiment: zero at its start.
 struct Clock {
-  const net::Loop& loop;
+  const net::EventLoop& loop;
   Millis epoch{0};
   Millis now() const { return loop.now() - epoch; }
 };
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-class Load::Link : public net::Source {
+class Load::Link : public net::EventHandler {
  public:
   Link(Load& load, int dispatcher) : dispatcher(dispatcher), load_(load), reader_(redisReaderCreate()) {}
   ~Link() override {
@@ -48,7 +48,7 @@
     redisReaderFree(reader_);
   }
   bool open() {
-    auto to = net::addressOf(load_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
+    auto to = net::parseAddress(load_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
     if (!to) return false;
     fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd_ < 0) return false;
@@ -60,11 +60,11 @@
   }
   void send(std::string bytes) {
     out_.add(std::move(bytes));
-    if (up_ && out_.write(fd_) == net::Outgoing::Wrote::broken) load_.loop_.again(fd_);
+    if (up_ && out_.write(fd_) == net::WriteBuffer::WriteResult::broken) load_.loop_.reschedule(fd_);
   }
   void close() {
     if (fd_ < 0) return;
-    load_.loop_.forget(fd_);
+    load_.loop_.unwatch(fd_);
     ::close(std::exchange(fd_, -1));
   }
   void ready(std::uint32_t) override {
@@ -79,9 +79,9 @@
       if (::getpeername(fd_, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return;  // not yet
       up_ = true;
     }
-    if (out_.write(fd_) == net::Outgoing::Wrote::broken) return load_.ended(*this, false);
+    if (out_.write(fd_) == net::WriteBuffer::WriteResult::broken) return load_.ended(*this, false);
     std::string in;
-    net::Got got = net::readInto(fd_, in, kAnswerMost);
+    net::ReadResult got = net::readAvailable(fd_, in, kAnswerMost);
     redisReaderFeed(reader_, in.data(), in.size());
     for (;;) {
       void* raw = nullptr;
@@ -93,8 +93,9 @@
       heard(answer);
       if (fd_ < 0) return;
     }
-    if (got == net::Got::ended || got == net::Got::broken) return load_.ended(*this, false);
-    if (got == net::Got::more) load_.loop_.again(fd_);
+    if (got == net::ReadResult::endOfStream || got == net::ReadResult::broken)
+      return load_.ended(*this, false);
+    if (got == net::ReadResult::more) load_.loop_.reschedule(fd_);
   }
   void heard(const Answer& answer) {
     if (pong) return std::exchange(pong, {})();
@@ -120,10 +121,10 @@
   redisReader* reader_;
   int fd_{-1};
   bool up_{false};
-  net::Outgoing out_;
+  net::WriteBuffer out_;
 };
 
-Load::Load(net::Loop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients,
+Load::Load(net::EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients,
            Trace& trace, std::vector<std::string> dispatchers)
     : loop_(loop),
       agenda_(agenda),
@@ -255,7 +256,7 @@
   auto at = std::find_if(links_.begin(), links_.end(), [&](const auto& l) { return l.get() == &link; });
   if (at == links_.end()) return;
   link.close();
-  loop_.bury(std::move(*at));
+  loop_.deferDeletion(std::move(*at));
   links_.erase(at);
 }
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -28,9 +28,9 @@
 constexpr Millis kEndWithin = 4000;
 
 // SIGINT and SIGTERM as events of the loop.
-class Interrupts : public net::Source {
+class Interrupts : public net::EventHandler {
  public:
-  explicit Interrupts(net::Loop& loop) : loop_(loop) {
+  explicit Interrupts(net::EventLoop& loop) : loop_(loop) {
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGINT);
@@ -42,7 +42,7 @@
       throw std::system_error(errno, std::generic_category(), "signalfd");
   }
   ~Interrupts() override {
-    loop_.forget(fd_);
+    loop_.unwatch(fd_);
     ::close(fd_);
     ::sigprocmask(SIG_SETMASK, &before_, nullptr);
   }
@@ -53,7 +53,7 @@
   bool seen{false};
 
  private:
-  net::Loop& loop_;
+  net::EventLoop& loop_;
   int fd_;
   sigset_t before_{};
 };
@@ -62,7 +62,7 @@
 std::string freeAddress(int dispatcher) {
   std::string host = "127.0." + std::to_string(dispatcher + 1) + ".200";
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at = *net::addressOf(host + ":1");
+  sockaddr_in at = *net::parseAddress(host + ":1");
   at.sin_port = 0;
   socklen_t size = sizeof at;
   bool good = fd >= 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 &&
@@ -257,7 +257,7 @@
 
   const Plan& plan_;
   const RunChoices& choices_;
-  net::Loop loop_;
+  net::EventLoop loop_;
   Agenda agenda_;
   Alarm alarm_{loop_};
   Clock clock_{loop_};
@@ -278,7 +278,7 @@
 }
 
 void serveWorld(const Plan& plan, std::uint64_t seed, const std::string& folder) {
-  net::Loop loop;
+  net::EventLoop loop;
   Agenda agenda;
   Alarm alarm(loop);
   Clock clock{loop, net::steadyNow()};
@@ -311,7 +311,7 @@
 Played driveLoad(const Plan& plan, std::uint64_t seed, const std::vector<std::string>& dispatchers,
                  const std::function<void(Millis, std::size_t)>& progress) {
   Played played;
-  net::Loop loop;
+  net::EventLoop loop;
   Agenda agenda;
   Alarm alarm(loop);
   Clock clock{loop, net::steadyNow()};
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -46,11 +46,11 @@
   return {};
 }
 
-Served::Served(net::Loop& loop, Server& server, int fd) : loop_(loop), server_(server), fd_(fd) {}
+Served::Served(net::EventLoop& loop, Server& server, int fd) : loop_(loop), server_(server), fd_(fd) {}
 
 Served::~Served() {
   if (fd_ < 0) return;
-  loop_.forget(fd_);
+  loop_.unwatch(fd_);
   ::close(fd_);
 }
 
@@ -61,7 +61,7 @@
 }
 
 void Served::read() {
-  net::Got got = net::readInto(fd_, in_, kRequestMost);
+  net::ReadResult got = net::readAvailable(fd_, in_, kRequestMost);
   while (!busy_ && fd_ >= 0) {
     std::size_t end = in_.find("\r\n\r\n");
     if (end == std::string::npos) break;
@@ -72,7 +72,7 @@
     request.method = in_.substr(0, first);
     request.target = in_.substr(first + 1, second - first - 1);
     request.head = in_.substr(std::min(line + 2, end), end - std::min(line + 2, end));
-    std::size_t length = net::wholeNumber(request.header("Content-Length")).value_or(0);
+    std::size_t length = net::parseWholeNumber(request.header("Content-Length")).value_or(0);
     if (in_.size() < end + 4 + length) break;
     request.body = in_.substr(end + 4, length);
     in_.erase(0, end + 4 + length);
@@ -80,8 +80,8 @@
     server_.owner_.asked(server_, *this, std::move(request));
   }
   if (fd_ < 0) return;
-  if (got == net::Got::ended || got == net::Got::broken) return end();
-  if (got == net::Got::more) loop_.again(fd_);
+  if (got == net::ReadResult::endOfStream || got == net::ReadResult::broken) return end();
+  if (got == net::ReadResult::more) loop_.reschedule(fd_);
 }
 
 bool Served::left() const {
@@ -92,7 +92,7 @@
 
 void Served::end() {
   if (fd_ < 0) return;
-  loop_.forget(fd_);
+  loop_.unwatch(fd_);
   ::close(std::exchange(fd_, -1));
   server_.gone(*this);
 }
@@ -106,7 +106,7 @@
 
 void Served::deaf(bool on) {
   deaf_ = on;
-  if (!on && fd_ >= 0) loop_.again(fd_);
+  if (!on && fd_ >= 0) loop_.reschedule(fd_);
 }
 
 void Served::answer(std::string bytes, bool thenClose) {
@@ -116,17 +116,17 @@
   out_.add(std::move(bytes));
   if (deaf_) return;
   write();
-  if (fd_ >= 0 && !in_.empty()) loop_.again(fd_);
+  if (fd_ >= 0 && !in_.empty()) loop_.reschedule(fd_);
 }
 
 void Served::write() {
   if (out_.empty()) return;
   auto wrote = out_.write(fd_);
-  if (wrote == net::Outgoing::Wrote::broken) return end();
-  if (wrote == net::Outgoing::Wrote::all && closing_) end();
+  if (wrote == net::WriteBuffer::WriteResult::broken) return end();
+  if (wrote == net::WriteBuffer::WriteResult::all && closing_) end();
 }
 
-Server::Server(net::Loop& loop, Owner& owner, const std::string& host)
+Server::Server(net::EventLoop& loop, Owner& owner, const std::string& host)
     : loop_(loop), owner_(owner), host_(host) {
   listen(kBacklog);
 }
@@ -154,7 +154,7 @@
 
 void Server::stop() {
   if (fd_ < 0) return;
-  loop_.forget(fd_);
+  loop_.unwatch(fd_);
   ::close(std::exchange(fd_, -1));
 }
 
@@ -172,7 +172,7 @@
     if (!owner_.opened(*this, kept)) {
       kept.reset();
     } else {
-      loop_.again(fd);
+      loop_.reschedule(fd);
     }
   }
 }
@@ -183,7 +183,7 @@
   std::unique_ptr<Served> kept = std::move(*at);
   open_.erase(at);
   owner_.closed(*this, *kept);
-  loop_.bury(std::move(kept));
+  loop_.deferDeletion(std::move(kept));
 }
 
 void Server::refuse(bool on) {
@@ -217,7 +217,7 @@
   if (!on) {
     for (int fd : std::exchange(fillers_, {})) ::close(fd);
     ::listen(fd_, kBacklog);
-    loop_.again(fd_);
+    loop_.reschedule(fd_);
     return;
   }
   ::listen(fd_, 0);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,10 +24,10 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-stonewing::net::Orders ordersFrom(std::string path, const std::string& added) {
+stonewing::net::DispatcherConfig ordersFrom(std::string path, const std::string& added) {
   if (path.empty()) path = variable("EDGE_CONFIG");
   if (path.empty()) throw stonewing::Malformed("no configuration: give --config or set EDGE_CONFIG");
-  return stonewing::net::readOrders(contents(path), variable, added.empty() ? "" : contents(added));
+  return stonewing::net::readConfig(contents(path), variable, added.empty() ? "" : contents(added));
 }
 
 }  // namespace
@@ -55,12 +55,12 @@
     if (*version) std::cout << "stonewing " << kVersion << "\n";
     if (*check) {
       auto orders = ordersFrom(path, added);
-      auto terms = stonewing::net::termsOf(orders);
+      auto terms = stonewing::net::deploymentSettings(orders);
       std::cout << orders.name << " at " << orders.listen << ": " << terms.types.size() << " traffic types, "
                 << terms.zoneFailover.priorities.size() << " tiers of rooms\n";
     }
     if (*serve) {
-      stonewing::net::holdSignals();
+      stonewing::net::blockSignals();
       stonewing::net::Dispatcher(ordersFrom(path, added), [&] { return ordersFrom(path, added); }).run();
     }
   } catch (const std::exception& problem) {
--- a/src/net/book.cpp
+++ b/src/net/book.cpp
@@ -90,7 +90,7 @@
     } else if (name == "k") {
       held.idempotencyKey = word(value, "k");
     } else if (name == "dest") {
-      auto number = wholeNumber(value);
+      auto number = parseWholeNumber(value);
       if (!number || *number > 0xffff) throw Malformed("bad dest");
       held.destination = DestinationId{static_cast<std::uint16_t>(*number)};
       addressed = true;
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -19,8 +19,8 @@
 // most, for a longer stop is seen (Loop::heldUp).
 constexpr Millis kReadLate = 100;
 
-Millis waitIn(const HttpLink& link) {
-  auto wait = wholeNumber(link.header("X-Backoff-Ms"));
+Millis waitIn(const HttpClientConnection& link) {
+  auto wait = parseWholeNumber(link.header("X-Backoff-Ms"));
   return wait ? static_cast<Millis>(*wait) : 0;
 }
 
@@ -32,19 +32,19 @@
 
 }  // namespace
 
-std::string_view Calls::nameAt(EndpointId endpoint) const {
-  const Site* site = catalog_.find(endpoint);
-  return site == nullptr ? std::string_view("gone") : std::string_view(site->note.name);
+std::string_view AttemptSender::nameAt(EndpointId endpoint) const {
+  const DiscoveredEndpoint* site = discovery_.find(endpoint);
+  return site == nullptr ? std::string_view("gone") : std::string_view(site->record.name);
 }
 
-Calls::Calls(Loop& loop, DispatchPolicy& rules, MessageStore& book, const Catalog& catalog,
-             const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
-             std::size_t mostProbes)
+AttemptSender::AttemptSender(EventLoop& loop, DispatchPolicy& rules, MessageStore& book,
+                             const DiscoveryClient& catalog, const DeploymentSettings& terms,
+                             const NameTables& facts, std::size_t mostLinks, std::size_t mostProbes)
     : loop_(loop),
-      rules_(rules),
-      book_(book),
-      catalog_(catalog),
-      facts_(facts),
+      policy_(rules),
+      store_(book),
+      discovery_(catalog),
+      names_(facts),
       connectWithin_(facts.connectTimeout > 0 ? facts.connectTimeout : kForever),
       mayCopy_(terms.mayHedge),
       mostLinks_(mostLinks),
@@ -57,60 +57,62 @@
 
 // Danger: of several connections to an endpoint the less used stand idle for long while others are busy, and
 // the module sees the endpoint alone. It says how long one is to be trusted; each is held to that.
-Millis Calls::idleMost() const {
-  return idleMost_ < kForever ? std::min(idleMost_, rules_.state().reusableIdleTime) : idleMost_;
+Millis AttemptSender::idleMost() const {
+  return idleMost_ < kForever ? std::min(idleMost_, policy_.state().reusableIdleTime) : idleMost_;
 }
 
-void Calls::launch(const Decision& d) {
-  const StoredMessage* held = book_.find(d.message);
-  int call = rules_.state().messages.at(d.message).attempts.at(static_cast<std::size_t>(d.attempt)).requestId;
+void AttemptSender::sendAttempt(const Decision& d) {
+  const StoredMessage* held = store_.find(d.message);
+  int call =
+      policy_.state().messages.at(d.message).attempts.at(static_cast<std::size_t>(d.attempt)).requestId;
   auto& [endpoint, members] = gathered_[call];
   endpoint = d.endpoint;
   members.push_back({d.message, d.attempt, loop_.now() + d.span, held != nullptr ? held->reference : ""});
 }
 
-void Calls::flush() {
+void AttemptSender::recordBatches() {
   for (auto& [call, gathered] : std::exchange(gathered_, {})) {
     auto& [endpoint, members] = gathered;
-    Line& line = lineTo(endpoint);
+    EndpointConnection& line = lineTo(endpoint);
     // Danger: endpoints book a batch under its first message. Where that one ended while the call
     // waited there, the others passed for never delivered, though the answer said ok for each. The one with
     // most time left stands first: it ends last.
     std::stable_sort(members.begin(), members.end(),
-                     [](const Member& a, const Member& b) { return a.due > b.due; });
+                     [](const BatchedAttempt& a, const BatchedAttempt& b) { return a.due > b.due; });
     line.members = std::move(members);
     line.sent = loop_.now();
-    for (const Member& m : line.members) {
+    for (const BatchedAttempt& m : line.members) {
       log::debug("launch.sent", {{"callback", m.ref},
                                  {"launch", m.attempt},
                                  {"endpoint", nameAt(endpoint)},
                                  {"time_out_ms", m.due - loop_.now()}});
-      rules_.recordConnectionIdleTime(m.message, m.attempt, line.up() ? loop_.now() - line.usedAt : 0);
+      policy_.recordConnectionIdleTime(m.message, m.attempt,
+                                       line.isConnected() ? loop_.now() - line.usedAt : 0);
     }
     // Noted before its last byte: after a kill it may have run. What cannot be noted is not sent.
-    for (const Member& m : line.members) {
-      const Site* site = catalog_.find(endpoint);
-      if (site == nullptr || !book_.recordAttempt(m.message, site->note, wallNow())) withhold(line);
+    for (const BatchedAttempt& m : line.members) {
+      const DiscoveredEndpoint* site = discovery_.find(endpoint);
+      if (site == nullptr || !store_.recordAttempt(m.message, site->record, wallNow())) withhold(line);
     }
-    for (const Member& m : line.members) carries_[{m.message, m.attempt}] = &line;
+    for (const BatchedAttempt& m : line.members) carries_[{m.message, m.attempt}] = &line;
     noted_.push_back(&line);
   }
 }
 
-void Calls::send() {
-  std::vector<Line*> due = std::exchange(noted_, {});
-  for (Line* line : due) {
-    std::erase_if(line->members, [](const Member& m) { return m.told; });
+void AttemptSender::sendBatches() {
+  std::vector<EndpointConnection*> due = std::exchange(noted_, {});
+  for (EndpointConnection* line : due) {
+    std::erase_if(line->members, [](const BatchedAttempt& m) { return m.told; });
     if (line->members.empty()) {
       release(*line);
       continue;
     }
-    for (const Member& m : line->members) {
-      if (book_.find(m.message) == nullptr || book_.isLostAttempt(m.message, m.attempt)) withhold(*line);
+    for (const BatchedAttempt& m : line->members) {
+      if (store_.find(m.message) == nullptr || store_.isLostAttempt(m.message, m.attempt)) withhold(*line);
     }
     if (!line->failed && !stillWanted(*line)) continue;
-    if (!line->failed && line->up()) write(*line);
-    if (!line->failed) line->begin();
+    if (!line->failed && line->isConnected()) write(*line);
+    if (!line->failed) line->startExchange();
     settle(*line);
   }
 }
@@ -120,11 +122,11 @@
 // endpoint would pass for one that was silent so long. And, however short that write: the kept connection has
 // ended meanwhile, and the attempt passes for one that may have run; or its endpoint has said something on it
 // that nobody asked for, and the attempt passes for answered by that.
-bool Calls::stillWanted(Line& line) {
-  auto may = [&](const Member& m) {
-    return loop_.now() < m.due && rules_.mayStartAttempt(m.message, m.attempt);
+bool AttemptSender::stillWanted(EndpointConnection& line) {
+  auto may = [&](const BatchedAttempt& m) {
+    return loop_.now() < m.due && policy_.mayStartAttempt(m.message, m.attempt);
   };
-  bool spoilt = line.up() && !line.stillGood();
+  bool spoilt = line.isConnected() && !line.isReusable();
   bool keptBack = loop_.now() > line.sent;
   if (spoilt || (keptBack && !std::all_of(line.members.begin(), line.members.end(), may))) {
     letGo(line, AttemptOutcome::notSent);
@@ -132,50 +134,50 @@
   }
   if (!keptBack) return true;
   line.sent = loop_.now();
-  for (const Member& m : line.members) rules_.recordSendTime(m.message, m.attempt);
+  for (const BatchedAttempt& m : line.members) policy_.recordSendTime(m.message, m.attempt);
   return true;
 }
 
-Millis Calls::dueOf(const Line& line) const {
+Millis AttemptSender::dueOf(const EndpointConnection& line) const {
   if (line.failed) return 0;
-  if (!line.busy()) return line.usedAt + idleMost();
+  if (!line.isBusy()) return line.usedAt + idleMost();
   Millis due = connectBy(line);
   if (line.probing) due = std::min(due, line.sent + connectWithin_);
   if (line.wholeBy >= 0) due = std::min(due, line.wholeBy);
-  for (const Member& m : line.members) {
+  for (const BatchedAttempt& m : line.members) {
     if (!m.told) due = std::min(due, m.due);
   }
   return due;
 }
 
-void Calls::unsettle(Line& line) {
+void AttemptSender::unsettle(EndpointConnection& line) {
   dues_.erase({line.due, &line});
   if (std::exchange(line.idleAt, -1) < 0) return;
   idle_.erase({line.endpoint, line.usedAt, &line});
   oldest_.erase({line.usedAt, &line});
 }
 
-void Calls::settle(Line& line) {
+void AttemptSender::settle(EndpointConnection& line) {
   unsettle(line);
   line.due = dueOf(line);
   dues_.insert({line.due, &line});
-  if (line.busy() || line.failed || !line.up()) return;
+  if (line.isBusy() || line.failed || !line.isConnected()) return;
   line.idleAt = line.usedAt;
   idle_.insert({line.endpoint, line.usedAt, &line});
   oldest_.insert({line.usedAt, &line});
 }
 
 // What goes out, of those that are in the call by now: only once its connection is up.
-void Calls::write(Line& line) {
-  for (const Member& m : line.members)
+void AttemptSender::write(EndpointConnection& line) {
+  for (const BatchedAttempt& m : line.members)
     log::debug("launch.written",
                {{"callback", m.ref}, {"launch", m.attempt}, {"together", line.members.size()}});
   Millis latest = loop_.now();
-  for (const Member& m : line.members) latest = std::max(latest, m.due);
-  std::string common = "Host: " + catalog_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
+  for (const BatchedAttempt& m : line.members) latest = std::max(latest, m.due);
+  std::string common = "Host: " + discovery_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
                        std::to_string(static_cast<std::int64_t>(latest - loop_.now())) + "\r\n";
   if (line.members.size() == 1) {
-    const StoredMessage* held = book_.find(line.members[0].message);
+    const StoredMessage* held = store_.find(line.members[0].message);
     std::string head =
         "POST /v1/messages HTTP/1.1\r\n" + common + "X-Request-Id: " + held->reference + "\r\n";
     if (!held->idempotencyKey.empty()) head += "Idempotency-Key: " + held->idempotencyKey + "\r\n";
@@ -184,8 +186,8 @@
   } else {
     std::vector<std::pair<std::string, std::shared_ptr<const std::string>>> rows;
     std::size_t length = 0;
-    for (const Member& m : line.members) {
-      const StoredMessage* held = book_.find(m.message);
+    for (const BatchedAttempt& m : line.members) {
+      const StoredMessage* held = store_.find(m.message);
       std::string row = held->reference + " " + (held->idempotencyKey.empty() ? "-" : held->idempotencyKey) +
                         " " + std::to_string(held->body->size()) + "\r\n";
       length += row.size() + held->body->size() + 2;
@@ -201,59 +203,59 @@
   }
 }
 
-Calls::Line& Calls::lineTo(EndpointId endpoint) {
-  const Site* site = catalog_.find(endpoint);
-  Line* best = nullptr;  // the one that was used last
+AttemptSender::EndpointConnection& AttemptSender::lineTo(EndpointId endpoint) {
+  const DiscoveredEndpoint* site = discovery_.find(endpoint);
+  EndpointConnection* best = nullptr;  // the one that was used last
   auto next = idle_.lower_bound({endpoint, 1e300, nullptr});
   if (next != idle_.begin() && std::get<0>(*std::prev(next)) == endpoint)
     best = std::get<2>(*std::prev(next));
   bool moved = best != nullptr && site != nullptr &&
                std::memcmp(&best->address, &site->address, sizeof best->address) != 0;
   bool trusted = best != nullptr && loop_.now() < best->usedAt + idleMost();
-  if (trusted && !moved && best->stillGood()) {
+  if (trusted && !moved && best->isReusable()) {
     unsettle(*best);
     return *best;
   }
-  if (best != nullptr) closeIdle(endpoint);
+  if (best != nullptr) closeIdleConnection(endpoint);
   // Room is made by the one that has stood idle for longest.
-  if (lines_.size() >= mostLinks_ && !oldest_.empty()) release(*oldest_.begin()->second);
-  lines_.push_back(std::make_unique<Line>(loop_, *this, kAnswerMost));
-  Line& line = *lines_.back();
-  line.self = std::prev(lines_.end());
+  if (connections_.size() >= mostLinks_ && !oldest_.empty()) release(*oldest_.begin()->second);
+  connections_.push_back(std::make_unique<EndpointConnection>(loop_, *this, kAnswerMost));
+  EndpointConnection& line = *connections_.back();
+  line.self = std::prev(connections_.end());
   line.endpoint = endpoint;
   if (site != nullptr) line.address = site->address;
   line.failed = site == nullptr || !line.open(site->address);
-  line.withheld = site == nullptr || line.lacking();
+  line.withheld = site == nullptr || line.isOutOfResources();
   return line;
 }
 
-void Calls::release(Line& line) {
+void AttemptSender::release(EndpointConnection& line) {
   unsettle(line);
   std::erase(noted_, &line);
-  for (const Member& m : line.members) carries_.erase({m.message, m.attempt});
+  for (const BatchedAttempt& m : line.members) carries_.erase({m.message, m.attempt});
   if (std::exchange(line.probing, false)) --probesOut_;
   auto at = line.self;
   line.close();
-  loop_.bury(std::move(*at));
-  lines_.erase(at);
+  loop_.deferDeletion(std::move(*at));
+  connections_.erase(at);
 }
 
 // Danger: while the loop is behind, the answer of an attempt that is called off may lie unread; closed on it,
 // the message would be attempted again after it was delivered.
-void Calls::withdraw(const Decision& d) {
+void AttemptSender::cancelAttempt(const Decision& d) {
   auto at = carries_.find({d.message, d.attempt});
   if (at == carries_.end()) return;
-  at->second->catchUp();
+  at->second->readPending();
   at = carries_.find({d.message, d.attempt});
   if (at == carries_.end()) return;  // its end was there already
-  Line& line = *at->second;
-  for (Member& m : line.members) {
+  EndpointConnection& line = *at->second;
+  for (BatchedAttempt& m : line.members) {
     if (m.message != d.message || m.attempt != d.attempt || m.told) continue;
     m.off = keepsCall(line, m);
     if (m.off) log::debug("launch.to_be_called_off", {{"callback", m.ref}, {"launch", m.attempt}});
     if (m.off) break;
     tell(line, m,
-         line.lastByteWritten() ? unanswered(line, AttemptOutcome::cancelled) : AttemptOutcome::notSent,
+         line.isRequestWritten() ? unanswered(line, AttemptOutcome::cancelled) : AttemptOutcome::notSent,
          false, 0);
     break;
   }
@@ -261,9 +263,9 @@
 }
 
 // Until when a message is to be delivered, whatever its attempt may take.
-Millis Calls::timeUp(const Member& m) const {
-  auto at = rules_.state().messages.find(m.message);
-  return at == rules_.state().messages.end() || at->second.finished ? 0 : at->second.deadline;
+Millis AttemptSender::timeUp(const BatchedAttempt& m) const {
+  auto at = policy_.state().messages.find(m.message);
+  return at == policy_.state().messages.end() || at->second.finished ? 0 : at->second.deadline;
 }
 
 // Danger: one message of a call cannot be called off alone; the call stays out at the endpoint for the
@@ -271,28 +273,28 @@
 // allows, and for the first of the call an end by its other attempt while the rest is out. It is told with
 // the call, or once its time is up. Where hedges are allowed the rest need not wait: at endpoints that hang
 // one that may not be repeated would keep all others there.
-bool Calls::keepsCall(const Line& line, const Member& m) const {
-  auto waits = [&](const Member& o) { return &o != &m && !o.told && !o.off; };
+bool AttemptSender::keepsCall(const EndpointConnection& line, const BatchedAttempt& m) const {
+  auto waits = [&](const BatchedAttempt& o) { return &o != &m && !o.told && !o.off; };
   bool bound = !mayCopy_ || &m == &line.members.front();
-  return bound && line.lastByteWritten() && loop_.now() < timeUp(m) &&
+  return bound && line.isRequestWritten() && loop_.now() < timeUp(m) &&
          std::any_of(line.members.begin(), line.members.end(), waits);
 }
 
 // Whether a call has nothing left to wait for, now that the end of one of its messages was told. Danger: of
 // one that is half written the rest would still go out, for a message that is over or was told as never
 // sent. Broken off now it has run for none.
-bool Calls::calledOff(Line& line) {
-  auto told = [](const Member& m) { return m.told; };
-  bool halfWritten = line.busy() && line.up() && !line.lastByteWritten();
+bool AttemptSender::calledOff(EndpointConnection& line) {
+  auto told = [](const BatchedAttempt& m) { return m.told; };
+  bool halfWritten = line.isBusy() && line.isConnected() && !line.isRequestWritten();
   if (halfWritten && std::any_of(line.members.begin(), line.members.end(), told)) {
     tellAll(line, AttemptOutcome::notSent);
   }
   // Danger: its first message may also end by another attempt, and the endpoint still answers ok for the
   // rest, which counts for none of them. Called off with it they may go out again.
-  auto done = [](const Member& m) { return m.told || m.off; };
+  auto done = [](const BatchedAttempt& m) { return m.told || m.off; };
   bool first = !line.members.empty() && line.members.front().told;
-  if (line.lastByteWritten() && (first || std::all_of(line.members.begin(), line.members.end(), done))) {
-    for (Member& m : line.members) {
+  if (line.isRequestWritten() && (first || std::all_of(line.members.begin(), line.members.end(), done))) {
+    for (BatchedAttempt& m : line.members) {
       if (!m.told) tell(line, m, unanswered(line, AttemptOutcome::cancelled), false, 0);
     }
   }
@@ -301,20 +303,20 @@
 
 // Danger: hundreds of endpoints that are out are probed at once, and their connections take the descriptors
 // of all others.
-void Calls::probe(EndpointId endpoint) {
+void AttemptSender::sendHealthCheck(EndpointId endpoint) {
   if (probesOut_ >= mostProbes_)
-    return rules_.recordHealthCheckOutcome(endpoint, AttemptOutcome::localResourceExhausted, {});
-  Line& line = lineTo(endpoint);
+    return policy_.recordHealthCheckOutcome(endpoint, AttemptOutcome::localResourceExhausted, {});
+  EndpointConnection& line = lineTo(endpoint);
   line.probing = true;
   ++probesOut_;
   line.sent = loop_.now();
   if (line.failed) return settle(line);
-  line.add("GET /ping HTTP/1.1\r\nHost: " + catalog_.find(endpoint)->authority + "\r\n\r\n");
-  line.begin();
+  line.add("GET /ping HTTP/1.1\r\nHost: " + discovery_.find(endpoint)->authority + "\r\n\r\n");
+  line.startExchange();
   settle(line);
 }
 
-void Calls::closeIdle(EndpointId endpoint) {
+void AttemptSender::closeIdleConnection(EndpointId endpoint) {
   for (;;) {
     auto at = idle_.lower_bound({endpoint, -1e300, nullptr});
     if (at == idle_.end() || std::get<0>(*at) != endpoint) return;
@@ -343,7 +345,8 @@
   return told;
 }
 
-void Calls::tell(Line& line, Member& m, AttemptOutcome ending, bool over, Millis wait) {
+void AttemptSender::tell(EndpointConnection& line, BatchedAttempt& m, AttemptOutcome ending, bool over,
+                         Millis wait) {
   bool told = std::exchange(m.told, true);
   carries_.erase({m.message, m.attempt});
   bool ends = over || ending == AttemptOutcome::completed;
@@ -352,22 +355,22 @@
   // harm.
   bool timely = loop_.now() < timeUp(m) - kReadLate;
   auto isOver = [&] {
-    if (timely) return book_.recordDelivered(m.message);
-    book_.addPendingNotification(m.message, FinalOutcome::failed, 0);
+    if (timely) return store_.recordDelivered(m.message);
+    store_.addPendingNotification(m.message, FinalOutcome::failed, 0);
   };
   if (told) {
     // Given up on, and now it was delivered after all: nothing more may be sent for it.
-    if (ends && book_.find(m.message) != nullptr) {
-      rules_.cancelMessage(m.message);
+    if (ends && store_.find(m.message) != nullptr) {
+      policy_.cancelMessage(m.message);
       isOver();
     }
     return;
   }
   if (ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed || isUnsent(ending)) {
-    book_.recordNotExecuted(m.message, m.attempt);
+    store_.recordNotExecuted(m.message, m.attempt);
   }
   LoadReport report =
-      line.status() != 0 ? reportIn(line.header("X-Load"), facts_.loadReportFields) : LoadReport{};
+      line.status() != 0 ? reportIn(line.header("X-Load"), names_.loadReportFields) : LoadReport{};
   log::debug("launch.ended", {{"callback", m.ref},
                               {"launch", m.attempt},
                               {"endpoint", nameAt(line.endpoint)},
@@ -376,16 +379,16 @@
                               {"wait_ms", wait},
                               {"limit", report.rateLimit},
                               {"left", report.remainingShare}});
-  bool known = ends || book_.find(m.message) == nullptr;
-  rules_.recordAttemptOutcome(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
+  bool known = ends || store_.find(m.message) == nullptr;
+  policy_.recordAttemptOutcome(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
 }
 
-void Calls::tellAll(Line& line, AttemptOutcome ending, bool over, Millis wait) {
-  for (Member& m : line.members) tell(line, m, ending, over, wait);
+void AttemptSender::tellAll(EndpointConnection& line, AttemptOutcome ending, bool over, Millis wait) {
+  for (BatchedAttempt& m : line.members) tell(line, m, ending, over, wait);
 }
 
-void Calls::readMany(Line& line, Millis wait) {
+void AttemptSender::readMany(EndpointConnection& line, Millis wait) {
   std::map<std::string_view, std::string_view> ends;
   for (std::string_view rest = line.body(); !rest.empty();) {
     std::size_t feed = std::min(rest.find('\n'), rest.size());
@@ -395,7 +398,7 @@
     std::size_t blank = row.find(' ');
     if (blank != std::string_view::npos) ends[row.substr(0, blank)] = row.substr(blank + 1);
   }
-  for (Member& m : line.members) {
+  for (BatchedAttempt& m : line.members) {
     std::string_view end = ends.contains(m.ref) ? ends[m.ref] : "";
     if (end == "ok") {
       tell(line, m, AttemptOutcome::completed, true, wait);  // a wait binds, whatever it came with
@@ -411,8 +414,8 @@
   }
 }
 
-void Calls::answered(HttpLink& link) {
-  Line& line = static_cast<Line&>(link);
+void AttemptSender::onResponse(HttpClientConnection& link) {
+  EndpointConnection& line = static_cast<EndpointConnection&>(link);
   unsettle(line);
   line.usedAt = loop_.now();
   int status = line.status();
@@ -422,7 +425,7 @@
                             : status == 429 ? AttemptOutcome::rejected
                             : status == 503 ? AttemptOutcome::rejected
                                             : AttemptOutcome::error;
-    probeEnded(line, ending, reportIn(line.header("X-Load"), facts_.loadReportFields));
+    probeEnded(line, ending, reportIn(line.header("X-Load"), names_.loadReportFields));
   } else if (status == 200 && line.members.size() > 1) {
     readMany(line, wait);
   } else if (status == 200) {
@@ -453,14 +456,14 @@
 // Danger: of several in a call one may have ended meanwhile, its time up or its other attempt answered.
 // Written out when the call was decided, all would go once the connection is up, that one after its final
 // answer.
-bool Calls::mayBegin(HttpLink& link) {
-  Line& line = static_cast<Line&>(link);
-  if (line.probing || !line.busy()) return true;  // or the journal does not have it yet
-  for (Member& m : line.members) {
-    if (!m.told && !rules_.mayStartAttempt(m.message, m.attempt))
+bool AttemptSender::mayStartExchange(HttpClientConnection& link) {
+  EndpointConnection& line = static_cast<EndpointConnection&>(link);
+  if (line.probing || !line.isBusy()) return true;  // or the journal does not have it yet
+  for (BatchedAttempt& m : line.members) {
+    if (!m.told && !policy_.mayStartAttempt(m.message, m.attempt))
       tell(line, m, AttemptOutcome::notSent, false, 0);
   }
-  std::erase_if(line.members, [](const Member& m) { return m.told; });
+  std::erase_if(line.members, [](const BatchedAttempt& m) { return m.told; });
   if (line.members.empty()) {
     release(line);
     return false;
@@ -472,26 +475,26 @@
 
 // A call counts from its last byte. Danger: an endpoint reads a repeat so slowly that its window ends
 // meanwhile. Broken off before that byte the call has not run.
-bool Calls::mayGoOn(HttpLink& link) {
-  Line& line = static_cast<Line&>(link);
-  auto may = [&](const Member& m) { return m.told || rules_.mayStartAttempt(m.message, m.attempt); };
+bool AttemptSender::mayContinueExchange(HttpClientConnection& link) {
+  EndpointConnection& line = static_cast<EndpointConnection&>(link);
+  auto may = [&](const BatchedAttempt& m) { return m.told || policy_.mayStartAttempt(m.message, m.attempt); };
   if (line.probing || std::all_of(line.members.begin(), line.members.end(), may)) return true;
   letGo(line, AttemptOutcome::notSent);
   return false;
 }
 
-void Calls::probeEnded(Line& line, AttemptOutcome ending, LoadReport report) {
+void AttemptSender::probeEnded(EndpointConnection& line, AttemptOutcome ending, LoadReport report) {
   line.probing = false;
   --probesOut_;
-  rules_.recordHealthCheckOutcome(line.endpoint, ending, report);
+  policy_.recordHealthCheckOutcome(line.endpoint, ending, report);
 }
 
 // What we lack ourselves (a descriptor, room in the journal) is no failure of the endpoint. Danger: taken for
 // one, a full disk or a table of descriptors that clients have filled makes every destination look out, and a
 // ramp follows.
-void Calls::withhold(Line& line) { line.failed = line.withheld = true; }
+void AttemptSender::withhold(EndpointConnection& line) { line.failed = line.withheld = true; }
 
-void Calls::letGo(Line& line, AttemptOutcome ending) {
+void AttemptSender::letGo(EndpointConnection& line, AttemptOutcome ending) {
   tellAll(line, ending);
   line.members.clear();
   release(line);
@@ -500,58 +503,58 @@
 // How a call ended that brought no good answer: before its last byte was written it cannot have run. A first
 // line that says 200 is true, whatever follows it. Anything else that came was spoilt by an endpoint that is
 // there and has run the call: no dead connection, of which the module would think less.
-AttemptOutcome Calls::unanswered(const Line& line, AttemptOutcome otherwise) const {
-  if (!line.lastByteWritten()) return AttemptOutcome::connectFailed;
+AttemptOutcome AttemptSender::unanswered(const EndpointConnection& line, AttemptOutcome otherwise) const {
+  if (!line.isRequestWritten()) return AttemptOutcome::connectFailed;
   if (line.status() == 200 && line.members.size() == 1) return AttemptOutcome::completed;
-  return line.heard() ? AttemptOutcome::error : otherwise;
+  return line.hasReceived() ? AttemptOutcome::error : otherwise;
 }
 
 // Danger: a head that does not end, or a body that is shorter than was said, would hold the call, its slot
 // and the message's time until its time-out.
-void Calls::begun(HttpLink& link) {
-  Line& line = static_cast<Line&>(link);
+void AttemptSender::onResponseStarted(HttpClientConnection& link) {
+  EndpointConnection& line = static_cast<EndpointConnection&>(link);
   if (line.wholeBy >= 0 || line.status() == 0) return;
   line.wholeBy = loop_.now() + kRest;
   settle(line);
 }
 
-void Calls::broke(HttpLink& link) {
-  Line& line = static_cast<Line&>(link);
+void AttemptSender::onBroken(HttpClientConnection& link) {
+  EndpointConnection& line = static_cast<EndpointConnection&>(link);
   AttemptOutcome ending =
       line.withheld ? AttemptOutcome::localResourceExhausted : unanswered(line, AttemptOutcome::reset);
   if (line.withheld)
     log::warn("launch.withheld",
               {{"endpoint", nameAt(line.endpoint)},
-               {"why", line.lacking() ? "no descriptor" : "not noted, or not listed any more"}});
+               {"why", line.isOutOfResources() ? "no descriptor" : "not noted, or not listed any more"}});
   if (line.probing) probeEnded(line, ending);
   letGo(line, ending);
 }
 
-Millis Calls::connectBy(const Line& line) const {
-  return line.busy() && !line.up() ? line.sent + connectWithin_ : kForever;
+Millis AttemptSender::connectBy(const EndpointConnection& line) const {
+  return line.isBusy() && !line.isConnected() ? line.sent + connectWithin_ : kForever;
 }
 
 // Only lines whose time has come are looked at; a line that is trusted for less long than before comes first.
-void Calls::tick() {
+void AttemptSender::onTick() {
   if (idleMost() < idleMostSeen_) {
-    std::vector<Line*> idle;
+    std::vector<EndpointConnection*> idle;
     for (const auto& [usedAt, line] : oldest_) idle.push_back(line);
-    for (Line* line : idle) settle(*line);
+    for (EndpointConnection* line : idle) settle(*line);
   }
   idleMostSeen_ = idleMost();
   while (!dues_.empty() && dues_.begin()->first <= loop_.now()) look(*dues_.begin()->second);
 }
 
-void Calls::look(Line& line) {
-  if (line.busy() && line.lastByteWritten()) {  // its answer may lie there unread
-    std::size_t links = lines_.size();
-    line.catchUp();
-    if (lines_.size() < links) return;  // released
-    if (!line.busy() || loop_.now() < dueOf(line)) return settle(line);
+void AttemptSender::look(EndpointConnection& line) {
+  if (line.isBusy() && line.isRequestWritten()) {  // its answer may lie there unread
+    std::size_t links = connections_.size();
+    line.readPending();
+    if (connections_.size() < links) return;  // released
+    if (!line.isBusy() || loop_.now() < dueOf(line)) return settle(line);
   }
-  bool spoilt = line.busy() && line.wholeBy >= 0 && loop_.now() >= line.wholeBy;
-  if (line.failed || spoilt || loop_.now() >= connectBy(line)) return broke(line);
-  if (!line.busy()) {
+  bool spoilt = line.isBusy() && line.wholeBy >= 0 && loop_.now() >= line.wholeBy;
+  if (line.failed || spoilt || loop_.now() >= connectBy(line)) return onBroken(line);
+  if (!line.isBusy()) {
     if (loop_.now() >= line.usedAt + idleMost()) return release(line);
     return settle(line);
   }
@@ -559,7 +562,7 @@
     probeEnded(line, AttemptOutcome::timeout);
     return release(line);
   }
-  for (Member& m : line.members) {
+  for (BatchedAttempt& m : line.members) {
     // A connection that never came up has attempted nothing, and its time was not up either: not sent.
     if (m.told || loop_.now() < m.due) continue;
     m.off = m.off || keepsCall(line, m);
@@ -567,7 +570,7 @@
       m.due = timeUp(m);
     } else {
       tell(line, m,
-           line.lastByteWritten() ? unanswered(line, AttemptOutcome::timeout) : AttemptOutcome::notSent,
+           line.isRequestWritten() ? unanswered(line, AttemptOutcome::timeout) : AttemptOutcome::notSent,
            false, 0);
     }
   }
@@ -575,10 +578,11 @@
   settle(line);
 }
 
-Millis Calls::due() const { return dues_.empty() ? kForever : dues_.begin()->first; }
+Millis AttemptSender::due() const { return dues_.empty() ? kForever : dues_.begin()->first; }
 
-bool Calls::idle() const {
-  return std::none_of(lines_.begin(), lines_.end(), [](const auto& l) { return !l->members.empty(); });
+bool AttemptSender::idle() const {
+  return std::none_of(connections_.begin(), connections_.end(),
+                      [](const auto& l) { return !l->members.empty(); });
 }
 
 }  // namespace stonewing::net
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -54,26 +54,26 @@
 }
 
 struct Row {
-  Site site;
+  DiscoveredEndpoint site;
   double weight{};
   EndpointState phase{};
 };
 
 Row rowOf(const json& entry, const NameTables& facts) try {
   Row row;
-  row.site.note.name = entry.at("id").get<std::string>();
+  row.site.record.name = entry.at("id").get<std::string>();
   row.phase = phaseOf(entry.at("state").get<std::string>());
   row.site.authority = entry.at("addr").get<std::string>();
-  auto address = addressOf(row.site.authority);
-  if (!address) throw Malformed("bad address of " + row.site.note.name);
+  auto address = parseAddress(row.site.authority);
+  if (!address) throw Malformed("bad address of " + row.site.record.name);
   row.site.address = *address;
-  row.site.note.zone = placeOf<ZoneId>(facts.zones, entry.at("zone").get<std::string>());
-  row.site.note.kind = placeOf<KindId>(facts.kinds, entry.at("kind").get<std::string>());
+  row.site.record.zone = placeOf<ZoneId>(facts.zones, entry.at("zone").get<std::string>());
+  row.site.record.kind = placeOf<KindId>(facts.kinds, entry.at("kind").get<std::string>());
   auto cell = entry.at("cell").get<std::int64_t>();
-  if (cell < 0 || cell > 0xffff) throw Malformed("bad cell of " + row.site.note.name);
-  row.site.note.destination = DestinationId{static_cast<std::uint16_t>(cell)};
+  if (cell < 0 || cell > 0xffff) throw Malformed("bad cell of " + row.site.record.name);
+  row.site.record.destination = DestinationId{static_cast<std::uint16_t>(cell)};
   row.weight = entry.value("weight", 1.0);
-  if (!std::isfinite(row.weight)) throw Malformed("bad weight of " + row.site.note.name);
+  if (!std::isfinite(row.weight)) throw Malformed("bad weight of " + row.site.record.name);
   return row;
 } catch (const json::exception& problem) {
   throw Malformed(problem.what());
@@ -81,21 +81,21 @@
 
 }  // namespace
 
-Catalog::Catalog(Loop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
-                 std::string host, std::uint64_t seed)
+DiscoveryClient::DiscoveryClient(EventLoop& loop, DispatchPolicy& rules, const NameTables& facts,
+                                 sockaddr_in discovery, std::string host, std::uint64_t seed)
     : loop_(loop),
-      rules_(rules),
-      facts_(facts),
-      discovery_(discovery),
+      policy_(rules),
+      names_(facts),
+      address_(discovery),
       host_(std::move(host)),
       chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
 // The same number for a name at every dispatcher and after every restart, so that rankings stay as they are.
-EndpointId Catalog::idOf(const std::string& name) {
+EndpointId DiscoveryClient::idOf(const std::string& name) {
   auto at = ids_.find(name);
   if (at != ids_.end()) return at->second;
   EndpointId id{XXH3_64bits(name.data(), name.size()) >> 1};  // the module keeps the topmost bit for itself
-  while (sites_.contains(id)) ++id.value;
+  while (endpoints_.contains(id)) ++id.value;
   ids_[name] = id;
   return id;
 }
@@ -104,7 +104,7 @@
 // from being told. They are taken; for what the entry said the whole list is asked once more, and only where
 // that has such entries too is it gone on from. An endpoint that one of them names stays as it was, or drains
 // or goes where that much can be read.
-bool Catalog::told(const json& answer) {
+bool DiscoveryClient::applyAnswer(const json& answer) {
   std::vector<Row> rows;
   bool full = false;
   std::int64_t version = 0;
@@ -117,19 +117,19 @@
     };
     auto id = ids_.find(said("id"));
     auto known =
-        id == ids_.end() ? rules_.state().endpoints.end() : rules_.state().endpoints.find(id->second);
-    if (known == rules_.state().endpoints.end()) return;
+        id == ids_.end() ? policy_.state().endpoints.end() : policy_.state().endpoints.find(id->second);
+    if (known == policy_.state().endpoints.end()) return;
     const Endpoint& e = known->second;
     std::string state = said("state");
     bool leaves = e.state != EndpointState::removed && (state == "terminating" || state == "terminated");
-    rows.push_back({sites_.at(id->second), e.weight, leaves ? phaseOf(state) : e.state});
+    rows.push_back({endpoints_.at(id->second), e.weight, leaves ? phaseOf(state) : e.state});
   };
   try {
     version = answer.at("version").get<std::int64_t>();
     full = answer.at("full").get<bool>();
     for (const json& entry : answer.at("servers")) {
       try {
-        rows.push_back(rowOf(entry, facts_));
+        rows.push_back(rowOf(entry, names_));
       } catch (const Malformed& problem) {
         if (unusable++ == 0) why = problem.what();
         asItWas(entry);
@@ -142,18 +142,19 @@
   doubted_ = !goesOn;
   if (unusable > 0) log::warn("list.entries_passed_over", {{"entries", unusable}, {"why", why}});
   if (full || !rows.empty()) {
-    rules_.beginEndpointList();
+    policy_.beginEndpointList();
     for (Row& row : rows) {
-      const EndpointRecord& note = row.site.note;
+      const EndpointRecord& note = row.site.record;
       EndpointId id = idOf(note.name);
-      rules_.addEndpoint(id, note.destination, note.kind, note.zone, row.weight, row.phase);
+      policy_.addEndpoint(id, note.destination, note.kind, note.zone, row.weight, row.phase);
       destinations_.insert(note.destination);
-      sites_[id] = std::move(row.site);
+      endpoints_[id] = std::move(row.site);
     }
-    rules_.commitEndpointList(full && goesOn);
+    policy_.commitEndpointList(full && goesOn);
     // What the module has forgotten is not needed here either.
-    std::erase_if(sites_, [&](const auto& site) { return !rules_.state().endpoints.contains(site.first); });
-    std::erase_if(ids_, [&](const auto& name) { return !sites_.contains(name.second); });
+    std::erase_if(endpoints_,
+                  [&](const auto& site) { return !policy_.state().endpoints.contains(site.first); });
+    std::erase_if(ids_, [&](const auto& name) { return !endpoints_.contains(name.second); });
   }
   whole_ = !goesOn;
   if (goesOn) version_ = version;
@@ -161,24 +162,24 @@
 }
 
 // In one go: the end of a list costs by all that is held.
-void Catalog::remember(const std::map<MessageId, StoredMessage>& held) {
-  rules_.beginEndpointList();
+void DiscoveryClient::addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& held) {
+  policy_.beginEndpointList();
   for (const auto& [callback, one] : held) {
     for (const AttemptRecord& launch : one.attempts) {
       const EndpointRecord& note = launch.endpoint;
       EndpointId id = idOf(note.name);
-      if (!sites_.try_emplace(id, Site{note, {}, {}}).second) continue;
+      if (!endpoints_.try_emplace(id, DiscoveredEndpoint{note, {}, {}}).second) continue;
       destinations_.insert(note.destination);
-      rules_.addEndpoint(id, note.destination, note.kind, note.zone, 0, EndpointState::removed);
+      policy_.addEndpoint(id, note.destination, note.kind, note.zone, 0, EndpointState::removed);
     }
   }
-  rules_.commitEndpointList(false);
+  policy_.commitEndpointList(false);
 }
 
-void Catalog::moveTo(sockaddr_in discovery, std::string host) {
-  discovery_ = discovery;
+void DiscoveryClient::changeAddress(sockaddr_in discovery, std::string host) {
+  address_ = discovery;
   host_ = std::move(host);
-  HttpLink::drop(loop_, link_);
+  HttpClientConnection::closeLater(loop_, link_);
   out_ = false;
   whole_ = true;  // the version of another teller says nothing of what was missed
   pause_ = 0;
@@ -186,26 +187,26 @@
 }
 
 // Danger: a connection that never comes up, or an answer that trickles, given the time of the whole watch.
-Millis Catalog::due() const {
+Millis DiscoveryClient::due() const {
   if (!out_) return notBefore_;
-  if (!link_->up()) return since_ + kConnectWithin;
+  if (!link_->isConnected()) return since_ + kConnectWithin;
   return wholeBy_ >= 0 ? wholeBy_ : since_ + (whole_ ? 0 : kWatch) + kOutlasts;
 }
 
-void Catalog::tick() {
+void DiscoveryClient::onTick() {
   if (loop_.now() < due()) return;
   if (out_) {
-    broke(*link_);  // discovery is silent: the list stays as it was
+    onBroken(*link_);  // discovery is silent: the list stays as it was
   } else {
-    ask();
+    poll();
   }
 }
 
-void Catalog::ask() {
-  if (!link_ || !link_->isOpen() || !link_->stillGood()) {
-    HttpLink::drop(loop_, link_);
-    link_ = std::make_unique<HttpLink>(loop_, *this, kAnswerMost);
-    if (!link_->open(discovery_)) return later(kPauseFirst, kPauseMost);
+void DiscoveryClient::poll() {
+  if (!link_ || !link_->isOpen() || !link_->isReusable()) {
+    HttpLink::closeLater(loop_, link_);
+    link_ = std::make_unique<HttpClientConnection>(loop_, *this, kAnswerMost);
+    if (!link_->open(address_)) return scheduleRetry(kPauseFirst, kPauseMost);
   }
   std::string target = "/catalog/members";
   if (!whole_) {
@@ -213,50 +214,51 @@
               "&timeout_ms=" + std::to_string(static_cast<std::int64_t>(kWatch));
   }
   link_->add("GET " + target + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n");
-  link_->begin();
+  link_->startExchange();
   out_ = true;
   since_ = loop_.now();
   wholeBy_ = -1;
 }
 
-void Catalog::begun(HttpLink&) {
+void DiscoveryClient::onResponseStarted(HttpClientConnection&) {
   if (wholeBy_ < 0) wholeBy_ = loop_.now() + kWholeWithin;
 }
 
-void Catalog::answered(HttpLink& link) {
+void DiscoveryClient::onResponse(HttpClientConnection& link) {
   out_ = false;
   if (link.status() == 503) {  // nothing is wrong with the list it goes on from
-    later(kTurnedAway, kTurnedAway);
-    return log::info("list.turned_away", {{"after_ms", notBefore_ - loop_.now()}, {"kept", sites_.size()}});
+    scheduleRetry(kTurnedAway, kTurnedAway);
+    return log::info("list.turned_away",
+                     {{"after_ms", notBefore_ - loop_.now()}, {"kept", endpoints_.size()}});
   }
   try {
     if (link.status() != 200) throw Malformed("status " + std::to_string(link.status()));
     const json answer = json::parse(link.body(), nullptr, false);
     if (answer.is_discarded()) throw Malformed("not JSON");
-    if (!told(answer)) return later(kPauseFirst, kPauseMost);
+    if (!applyAnswer(answer)) return scheduleRetry(kPauseFirst, kPauseMost);
     heard_ = true;
     pause_ = 0;
     notBefore_ = loop_.now();  // a watch goes on only when asked for again at once
   } catch (const Malformed& problem) {
-    log::warn("list.unreadable", {{"why", problem.what()}, {"kept", sites_.size()}});
+    log::warn("list.unreadable", {{"why", problem.what()}, {"kept", endpoints_.size()}});
     whole_ = true;
-    later(kPauseFirst, kPauseMost);
+    scheduleRetry(kPauseFirst, kPauseMost);
   }
 }
 
-void Catalog::broke(HttpLink& link) {
+void DiscoveryClient::onBroken(HttpClientConnection& link) {
   // Danger: dropped without a word, the dispatcher would answer PING and refuse every message.
-  if (out_ && link.heard()) {
+  if (out_ && link.hasReceived()) {
     log::warn("list.unreadable",
               {{"why", "it broke off, is no HTTP or is over " + std::to_string(kAnswerMost) + " bytes"},
-               {"kept", sites_.size()}});
+               {"kept", endpoints_.size()}});
   }
   link.close();
-  if (std::exchange(out_, false)) later(kPauseFirst, kPauseMost);
+  if (std::exchange(out_, false)) scheduleRetry(kPauseFirst, kPauseMost);
 }
 
 // Spread by chance: dispatchers that failed together must not come again together.
-void Catalog::later(Millis first, Millis most) {
+void DiscoveryClient::scheduleRetry(Millis first, Millis most) {
   pause_ = std::clamp(2 * pause_, first, most);
   std::uniform_real_distribution<double> spread(1 - kPauseSpread, 1 + kPauseSpread);
   notBefore_ = loop_.now() + pause_ * spread(chance_);
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -13,52 +13,52 @@
 
 namespace stonewing::net {
 
-struct Site {
-  EndpointRecord note;
+struct DiscoveredEndpoint {
+  EndpointRecord record;
   sockaddr_in address{};
   std::string authority;  // the address as the list words it
 };
 
 // Which endpoints there are, as discovery tells it: a list to start from, then a watch that goes on and on.
-class Catalog : public HttpLink::Owner {
+class DiscoveryClient : public HttpLink::Observer {
  public:
-  Catalog(Loop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery, std::string host,
-          std::uint64_t seed);
+  DiscoveryClient(EventLoop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
+                  std::string host, std::uint64_t seed);
 
   // Tells the rules a list, or changes. Throws Malformed and tells nothing where it cannot be read. False:
   // some entries could not be used, and the whole list is to be asked for.
-  bool told(const nlohmann::json& answer);
+  bool applyAnswer(const nlohmann::json& answer);
   // Endpoints that no list names any more, but that restored messages were attempted at.
-  void remember(const std::map<MessageId, StoredMessage>& held);
+  void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& held);
 
-  const Site* find(EndpointId id) const {
-    auto at = sites_.find(id);
-    return at == sites_.end() ? nullptr : &at->second;
+  const DiscoveredEndpoint* find(EndpointId id) const {
+    auto at = endpoints_.find(id);
+    return at == endpoints_.end() ? nullptr : &at->second;
   }
   EndpointId idOf(const std::string& name);
-  std::size_t count() const { return sites_.size(); }
+  std::size_t count() const { return endpoints_.size(); }
   // Whether it ever had an endpoint, as far as this process was told.
   bool knows(DestinationId destination) const { return destinations_.contains(destination); }
-  bool heard() const { return heard_; }
+  bool hasAnswered() const { return heard_; }
 
   // Discovery is to be asked at another address from now on; the list stays until that one answers.
-  void moveTo(sockaddr_in discovery, std::string host);
-  void tick();  // asks anew, gives up a watch that outlasts its time
+  void changeAddress(sockaddr_in discovery, std::string host);
+  void onTick();  // asks anew, gives up a watch that outlasts its time
   Millis due() const;
 
  private:
-  void begun(HttpLink& link) override;
-  void answered(HttpLink& link) override;
-  void broke(HttpLink& link) override;
-  void ask();
-  void later(Millis first, Millis most);
+  void onResponseStarted(HttpClientConnection& link) override;
+  void onResponse(HttpClientConnection& link) override;
+  void onBroken(HttpClientConnection& link) override;
+  void poll();
+  void scheduleRetry(Millis first, Millis most);
 
-  Loop& loop_;
-  DispatchPolicy& rules_;
-  const NameTables& facts_;
-  sockaddr_in discovery_;
+  EventLoop& loop_;
+  DispatchPolicy& policy_;
+  const NameTables& names_;
+  sockaddr_in address_;
   std::string host_;
-  std::unique_ptr<HttpLink> link_;
+  std::unique_ptr<HttpClientConnection> link_;
   bool out_{false};
   Millis since_{0};
   Millis notBefore_{0};
@@ -70,7 +70,7 @@
   std::int64_t version_{0};
   bool heard_{false};  // discovery itself has told a list or changes
   std::set<DestinationId> destinations_;
-  std::map<EndpointId, Site> sites_;
+  std::map<EndpointId, DiscoveredEndpoint> endpoints_;
   std::unordered_map<std::string, EndpointId> ids_;
 };
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -38,39 +38,39 @@
 
 }  // namespace
 
-std::optional<std::uint64_t> wholeNumber(std::string_view digits) {
+std::optional<std::uint64_t> parseWholeNumber(std::string_view digits) {
   std::uint64_t value = 0;
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
   if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
   return value;
 }
 
-AnswerReader::Step AnswerReader::firstLine(std::string_view bytes) {
+HttpResponseParser::Progress HttpResponseParser::firstLine(std::string_view bytes) {
   std::string_view line = bytes.substr(begin_);
   std::size_t feed = line.find('\n');
   constexpr std::string_view kStart = "HTTP/1.";
   std::size_t known = std::min(line.size(), kStart.size());
   if (line.substr(0, known) != kStart.substr(0, known) || std::min(feed, line.size()) > kHeadMost) {
-    return Step::broken;
+    return Progress::malformed;
   }
-  if (feed == std::string_view::npos) return Step::more;
+  if (feed == std::string_view::npos) return Progress::needsMore;
   line = trimmed(line.substr(0, feed));
   // HTTP/1.x, a blank, three digits, and nothing or a blank behind them.
-  if (line.size() < 12 || (line[7] != '0' && line[7] != '1') || line[8] != ' ') return Step::broken;
-  if (line.size() > 12 && line[12] != ' ') return Step::broken;
-  auto status = wholeNumber(line.substr(9, 3));
-  if (!status || *status < 100) return Step::broken;
+  if (line.size() < 12 || (line[7] != '0' && line[7] != '1') || line[8] != ' ') return Progress::malformed;
+  if (line.size() > 12 && line[12] != ' ') return Progress::malformed;
+  auto status = parseWholeNumber(line.substr(9, 3));
+  if (!status || *status < 100) return Progress::malformed;
   status_ = static_cast<int>(*status);
   keeps_ = line[7] == '1';
   headersAt_ = begin_ + feed + 1;
-  return Step::whole;
+  return Progress::complete;
 }
 
-AnswerReader::Step AnswerReader::head(std::string_view bytes) {
+HttpResponseParser::Progress HttpResponseParser::head(std::string_view bytes) {
   for (std::size_t at = headersAt_;;) {
     std::size_t feed = bytes.find('\n', at);
-    if (std::min(feed, bytes.size()) - begin_ > kHeadMost) return Step::broken;
-    if (feed == std::string_view::npos) return Step::more;
+    if (std::min(feed, bytes.size()) - begin_ > kHeadMost) return Progress::malformed;
+    if (feed == std::string_view::npos) return Progress::needsMore;
     std::string_view line = trimmed(bytes.substr(at, feed - at));
     at = feed + 1;
     if (line.empty()) {
@@ -82,14 +82,14 @@
     bool named = colon != std::string_view::npos && colon > 0 &&
                  std::all_of(line.begin(), line.begin() + static_cast<std::ptrdiff_t>(colon),
                              [](unsigned char c) { return c > ' ' && c < 0x7f; });
-    if (!named) return Step::broken;
+    if (!named) return Progress::malformed;
   }
   if (status_ < 200) {  // interim: the real answer follows
-    if (status_ == 101) return Step::broken;
+    if (status_ == 101) return Progress::malformed;
     begin_ = bodyAt_;
     headersAt_ = bodyAt_ = 0;
     status_ = 0;
-    return Step::whole;
+    return Progress::complete;
   }
   std::string_view connection = header(bytes, "Connection");
   if (lists(connection, "close")) keeps_ = false;
@@ -97,72 +97,73 @@
   std::string_view coding = header(bytes, "Transfer-Encoding");
   std::string_view length = header(bytes, "Content-Length");
   if (!coding.empty()) {
-    if (!sameWord(coding, "chunked")) return Step::broken;
+    if (!sameWord(coding, "chunked")) return Progress::malformed;
     chunked_ = true;
     chunkAt_ = bodyAt_;
   } else if (!length.empty()) {
-    auto n = wholeNumber(length);
-    if (!n || *n > (std::uint64_t{1} << 40)) return Step::broken;
+    auto n = parseWholeNumber(length);
+    if (!n || *n > (std::uint64_t{1} << 40)) return Progress::malformed;
     bodyLength_ = *n;
   } else if (status_ != 204 && status_ != 304) {
     untilEnd_ = true;
     keeps_ = false;
   }
-  return Step::whole;
+  return Progress::complete;
 }
 
-AnswerReader::Step AnswerReader::chunks(std::string_view bytes) {
+HttpResponseParser::Progress HttpResponseParser::chunks(std::string_view bytes) {
   for (;;) {
     std::size_t feed = bytes.find('\n', chunkAt_);
     if (feed == std::string_view::npos)
-      return bytes.size() - chunkAt_ > kHeadMost ? Step::broken : Step::more;
+      return bytes.size() - chunkAt_ > kHeadMost ? Progress::malformed : Progress::needsMore;
     std::string_view line = trimmed(bytes.substr(chunkAt_, feed - chunkAt_));
     line = trimmed(line.substr(0, line.find(';')));
     std::uint64_t size = 0;
     auto [end, error] = std::from_chars(line.data(), line.data() + line.size(), size, 16);
     if (line.empty() || error != std::errc() || end != line.data() + line.size() || size > (1u << 30)) {
-      return Step::broken;
+      return Progress::malformed;
     }
     if (size == 0) {  // trailers up to a blank line
       for (std::size_t at = feed + 1;;) {
         std::size_t next = bytes.find('\n', at);
-        if (next == std::string_view::npos) return bytes.size() - at > kHeadMost ? Step::broken : Step::more;
+        if (next == std::string_view::npos)
+          return bytes.size() - at > kHeadMost ? Progress::malformed : Progress::needsMore;
         bool blank = trimmed(bytes.substr(at, next - at)).empty();
         at = next + 1;
         if (blank) {
           end_ = at;
-          return Step::whole;
+          return Progress::complete;
         }
       }
     }
-    if (bytes.size() < feed + 1 + size + 2) return Step::more;
-    if (bytes.substr(feed + 1 + size, 2) != "\r\n") return Step::broken;
+    if (bytes.size() < feed + 1 + size + 2) return Progress::needsMore;
+    if (bytes.substr(feed + 1 + size, 2) != "\r\n") return Progress::malformed;
     decoded_.append(bytes.substr(feed + 1, size));
     chunkAt_ = feed + 1 + size + 2;
   }
 }
 
-AnswerReader::Step AnswerReader::step(std::string_view bytes, bool ended) {
-  Step now = Step::whole;
+HttpResponseParser::Progress HttpResponseParser::parse(std::string_view bytes, bool ended) {
+  Progress now = Progress::complete;
   while (bodyAt_ == 0) {
     if (headersAt_ == 0) now = firstLine(bytes);
-    if (now == Step::whole) now = head(bytes);
-    if (now != Step::whole) return ended ? Step::broken : now;
+    if (now == Progress::complete) now = head(bytes);
+    if (now != Progress::complete) return ended ? Progress::malformed : now;
   }
   if (chunked_) {
     now = chunks(bytes);
   } else if (untilEnd_) {
-    now = ended ? Step::whole : Step::more;
+    now = ended ? Progress::complete : Progress::needsMore;
     bodyLength_ = bytes.size() - bodyAt_;
     end_ = bytes.size();
   } else {
-    now = bytes.size() - bodyAt_ >= bodyLength_ ? Step::whole : Step::more;
+    now = bytes.size() - bodyAt_ >= bodyLength_ ? Progress::complete : Progress::needsMore;
     end_ = bodyAt_ + bodyLength_;
   }
-  return now == Step::more && ended ? Step::broken : now;
+  return now == Progress::needsMore && ended ? Progress::malformed : now;
 }
 
-std::string_view AnswerReader::header(std::string_view bytes, std::string_view name) const {
+std::string_view HttpResponseParser::header(std::string_view bytes, std::string_view name) const {
   if (bodyAt_ == 0) return {};
   for (std::size_t at = headersAt_; at < bodyAt_;) {
     std::size_t feed = bytes.find('\n', at);
@@ -176,15 +177,15 @@
   return {};
 }
 
-std::string_view AnswerReader::body(std::string_view bytes) const {
+std::string_view HttpResponseParser::body(std::string_view bytes) const {
   return chunked_ ? std::string_view(decoded_) : bytes.substr(bodyAt_, bodyLength_);
 }
 
-bool HttpLink::open(const sockaddr_in& to) {
+bool HttpClientConnection::open(const sockaddr_in& to) {
   auto made = [] { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); };
   fd_ = made();
   // Danger: idle clients hold all descriptors, and nothing is delivered nor heard any more.
-  if (fd_ < 0 && (errno == EMFILE || errno == ENFILE) && loop_.madeRoom()) fd_ = made();
+  if (fd_ < 0 && (errno == EMFILE || errno == ENFILE) && loop_.freeDescriptor()) fd_ = made();
   lacking_ = fd_ < 0;
   if (lacking_) return false;
   int on = 1;
@@ -198,32 +199,32 @@
   return false;
 }
 
-void HttpLink::begin() {
+void HttpClientConnection::startExchange() {
   busy_ = true;
   in_.clear();
   answer_ = {};
-  if (fd_ >= 0 && up_ && out_.write(fd_) != Outgoing::Wrote::all) loop_.again(fd_);
+  if (fd_ >= 0 && up_ && out_.write(fd_) != WriteBuffer::WriteResult::all) loop_.reschedule(fd_);
 }
 
-void HttpLink::close() {
+void HttpClientConnection::close() {
   if (fd_ < 0) return;
-  loop_.forget(fd_);
+  loop_.unwatch(fd_);
   ::close(fd_);
   fd_ = -1;
 }
 
-bool HttpLink::stillGood() const {
+bool HttpClientConnection::isReusable() const {
   char byte;
   return fd_ >= 0 && ::recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void HttpLink::fail() {
+void HttpClientConnection::fail() {
   close();
-  owner_.broke(*this);
+  observer_.onBroken(*this);
 }
 
-void HttpLink::ready(std::uint32_t events) {
+void HttpClientConnection::onEvents(std::uint32_t events) {
   bool halfWritten = up_ && busy_ && !out_.empty();
   if (!up_) {
     if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return;
@@ -233,45 +234,47 @@
     if (error != 0 || (events & EPOLLERR) != 0) return fail();
     if ((events & EPOLLOUT) == 0) return;
     up_ = true;
-    if (!owner_.mayBegin(*this)) return;
+    if (!observer_.mayStartExchange(*this)) return;
   }
-  if (halfWritten && !owner_.mayGoOn(*this)) return;
+  if (halfWritten && !owner_.mayContinueExchange(*this)) return;
   if (!out_.empty()) write();
   if (fd_ >= 0) read((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
 }
 
-void HttpLink::write() {
+void HttpClientConnection::write() {
   // A server may answer, or end, before it has read all: what it said is read before the link is failed.
-  if (out_.write(fd_) == Outgoing::Wrote::broken) {
+  if (out_.write(fd_) == WriteBuffer::WriteResult::broken) {
     read(true);
     if (fd_ >= 0 && busy_) fail();
   }
 }
 
-void HttpLink::read(bool mayHaveEnded) {
-  Got got = readInto(fd_, in_, most_, mayHaveEnded);
+void HttpClientConnection::read(bool mayHaveEnded) {
+  ReadResult got = readAvailable(fd_, in_, most_, mayHaveEnded);
   if (!busy_) {  // an idle connection that ends or talks is of no use
-    if (got != Got::drained || !in_.empty()) fail();
+    if (got != ReadResult::wouldBlock || !in_.empty()) fail();
     return;
   }
-  bool ended = got == Got::ended || got == Got::broken;
+  bool ended = got == ReadResult::endOfStream || got == ReadResult::broken;
   if (in_.empty() && !ended) return;
-  auto step = answer_.step(in_, got == Got::ended);
+  auto step = answer_.parse(in_, got == ReadResult::endOfStream);
   // An answer may claim gigabytes and keep coming: what it claims is not waited for.
-  bool tooLong = answer_.claimed() > most_ || (got == Got::more && in_.size() >= most_);
-  if (step == AnswerReader::Step::more && tooLong) step = AnswerReader::Step::broken;
-  if (step == AnswerReader::Step::more && !ended) {
-    if (got == Got::more) loop_.again(fd_);
-    owner_.begun(*this);
+  bool tooLong = answer_.announcedLength() > most_ || (got == ReadResult::more && in_.size() >= most_);
+  if (step == HttpResponseParser::Progress::needsMore && tooLong)
+    step = HttpResponseParser::Progress::malformed;
+  if (step == HttpResponseParser::Progress::needsMore && !ended) {
+    if (got == ReadResult::more) loop_.reschedule(fd_);
+    observer_.onResponseStarted(*this);
     return;
   }
-  if (step != AnswerReader::Step::whole) return fail();
+  if (step != HttpResponseParser::Progress::complete) return fail();
   // Open for another exchange only where nothing is left over and our own bytes are all out.
-  if (ended || !answer_.keeps() || in_.size() > answer_.length() || !out_.empty() || got == Got::more) {
+  if (ended || !answer_.keepsAlive() || in_.size() > answer_.length() || !out_.empty() ||
+      got == ReadResult::more) {
     close();
   }
   busy_ = false;
-  owner_.answered(*this);
+  observer_.onResponse(*this);
 }
 
 }  // namespace stonewing::net
--- a/src/net/intake.cpp
+++ b/src/net/intake.cpp
@@ -40,36 +40,39 @@
 constexpr std::size_t kDroppedMost = 1024 * 1024;  // of what still comes behind an error
 
 // "*3\r\n" or "$12\r\n" at `at`.
-Parsed readCount(std::string_view bytes, std::size_t& at, char sign, std::size_t most, std::size_t& count) {
-  if (at >= bytes.size()) return Parsed::more;
-  if (bytes[at] != sign) return Parsed::broken;
+RespParseResult readCount(std::string_view bytes, std::size_t& at, char sign, std::size_t most,
+                          std::size_t& count) {
+  if (at >= bytes.size()) return RespParseResult::needsMore;
+  if (bytes[at] != sign) return RespParseResult::malformed;
   std::size_t feed = bytes.find('\n', at);
-  if (feed == std::string_view::npos) return bytes.size() - at > kLineMost ? Parsed::broken : Parsed::more;
-  if (feed - at < 3 || feed - at > kLineMost || bytes[feed - 1] != '\r') return Parsed::broken;
-  auto number = wholeNumber(bytes.substr(at + 1, feed - at - 2));
-  if (!number || *number > most) return Parsed::broken;
+  if (feed == std::string_view::npos)
+    return bytes.size() - at > kLineMost ? RespParseResult::malformed : RespParseResult::needsMore;
+  if (feed - at < 3 || feed - at > kLineMost || bytes[feed - 1] != '\r') return RespParseResult::malformed;
+  auto number = parseWholeNumber(bytes.substr(at + 1, feed - at - 2));
+  if (!number || *number > most) return RespParseResult::malformed;
   count = *number;
   at = feed + 1;
-  return Parsed::whole;
+  return RespParseResult::complete;
 }
 
 }  // namespace
 
-Parsed readCommand(std::string_view bytes, std::vector<std::string_view>& words, std::size_t& used) {
+RespParseResult parseRespCommand(std::string_view bytes, std::vector<std::string_view>& words,
+                                 std::size_t& used) {
   words.clear();
   std::size_t at = 0;
   std::size_t n = 0;
-  Parsed got = readCount(bytes, at, '*', kWordsMost, n);
-  if (got == Parsed::whole && n == 0) return Parsed::broken;
-  for (std::size_t i = 0; got == Parsed::whole && i < n; ++i) {
+  RespParseResult got = readCount(bytes, at, '*', kWordsMost, n);
+  if (got == RespParseResult::complete && n == 0) return RespParseResult::malformed;
+  for (std::size_t i = 0; got == RespParseResult::complete && i < n; ++i) {
     std::size_t length = 0;
     got = readCount(bytes, at, '$', kBodyMost, length);
-    if (got != Parsed::whole) break;
+    if (got != RespParseResult::complete) break;
     if (bytes.size() < at + length + 2) {
-      if (bytes.size() > at + length && bytes[at + length] != '\r') return Parsed::broken;
-      return at + length > kCommandMost ? Parsed::broken : Parsed::more;
+      if (bytes.size() > at + length && bytes[at + length] != '\r') return RespParseResult::malformed;
+      return at + length > kCommandMost ? RespParseResult::malformed : RespParseResult::needsMore;
     }
-    if (bytes.substr(at + length, 2) != "\r\n") return Parsed::broken;
+    if (bytes.substr(at + length, 2) != "\r\n") return RespParseResult::malformed;
     words.push_back(bytes.substr(at, length));
     at += length + 2;
   }
@@ -77,14 +80,14 @@
   return got;
 }
 
-class Intake::Client : public Source {
+class RespServer::ClientConnection : public EventHandler {
  public:
-  Client(Intake& intake, int fd) : intake_(intake), fd_(fd), usedAt(intake.loop_.now()) {}
-  ~Client() override { close(); }
+  ClientConnection(RespServer& intake, int fd) : intake_(intake), fd_(fd), usedAt(intake.loop_.now()) {}
+  ~ClientConnection() override { close(); }
 
   bool watch() { return intake_.loop_.watch(fd_, *this); }
 
-  void ready(std::uint32_t events) override {
+  void onEvents(std::uint32_t events) override {
     serve((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
     if (!gone_) intake_.settle(*this);
   }
@@ -92,21 +95,21 @@
     write();
     while (!gone_ && !closing_ && out_.size() <= kUnsentMost) {
       if (in_.empty()) usedAt = intake_.loop_.now();  // a command begins, if anything came
-      Got got = readInto(fd_, in_, kCommandMost, mayHaveEnded);
-      if (got == Got::broken) return finish();
-      left_ = got == Got::ended;
+      ReadResult got = readAvailable(fd_, in_, kCommandMost, mayHaveEnded);
+      if (got == ReadResult::broken) return finish();
+      left_ = got == ReadResult::endOfStream;
       commands(left_);
       if (left_ && !owes()) return finish();
       if (left_) end();
-      if (got == Got::drained) break;
-      if (got == Got::more) {  // others have their turn first
-        intake_.loop_.again(fd_);
+      if (got == ReadResult::wouldBlock) break;
+      if (got == ReadResult::more) {  // others have their turn first
+        intake_.loop_.reschedule(fd_);
         break;
       }
     }
     count();
     if (!gone_ && closing_) discard();
-    if (!gone_ && intake_.leaving_) leave();
+    if (!gone_ && intake_.leaving_) drain();
   }
 
   Millis idleFor(Millis now) const { return now - usedAt; }
@@ -120,7 +123,7 @@
   bool lingers() const { return closing_ && !owes(); }
   bool mayClose() const { return between() || lingers(); }
   // One that has just come is about to send; closed with no answer, it would have been refused for nothing.
-  void leave() {
+  void drain() {
     bool fresh = !spoken_ && idleFor(intake_.loop_.now()) < kClientWaits;
     if (between() && !fresh && !speaks()) retire();
   }
@@ -157,20 +160,20 @@
     count();
     intake_.settle(*this);
   }
-  bool waitsFor(const Intake::Decided& decided) const {
+  bool waitsFor(const RespServer::IsDecided& decided) const {
     return std::any_of(answers_.begin(), answers_.end(),
-                       [&](const Answered& a) { return a.ifKept && !decided(*a.ifKept); });
+                       [&](const CommandReply& a) { return a.ifAccepted && !decided(*a.ifAccepted); });
   }
   // What it was answered in this turn goes out.
-  void send(const Instead& instead) {
-    for (Answered& a : std::exchange(answers_, {})) {
-      auto other = a.ifKept ? instead(*a.ifKept) : std::nullopt;
+  void send(const ReplacementReply& instead) {
+    for (CommandReply& a : std::exchange(answers_, {})) {
+      auto other = a.ifAccepted ? instead(*a.ifAccepted) : std::nullopt;
       out_.add(other ? std::move(*other) : std::move(a.text));
     }
     write();
     if (gone_) return;
     if (left_ && out_.empty()) return finish();
-    if (intake_.leaving_) leave();
+    if (intake_.leaving_) drain();
     if (!gone_) intake_.settle(*this);
   }
   void finish() {
@@ -183,7 +186,7 @@
  private:
   void close() {
     if (fd_ < 0) return;
-    intake_.loop_.forget(fd_);
+    intake_.loop_.unwatch(fd_);
     ::close(std::exchange(fd_, -1));
     in_ = {};
     count();
@@ -194,7 +197,7 @@
     counted_ = in_.size();
   }
   bool owes() const { return !out_.empty() || !answers_.empty(); }
-  void answer(Answered answer) {
+  void answer(CommandReply answer) {
     if (answers_.empty()) intake_.answering_.push_back(this);
     answers_.push_back(std::move(answer));
   }
@@ -202,10 +205,10 @@
     std::size_t at = 0;
     while (!closing_) {
       std::size_t used = 0;
-      Parsed got = readCommand(std::string_view(in_).substr(at), words_, used);
-      bool tooLong = got == Parsed::more && in_.size() - at >= kCommandMost;
-      if (got == Parsed::more && !tooLong) break;
-      if (got != Parsed::whole) {
+      RespParseResult got = parseRespCommand(std::string_view(in_).substr(at), words_, used);
+      bool tooLong = got == RespParseResult::needsMore && in_.size() - at >= kCommandMost;
+      if (got == RespParseResult::needsMore && !tooLong) break;
+      if (got != RespParseResult::complete) {
         refuse("-ERR not a command, or over the limit of 65536 bytes\r\n");
         break;
       }
@@ -235,28 +238,28 @@
   }
   void write() {
     if (gone_ || out_.empty()) return;
-    Outgoing::Wrote wrote = out_.write(fd_);
-    if (wrote == Outgoing::Wrote::broken) finish();
-    if (wrote == Outgoing::Wrote::all && closing_ && answers_.empty()) ::shutdown(fd_, SHUT_WR);
+    WriteBuffer::WriteResult wrote = out_.write(fd_);
+    if (wrote == WriteBuffer::WriteResult::broken) finish();
+    if (wrote == WriteBuffer::WriteResult::all && closing_ && answers_.empty()) ::shutdown(fd_, SHUT_WR);
   }
   // An error stands at the end of what we say. What still comes is read and dropped for a while: closing on
   // unread bytes would reset the connection, and the error with it.
   void discard() {
     std::string dropped;
-    Got got = readInto(fd_, dropped, kCommandMost);
+    ReadResult got = readAvailable(fd_, dropped, kCommandMost);
     dropped_ += dropped.size();
-    if (got == Got::broken || (got == Got::ended && !owes())) return finish();
-    left_ = left_ || got == Got::ended;
+    if (got == ReadResult::broken || (got == ReadResult::endOfStream && !owes())) return finish();
+    left_ = left_ || got == ReadResult::endOfStream;
     // One that goes on regardless is read no more, for each byte costs us time; it still has its while to
     // read what we said.
-    if (got == Got::more && dropped_ <= kDroppedMost) intake_.loop_.again(fd_);
+    if (got == ReadResult::more && dropped_ <= kDroppedMost) intake_.loop_.reschedule(fd_);
   }
 
-  Intake& intake_;
+  RespServer& intake_;
   int fd_;
   std::string in_;
-  Outgoing out_;
-  std::vector<Answered> answers_;  // not sent yet
+  WriteBuffer out_;
+  std::vector<CommandReply> answers_;  // not sent yet
   std::vector<std::string_view> words_;
   std::size_t counted_{0};
   std::size_t dropped_{0};
@@ -269,18 +272,18 @@
  public:
   Millis usedAt;
   Millis settled{-1};  // its place among those with patience
-  std::list<std::unique_ptr<Client>>::iterator self{};
+  std::list<std::unique_ptr<ClientConnection>>::iterator self{};
 };
 
-Intake::Intake(Loop& loop, std::size_t mostClients, std::size_t mostBytes, Answer answer)
+RespServer::RespServer(EventLoop& loop, std::size_t mostClients, std::size_t mostBytes, CommandHandler answer)
     : loop_(loop),
       most_(std::max<std::size_t>(1, mostClients)),
       mostBytes_(std::max(mostBytes, kCommandMost)),
       answer_(std::move(answer)) {}
 
-Intake::~Intake() { closeListener(); }
+RespServer::~RespServer() { closeListener(); }
 
-void Intake::listen(const sockaddr_in& at) {
+void RespServer::listen(const sockaddr_in& at) {
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int on = 1;
   if (fd_ < 0 || ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
@@ -292,30 +295,30 @@
 
 // Danger: who waits to be accepted when the listener closes is reset, with all it has sent. A turn that came
 // late finds many of them.
-void Intake::stopListening() {
+void RespServer::stopListening() {
   for (int n = 0; n < kBacklog && accept(); n += kAcceptsATurn) {
   }
   closeListener();
 }
 
-void Intake::closeListener() {
+void RespServer::closeListener() {
   if (fd_ < 0) return;
-  loop_.forget(fd_);
+  loop_.unwatch(fd_);
   ::close(fd_);
   fd_ = -1;
 }
 
-void Intake::leave() {
+void RespServer::drain() {
   leaving_ = true;
   for (auto at = clients_.begin(); at != clients_.end();) {
-    (*at++)->leave();
+    (*at++)->drain();
   }
   // Those that stay for a moment have less patience now.
   for (auto& client : clients_) settle(*client);
 }
 
-void Intake::send(const Decided& decided, const Instead& instead) {
-  for (Client* client : std::exchange(answering_, {})) {
+void RespServer::sendReplies(const IsDecided& decided, const ReplacementReply& instead) {
+  for (ClientConnection* client : std::exchange(answering_, {})) {
     if (client == nullptr) continue;
     if (client->waitsFor(decided)) {
       answering_.push_back(client);
@@ -325,15 +328,15 @@
   }
 }
 
-void Intake::gone(Client& client) {
-  std::replace(answering_.begin(), answering_.end(), &client, static_cast<Client*>(nullptr));
+void RespServer::gone(ClientConnection& client) {
+  std::replace(answering_.begin(), answering_.end(), &client, static_cast<ClientConnection*>(nullptr));
   patience_.erase({client.settled, &client});
   auto at = client.self;
-  loop_.bury(std::move(*at));
+  loop_.deferDeletion(std::move(*at));
   clients_.erase(at);
 }
 
-void Intake::settle(Client& client) {
+void RespServer::settle(ClientConnection& client) {
   Millis patience = client.patience();
   if (patience == client.settled) return;
   patience_.erase({client.settled, &client});
@@ -342,11 +345,11 @@
 
 // A connection may be closed between commands; clients open more when they need them. One that lingers after
 // its last answer goes first, or last where it is only the others that are asked for.
-Intake::Client* Intake::idlest(bool lingering) {
-  Client* found = nullptr;
+RespServer::ClientConnection* RespServer::idlest(bool lingering) {
+  ClientConnection* found = nullptr;
   for (auto& client : clients_) {
     if (!client->mayClose() || (!lingering && client->lingers())) continue;
-    auto place = [&](const Client& c) {
+    auto place = [&](const ClientConnection& c) {
       return std::tuple(c.lingers(), c.goesFirst(loop_.now()), c.idleFor(loop_.now()));
     };
     if (found == nullptr || place(*client) > place(*found)) found = client.get();
@@ -354,9 +357,9 @@
   return found;
 }
 
-bool Intake::closeIdlest() {
-  Client* before = nullptr;
-  for (Client* client; (client = idlest(true)) != nullptr && client != before; before = client) {
+bool RespServer::closeIdlestClient() {
+  ClientConnection* before = nullptr;
+  for (ClientConnection* client; (client = idlest(true)) != nullptr && client != before; before = client) {
     if (!client->lingers() && client->speaks()) continue;  // now it is the last of them
     client->finish();
     return true;
@@ -366,22 +369,22 @@
 
 // A few places are kept free by clients that are told of the end and given their while, so that hardly any
 // has to be cut off for another.
-void Intake::retireIdlest() {
+void RespServer::retireIdlest() {
   std::size_t freed = most_ / kPlacesFreed;
   auto lingering = [](const auto& client) { return client->lingers(); };
   if (clients_.size() + freed <= most_) return;
   auto going = static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(), lingering));
   if (clients_.size() - going + freed <= most_) return;
-  Client* client = idlest(false);
+  ClientConnection* client = idlest(false);
   if (client != nullptr && !client->speaks()) client->retire();
 }
 
-void Intake::ready(std::uint32_t) {
-  if (accept()) loop_.again(fd_);
+void RespServer::onEvents(std::uint32_t) {
+  if (accept()) loop_.reschedule(fd_);
 }
 
 // Whether there may be more to accept at once.
-bool Intake::accept() {
+bool RespServer::accept() {
   acceptAgain_ = -1;
   for (int n = 0; fd_ >= 0; ++n) {
     if (n == kAcceptsATurn) return true;
@@ -389,7 +392,7 @@
     // Danger: with all places taken a client would be closed for nobody.
     pollfd listener{fd_, POLLIN, 0};
     if (clients_.size() >= most_ && ::poll(&listener, 1, 0) == 0) return false;
-    if (clients_.size() >= most_ && !closeIdlest()) {
+    if (clients_.size() >= most_ && !closeIdlestClient()) {
       acceptAgain_ = loop_.now() + kAcceptPause;
       return false;
     }
@@ -399,27 +402,27 @@
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
         // No descriptor left, say: the edge is gone, so the next try is by the clock.
         log::warn("client.not_accepted", {{"why", std::generic_category().message(errno)}});
-        closeIdlest();
+        closeIdlestClient();
         acceptAgain_ = loop_.now() + kAcceptPause;
       }
       return false;
     }
     int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    auto client = std::make_unique<Client>(*this, fd);
+    auto client = std::make_unique<ClientConnection>(*this, fd);
     if (!client->watch()) continue;
     clients_.push_back(std::move(client));
     clients_.back()->self = std::prev(clients_.end());
-    clients_.back()->ready(EPOLLIN | EPOLLRDHUP);  // in this turn: it may have sent, and ended, long ago
+    clients_.back()->onEvents(EPOLLIN | EPOLLRDHUP);  // in this turn: it may have sent, and ended, long ago
   }
   return false;
 }
 
 // Danger: a few hundred clients that each send most of a command would fill the memory. The one that began
 // first gives way.
-void Intake::shedHalfDone() {
+void RespServer::shedHalfDone() {
   while (bytes_ > mostBytes_) {
-    Client* first = nullptr;
+    ClientConnection* first = nullptr;
     for (auto& client : clients_) {
       if (client->holds() > 0 && (first == nullptr || client->usedAt < first->usedAt)) first = client.get();
     }
@@ -428,11 +431,11 @@
   }
 }
 
-void Intake::tick() {
+void RespServer::onTick() {
   shedHalfDone();
-  if (acceptAgain_ >= 0 && loop_.now() >= acceptAgain_) ready(0);
+  if (acceptAgain_ >= 0 && loop_.now() >= acceptAgain_) onEvents(0);
   while (!patience_.empty() && patience_.begin()->first <= loop_.now()) {
-    Client& client = *patience_.begin()->second;
+    ClientConnection& client = *patience_.begin()->second;
     if (loop_.now() < client.patience()) {
       settle(client);
     } else {
@@ -441,7 +444,7 @@
   }
 }
 
-Millis Intake::due() const {
+Millis RespServer::due() const {
   Millis due = acceptAgain_ >= 0 ? acceptAgain_ : loop_.now() + kLinger;
   return patience_.empty() ? due : std::min(due, patience_.begin()->first);
 }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steadyNow()), waited_(now_) {
+EventLoop::EventLoop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steadyNow()), waited_(now_) {
   if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-Loop::~Loop() { ::close(epoll_); }
+EventLoop::~EventLoop() { ::close(epoll_); }
 
-bool Loop::watch(int fd, Source& source) {
+bool EventLoop::watch(int fd, EventHandler& source) {
   std::uint32_t serial = ++serial_;
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
@@ -42,17 +42,17 @@
   return true;
 }
 
-void Loop::forget(int fd) {
+void EventLoop::unwatch(int fd) {
   if (watched_.erase(fd) > 0) epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Loop::again(int fd) {
+void EventLoop::reschedule(int fd) {
   auto at = watched_.find(fd);
   if (at == watched_.end()) return;
   again_.push_back(std::uint64_t{at->second.serial} << 32 | static_cast<std::uint32_t>(fd));
 }
 
-void Loop::wait(Millis until) {
+void EventLoop::wait(Millis until) {
   buried_.clear();
   Millis left = std::clamp(until - steadyNow(), 0.0, kLongestSleep);
   int timeout = again_.empty() ? static_cast<int>(std::ceil(left)) : 0;
@@ -63,7 +63,7 @@
   if (heldUp_ > 0) gather(0);  // a stop ends a sleep early, and what came meanwhile belongs to this turn
 }
 
-bool Loop::late(Millis more) {
+bool EventLoop::refreshTime(Millis more) {
   Millis now = steadyNow();
   if (now - now_ < more) return false;
   now_ = now;
@@ -71,7 +71,7 @@
 }
 
 // All that has come belongs to the turn: what is decided in it must not be decided on half of what is there.
-void Loop::gather(int timeout) {
+void EventLoop::gather(int timeout) {
   for (int more = kGathersATurn; more > 0; --more) {
     std::array<epoll_event, kEventsAtOnce> raw;
     int n = epoll_wait(epoll_, raw.data(), kEventsAtOnce, timeout);
@@ -85,19 +85,19 @@
   }
 }
 
-void Loop::dispatch() {
+void EventLoop::dispatch() {
   for (std::uint64_t tag : std::exchange(again_, {})) handOut(tag, EPOLLIN | EPOLLOUT | EPOLLRDHUP);
   for (auto [tag, events] : std::exchange(events_, {})) handOut(tag, events);
 }
 
 // A descriptor that was closed and given out anew in this turn carries another serial: old events are not
 // its own.
-void Loop::handOut(std::uint64_t tag, std::uint32_t events) {
+void EventLoop::handOut(std::uint64_t tag, std::uint32_t events) {
   auto at = watched_.find(static_cast<int>(tag & 0xffffffffu));
-  if (at != watched_.end() && at->second.serial == tag >> 32) at->second.source->ready(events);
+  if (at != watched_.end() && at->second.serial == tag >> 32) at->second.source->onEvents(events);
 }
 
-std::optional<sockaddr_in> addressOf(std::string_view text) {
+std::optional<sockaddr_in> parseAddress(std::string_view text) {
   std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   sockaddr_in address{};
@@ -112,7 +112,7 @@
   return address;
 }
 
-Got readInto(int fd, std::string& into, std::size_t most, bool mayHaveEnded) {
+ReadResult readAvailable(int fd, std::string& into, std::size_t most, bool mayHaveEnded) {
   std::size_t part = 0;
   while (part < kTurnPart && into.size() < most) {
     // Read beside it first: whoever sends a few bytes must not cost a chunk each.
@@ -124,25 +124,25 @@
       into.append(chunk.data(), static_cast<std::size_t>(n));
       part += static_cast<std::size_t>(n);
       // Whatever comes after this read, an end too, is an event of its own.
-      if (!mayHaveEnded && static_cast<std::size_t>(n) < asked) return Got::drained;
+      if (!mayHaveEnded && static_cast<std::size_t>(n) < asked) return ReadResult::wouldBlock;
     } else if (n == 0) {
-      return Got::ended;
+      return ReadResult::endOfStream;
     } else if (error == EAGAIN || error == EWOULDBLOCK) {
-      return Got::drained;
+      return ReadResult::wouldBlock;
     } else if (error != EINTR) {
-      return Got::broken;
+      return ReadResult::broken;
     }
   }
-  return Got::more;
+  return ReadResult::more;
 }
 
-void Outgoing::add(std::shared_ptr<const std::string> piece) {
+void WriteBuffer::add(std::shared_ptr<const std::string> piece) {
   if (piece->empty()) return;
   size_ += piece->size();
   pieces_.push_back(std::move(piece));
 }
 
-Outgoing::Wrote Outgoing::write(int fd) {
+WriteBuffer::WriteResult WriteBuffer::write(int fd) {
   while (!pieces_.empty()) {
     std::array<iovec, kGathered> parts;
     std::size_t n = 0;
@@ -157,7 +157,7 @@
     ssize_t wrote = ::sendmsg(fd, &message, MSG_NOSIGNAL);
     if (wrote < 0) {
       if (errno == EINTR) continue;
-      return errno == EAGAIN || errno == EWOULDBLOCK ? Wrote::part : Wrote::broken;
+      return errno == EAGAIN || errno == EWOULDBLOCK ? WriteResult::part : WriteResult::broken;
     }
     size_ -= static_cast<std::size_t>(wrote);
     done_ += static_cast<std::size_t>(wrote);
@@ -166,7 +166,7 @@
       pieces_.pop_front();
     }
   }
-  return Wrote::all;
+  return WriteResult::all;
 }
 
 }  // namespace stonewing::net
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -28,76 +28,76 @@
 
 }  // namespace
 
-Notices::Notices(Loop& loop, MessageStore& book, sockaddr_in platform, std::string host)
-    : loop_(loop), book_(book), platform_(platform), host_(std::move(host)) {}
+OutcomeNotifier::OutcomeNotifier(EventLoop& loop, MessageStore& book, sockaddr_in platform, std::string host)
+    : loop_(loop), store_(book), platform_(platform), host_(std::move(host)) {}
 
-Millis Notices::due() const {
+Millis OutcomeNotifier::due() const {
   if (!out_.empty()) return since_ + kUnanswered;
-  return book_.pendingNotifications().empty() ? loop_.now() + kPauseMost : notBefore_;
+  return store_.pendingNotifications().empty() ? loop_.now() + kPauseMost : notBefore_;
 }
 
-void Notices::tick() {
-  if (!out_.empty() && loop_.now() >= since_ + kUnanswered) broke(*link_);
-  if (out_.empty() && !book_.pendingNotifications().empty() && loop_.now() >= notBefore_) send();
+void OutcomeNotifier::onTick() {
+  if (!out_.empty() && loop_.now() >= since_ + kUnanswered) onBroken(*link_);
+  if (out_.empty() && !store_.pendingNotifications().empty() && loop_.now() >= notBefore_) send();
 }
 
-void Notices::moveTo(sockaddr_in platform, std::string host) {
+void OutcomeNotifier::changeAddress(sockaddr_in platform, std::string host) {
   platform_ = platform;
   host_ = std::move(host);
-  HttpLink::drop(loop_, link_);
+  HttpLink::closeLater(loop_, link_);
   out_.clear();
   pause_ = 0;
   notBefore_ = loop_.now();
 }
 
-void Notices::send() {
-  if (!link_ || !link_->isOpen() || !link_->stillGood()) {
-    HttpLink::drop(loop_, link_);
-    link_ = std::make_unique<HttpLink>(loop_, *this, kAnswerMost);
-    if (!link_->open(platform_)) return later();
+void OutcomeNotifier::send() {
+  if (!link_ || !link_->isOpen() || !link_->isReusable()) {
+    HttpLink::closeLater(loop_, link_);
+    link_ = std::make_unique<HttpClientConnection>(loop_, *this, kAnswerMost);
+    if (!link_->open(platform_)) return scheduleRetry();
   }
   std::string lines;
-  auto at = book_.pendingNotifications().begin();
+  auto at = store_.pendingNotifications().begin();
   // One by one, each in turn, so that one that cannot be read holds up no other.
-  if (oneByOne_) std::advance(at, turn_++ % book_.pendingNotifications().size());
-  for (; at != book_.pendingNotifications().end() && lines.size() < kBodyFull; ++at) {
+  if (oneByOne_) std::advance(at, turn_++ % store_.pendingNotifications().size());
+  for (; at != store_.pendingNotifications().end() && lines.size() < kBodyFull; ++at) {
     lines += lineOf(at->second);
     out_.push_back(at->first);
-    log::debug("notice.sent", {{"callback", at->second.reference}, {"new_link", !link_->up()}});
+    log::debug("notice.sent", {{"callback", at->second.reference}, {"new_link", !link_->isConnected()}});
     if (oneByOne_) break;
   }
   link_->add("POST /reports HTTP/1.1\r\nHost: " + host_ + "\r\nContent-Type: application/x-ndjson\r\n" +
              "Content-Length: " + std::to_string(lines.size()) + "\r\n\r\n");
   link_->add(std::move(lines));
-  link_->begin();
+  link_->startExchange();
   since_ = loop_.now();
 }
 
-void Notices::answered(HttpLink& link) {
+void OutcomeNotifier::onResponse(HttpClientConnection& link) {
   if (link.status() == 204) {
     for (MessageId id : std::exchange(out_, {})) {
-      auto at = book_.pendingNotifications().find(id);
-      if (at != book_.pendingNotifications().end())
+      auto at = store_.pendingNotifications().find(id);
+      if (at != store_.pendingNotifications().end())
         log::debug("notice.confirmed", {{"callback", at->second.reference}});
-      book_.confirmNotification(id);
+      store_.confirmNotification(id);
     }
     pause_ = 0;
-    if (book_.pendingNotifications().empty()) oneByOne_ = false;
+    if (store_.pendingNotifications().empty()) oneByOne_ = false;
     return;
   }
   log::warn("notices.refused", {{"status", link.status()}, {"notices", out_.size()}});
   oneByOne_ = true;
-  later();
+  scheduleRetry();
 }
 
-void Notices::broke(HttpLink& link) {
+void OutcomeNotifier::onBroken(HttpClientConnection& link) {
   link.close();
   if (out_.empty()) return;
   log::debug("notice.unanswered", {{"notices", out_.size()}, {"after_ms", loop_.now() - since_}});
-  later();
+  scheduleRetry();
 }
 
-void Notices::later() {
+void OutcomeNotifier::scheduleRetry() {
   out_.clear();
   pause_ = std::clamp(2 * pause_, kPauseFirst, kPauseMost);
   notBefore_ = loop_.now() + pause_;
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -49,15 +49,15 @@
 }
 
 sockaddr_in needAddress(const std::string& text, const char* what) {
-  auto address = addressOf(text);
+  auto address = parseAddress(text);
   if (!address) throw Malformed(std::string("'") + what + "' is not an address: '" + text + "'");
   return *address;
 }
 
 }  // namespace
 
-Orders readOrders(std::string_view text, const std::function<std::string(const char*)>& get,
-                  std::string_view operatorText) {
+DispatcherConfig readConfig(std::string_view text, const std::function<std::string(const char*)>& get,
+                            std::string_view operatorText) {
   json file = json::parse(text, nullptr, false);
   if (file.is_discarded() || !file.is_object()) throw Malformed("the configuration is not a JSON object");
   if (!operatorText.empty()) {
@@ -74,7 +74,7 @@
       file[key] = value;
     }
   }
-  Orders orders;
+  DispatcherConfig orders;
   try {
     auto either = [&](const char* key, const char* variable) {
       std::string value = file.value(key, get(variable));
@@ -98,8 +98,8 @@
     std::string writer = journal.value("writer", "loop");
     if (writer != "loop" && writer != "aside")
       throw Malformed("'journal.writer' is '" + writer + "'; it must be \"loop\" or \"aside\"");
-    orders.writesAside = writer == "aside";
-    if (file.contains("rooms")) orders.rooms = file["rooms"].dump();
+    orders.usesWriterThread = writer == "aside";
+    if (file.contains("rooms")) orders.zoneFailover = file["rooms"].dump();
     if (!file.contains("settings")) throw Malformed("the configuration lacks 'settings'");
     orders.settings = file["settings"].dump();
     if (file.contains("known")) orders.known = file["known"].dump();
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-void holdSignals() {
+void blockSignals() {
   ::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may go away
   ::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error to answer, not an end
   sigset_t set = ourSignals();
@@ -128,20 +128,20 @@
 }
 
 // SIGTERM and SIGINT ask for the end, SIGHUP for the configuration to be read anew: events of the loop.
-class Dispatcher::Signals : public Source {
+class Dispatcher::SignalHandler : public EventHandler {
  public:
-  Signals(Loop& loop, bool& end, bool& reread) : loop_(loop), end_(end), reread_(reread) {
-    holdSignals();
+  SignalHandler(EventLoop& loop, bool& end, bool& reread) : loop_(loop), end_(end), reread_(reread) {
+    blockSignals();
     sigset_t set = ourSignals();
     fd_ = ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
     if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
     if (!loop_.watch(fd_, *this)) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
-  ~Signals() override {
-    loop_.forget(fd_);
+  ~SignalHandler() override {
+    loop_.unwatch(fd_);
     ::close(fd_);
   }
-  void ready(std::uint32_t) override {
+  void onEvents(std::uint32_t) override {
     signalfd_siginfo info;
     while (::read(fd_, &info, sizeof info) == sizeof info) {
       (info.ssi_signo == static_cast<std::uint32_t>(SIGHUP) ? reread_ : end_) = true;
@@ -149,26 +149,26 @@
   }
 
  private:
-  Loop& loop_;
+  EventLoop& loop_;
   bool& end_;
   bool& reread_;
   int fd_;
 };
 
 // Wakes the loop when a write of the journal that it did not wait for is done.
-class Dispatcher::Landing : public Source {
+class Dispatcher::JournalCompletion : public EventHandler {
  public:
-  Landing(Loop& loop, int fd) : loop_(loop), fd_(fd) {
+  JournalCompletion(EventLoop& loop, int fd) : loop_(loop), fd_(fd) {
     if (!loop_.watch(fd_, *this)) throw std::system_error(errno, std::generic_category(), "epoll_ctl");
   }
-  ~Landing() override { loop_.forget(fd_); }
-  void ready(std::uint32_t) override {
+  ~JournalCompletion() override { loop_.unwatch(fd_); }
+  void onEvents(std::uint32_t) override {
     std::uint64_t times = 0;
     (void)!::read(fd_, &times, sizeof times);
   }
 
  private:
-  Loop& loop_;
+  EventLoop& loop_;
   int fd_;
 };
 
@@ -189,19 +189,21 @@
 }  // namespace
 
 // Slots beyond a quarter of the descriptors take more, up to half of what is left beside our own.
-Descriptors descriptorsOf(std::size_t sockets, int slots) {
+DescriptorBudget descriptorBudget(std::size_t sockets, int slots) {
   if (sockets < kSocketsLeast)
     throw Malformed("'limits.sockets' is " + std::to_string(sockets) + "; it must be at least " +
                     std::to_string(kSocketsLeast));
-  Descriptors d;
+  DescriptorBudget d;
   d.own = std::clamp(sockets / 2, kOwnLeast, kOwnMost);
   std::size_t rest = sockets - d.own;
   auto wanted = static_cast<std::size_t>(std::max(1, slots));
-  d.links = std::clamp(wanted + wanted / (kProbesOf - 1) + 1, sockets / 4, std::max(sockets / 4, rest / 2));
-  d.clients = rest - d.links;
-  std::size_t held = std::min(wanted, d.links - std::max<std::size_t>(1, d.links / kProbesOf));
-  d.slots = static_cast<int>(held);
-  d.probes = d.links - held;
+  d.endpointConnections =
+      std::clamp(wanted + wanted / (kProbesOf - 1) + 1, sockets / 4, std::max(sockets / 4, rest / 2));
+  d.clients = rest - d.endpointConnections;
+  std::size_t held =
+      std::min(wanted, d.endpointConnections - std::max<std::size_t>(1, d.endpointConnections / kProbesOf));
+  d.maxConcurrentRequests = static_cast<int>(held);
+  d.healthChecks = d.endpointConnections - held;
   return d;
 }
 
@@ -209,7 +211,7 @@
 
 // Danger: a process that may hold fewer than its configuration says would find out when clients have taken
 // all.
-Orders withinLimits(Orders orders) {
+DispatcherConfig withinLimits(DispatcherConfig orders) {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= orders.sockets) return orders;
   limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, orders.sockets);
@@ -221,113 +223,115 @@
   return orders;
 }
 
-DeploymentSettings within(DeploymentSettings terms, const Descriptors& descriptors) {
-  terms.maxConcurrentRequests = descriptors.slots;
+DeploymentSettings within(DeploymentSettings terms, const DescriptorBudget& descriptors) {
+  terms.maxConcurrentRequests = descriptors.maxConcurrentRequests;
   return terms;
 }
 
 }  // namespace
 
-DeploymentSettings termsOf(const Orders& orders) {
+DeploymentSettings deploymentSettings(const DispatcherConfig& orders) {
   DeploymentSettings terms = readDeploymentSettings(orders.settings);
-  terms.zoneFailover = readZoneFailoverSettings(orders.rooms, readNameTables(orders.settings).zones);
+  terms.zoneFailover = readZoneFailoverSettings(orders.zoneFailover, readNameTables(orders.settings).zones);
   return terms;
 }
 
-Dispatcher::Dispatcher(const Orders& orders, std::function<Orders()> reread)
-    : orders_(withinLimits(orders)),
+Dispatcher::Dispatcher(const DispatcherConfig& orders, std::function<DispatcherConfig()> reread)
+    : config_(withinLimits(orders)),
       reread_(std::move(reread)),
-      terms_(termsOf(orders_)),
-      descriptors_(descriptorsOf(orders_.sockets, terms_.maxConcurrentRequests)),
-      facts_(readNameTables(orders.settings)),
-      rules_(within(terms_, descriptors_), orders.seed),
-      admission_(admissionTerms(terms_), orders.seed + 1),
-      book_(facts_, orders.state, orders.diskBytes, orders.writesAside),
-      catalog_(loop_, rules_, facts_, needAddress(orders.discovery, "discovery"), orders.discovery,
-               orders.seed + 2),
-      calls_(loop_, rules_, book_, catalog_, terms_, facts_, descriptors_.links, descriptors_.probes),
-      notices_(loop_, book_, needAddress(orders.discovery, "discovery"), orders.discovery),
+      settings_(deploymentSettings(config_)),
+      descriptors_(descriptorBudget(config_.sockets, settings_.maxConcurrentRequests)),
+      names_(readNameTables(orders.settings)),
+      policy_(within(settings_, descriptors_), orders.seed),
+      admission_(admissionTerms(settings_), orders.seed + 1),
+      store_(names_, orders.state, orders.diskBytes, orders.usesWriterThread),
+      discovery_(loop_, policy_, names_, needAddress(orders.discovery, "discovery"), orders.discovery,
+                 orders.seed + 2),
+      sender_(loop_, policy_, store_, discovery_, settings_, names_, descriptors_.endpointConnections,
+              descriptors_.healthChecks),
+      notifier_(loop_, store_, needAddress(orders.discovery, "discovery"), orders.discovery),
       intake_(loop_, descriptors_.clients, orders.memoryBytes / kMemoryForHalves,
               [this](const auto& words, bool left) { return answer(words, left); }),
-      signals_(std::make_unique<Signals>(loop_, endWanted_, rereadWanted_)) {
+      signals_(std::make_unique<SignalHandler>(loop_, endWanted_, rereadWanted_)) {
   needAddress(orders.listen, "listen");
-  loop_.onLack([this] { return intake_.closeIdlest(); });
-  if (book_.descriptor() >= 0) landing_ = std::make_unique<Landing>(loop_, book_.descriptor());
+  loop_.onDescriptorExhaustion([this] { return intake_.closeIdlestClient(); });
+  if (store_.descriptor() >= 0)
+    journalCompletion_ = std::make_unique<JournalCompletion>(loop_, store_.descriptor());
 }
 
 Dispatcher::~Dispatcher() = default;
 
 void Dispatcher::enter(State state) {
   state_ = state;
-  log::info("phase", {{"name", orders_.name},
+  log::info("phase", {{"name", config_.name},
                       {"phase", nameOf(static_cast<int>(state))},
-                      {"held", book_.inFlight().size()},
-                      {"owed", book_.pendingNotifications().size()}});
+                      {"held", store_.inFlight().size()},
+                      {"owed", store_.pendingNotifications().size()}});
 }
 
 // Danger: a wall clock that was set back between two processes makes an attempt of the first lie in the
 // future, and the window of its repeat open for as much longer. When it was is not known then: its window
 // passes for over.
-void Dispatcher::restore() {
-  rules_.beginRound(loop_.now());
-  if (!orders_.known.empty()) {
+void Dispatcher::recover() {
+  policy_.beginRound(loop_.now());
+  if (!config_.known.empty()) {
     try {
-      catalog_.told(json::parse(orders_.known));
+      catalog_.applyAnswer(json::parse(config_.known));
     } catch (const Malformed& problem) {
-      log::error("list.unreadable", {{"why", problem.what()}, {"kept", catalog_.count()}});
+      log::error("list.unreadable", {{"why", problem.what()}, {"kept", discovery_.count()}});
     }
   }
-  if (std::size_t cut = book_.restore(); cut > 0) log::warn("journal.torn", {{"bytes", cut}});
+  if (std::size_t cut = store_.restore(); cut > 0) log::warn("journal.torn", {{"bytes", cut}});
   Millis toSteady = loop_.now() - wallNow();
-  catalog_.remember(book_.inFlight());
-  for (const auto& [id, held] : book_.inFlight()) {
-    rules_.acceptMessage(id, held.type, held.tenant, held.orderingKey, held.destination,
-                         held.deadlineWall + toSteady);
+  catalog_.addRecoveredEndpoints(store_.inFlight());
+  for (const auto& [id, held] : store_.inFlight()) {
+    policy_.acceptMessage(id, held.type, held.tenant, held.orderingKey, held.destination,
+                          held.deadlineWall + toSteady);
     log::debug("callback.restored", {{"callback", held.reference},
                                      {"launches", held.attempts.size()},
                                      {"left_ms", held.deadlineWall + toSteady - loop_.now()}});
     for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
       if (sent > loop_.now() + kClockOff) sent = 0;
-      rules_.recordEarlierAttempt(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
+      policy_.recordEarlierAttempt(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
     }
   }
 }
 
 void Dispatcher::run() {
-  enter(State::restoring);
-  restore();
-  intake_.listen(needAddress(orders_.listen, "listen"));
+  enter(State::recovering);
+  recover();
+  server_.listen(needAddress(config_.listen, "listen"));
   enter(State::serving);
   worked_ = ownWork();  // up to the last turn's end; sleep costs nothing
   while (state_ != State::ended) {
     loop_.wait(due());
-    rules_.beginRound(loop_.now());
+    policy_.beginRound(loop_.now());
     if (wakeAt_ >= 0 && loop_.now() >= wakeAt_) {
       wakeAt_ = -1;
-      rules_.recordTimerFired();
+      policy_.recordTimerFired();
     }
     Millis began = steadyNow();
     began_ = began;
     loop_.dispatch();
     Millis dispatched = steadyNow();
-    if (std::exchange(rereadWanted_, false)) takeNewOrders();
-    calls_.tick();
-    catalog_.tick();
-    intake_.tick();
-    move();
+    if (std::exchange(rereadWanted_, false)) reloadConfig();
+    sender_.onTick();
+    discovery_.onTick();
+    server_.onTick();
+    advanceLifecycle();
     // Many answers do not wait for the decisions; a few share one write of the journal with their attempts.
-    if (intake_.waiting() >= kManyAnswers || book_.isCommitting()) keep();
+    if (intake_.clientsWithReplies() >= kManyAnswers || store_.isCommitting()) commitJournal();
     // What is decided while a write hangs could not be acted on, and would be decided on what is old by then.
-    if (state_ < State::waiting && !book_.isCommitting()) decide();
-    keep();
+    if (state_ < State::awaitingResponses && !store_.isCommitting()) decide();
+    commitJournal();
     Millis decided = steadyNow();
-    if (!book_.isCommitting()) notices_.tick();
-    for (; overBefore_ < book_.finishedCount(); ++overBefore_) admission_.recordFinished(loop_.now());
+    if (!store_.isCommitting()) notices_.onTick();
+    for (; overBefore_ < store_.finishedCount(); ++overBefore_) admission_.recordFinished(loop_.now());
     Millis before = std::exchange(worked_, ownWork());
     admission_.recordTurn(loop_.now(), worked_ - before);
-    tellRooms();
-    tellSlow(dispatched - began, decided - dispatched, steadyNow() - began);
+    logZoneHealth();
+    logSlowTurn(dispatched - began, decided - dispatched, steadyNow() - began);
   }
 }
 
@@ -338,7 +342,7 @@
   timespec spent{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
   return static_cast<Millis>(spent.tv_sec) * 1000 + static_cast<Millis>(spent.tv_nsec) / 1e6 +
-         book_.writingTime();
+         store_.writingTime();
 }
 
 // Its own processor time is asked for only in a turn that has lasted a while: that costs a call of the
@@ -348,24 +352,24 @@
 }
 
 // What is believed of rooms, as it changes.
-void Dispatcher::tellRooms() {
-  const ZoneFailover& rooms = rules_.state().zones;
+void Dispatcher::logZoneHealth() {
+  const ZoneFailover& rooms = policy_.state().zones;
   if (!rooms.isEnabled()) return;
-  roomsTold_.resize(facts_.zones.size());
+  roomsTold_.resize(names_.zones.size());
   for (std::size_t n = 0; n < roomsTold_.size(); ++n) {
     ZoneId zone{static_cast<std::uint8_t>(n)};
     int now = rooms.isLost(zone) ? 1 : rooms.isRamping(loop_.now(), zone) ? 2 : 0;
     if (std::exchange(roomsTold_[n], now) == now) continue;
-    if (now == 1) log::warn("room.lost", {{"room", facts_.zones[n]}});
+    if (now == 1) log::warn("room.lost", {{"room", names_.zones[n]}});
     if (now == 2)
       log::warn("room.returns",
-                {{"room", facts_.zones[n]}, {"fed_per_s", rooms.rampAttemptsPerSecond(loop_.now(), zone)}});
-    if (now == 0) log::info("room.well", {{"room", facts_.zones[n]}});
+                {{"room", names_.zones[n]}, {"fed_per_s", rooms.rampAttemptsPerSecond(loop_.now(), zone)}});
+    if (now == 0) log::info("room.well", {{"room", names_.zones[n]}});
   }
 }
 
 // A turn that took too long is told with its parts, at once the first time and then every few seconds.
-void Dispatcher::tellSlow(Millis dispatched, Millis decided, Millis whole) {
+void Dispatcher::logSlowTurn(Millis dispatched, Millis decided, Millis whole) {
   if (whole < kSlowTurn) return;
   ++slowTurns_;
   if (loop_.now() < slowTold_ + kSlowTold) return;
@@ -375,104 +379,106 @@
                           {"deciding_ms", decided},
                           {"rest_ms", whole - dispatched - decided},
                           {"turns", std::exchange(slowTurns_, 0)},
-                          {"held", book_.inFlight().size()},
-                          {"clients", intake_.clients()}});
+                          {"held", store_.inFlight().size()},
+                          {"clients", intake_.clientCount()}});
 }
 
 // Discovery and the platform may have moved. The old address closes what is open there, and what it no longer
 // tells counts as told all the same, so the new one is asked at once. The rest is for the next start.
-void Dispatcher::takeNewOrders() {
+void Dispatcher::reloadConfig() {
   if (!reread_) return;
   try {
-    Orders orders = reread_();
+    DispatcherConfig orders = reread_();
     sockaddr_in discovery = needAddress(orders.discovery, "discovery");
-    if (orders.listen != orders_.listen || orders.state != orders_.state ||
-        orders.settings != orders_.settings || orders.rooms != orders_.rooms ||
-        orders.writesAside != orders_.writesAside) {
+    if (orders.listen != config_.listen || orders.state != config_.state ||
+        orders.settings != config_.settings || orders.zoneFailover != config_.zoneFailover ||
+        orders.usesWriterThread != config_.usesWriterThread) {
       log::warn("configuration.partly_taken", {{"taken", "discovery"}, {"rest", "at the next start"}});
     }
-    if (orders.discovery == orders_.discovery) return;
-    orders_.discovery = orders.discovery;
-    catalog_.moveTo(discovery, orders.discovery);
-    notices_.moveTo(discovery, orders.discovery);
+    if (orders.discovery == config_.discovery) return;
+    config_.discovery = orders.discovery;
+    catalog_.changeAddress(discovery, orders.discovery);
+    notifier_.changeAddress(discovery, orders.discovery);
     log::info("discovery.moved", {{"address", orders.discovery}});
   } catch (const std::exception& problem) {
     log::error("configuration.unusable", {{"why", problem.what()}, {"kept", "the old one"}});
   }
 }
 
-void Dispatcher::move() {
+void Dispatcher::advanceLifecycle() {
   if (endWanted_ && state_ == State::serving) {
     toldToEnd_ = loop_.now();
-    enter(State::leaving);
+    enter(State::draining);
   }
-  if (state_ < State::leaving) return;
+  if (state_ < State::draining) return;
   Millis since = loop_.now() - toldToEnd_;
-  if (state_ == State::leaving && since >= kAcceptFor) {
-    intake_.stopListening();
+  if (state_ == State::draining && since >= kAcceptFor) {
+    server_.stopListening();
     enter(State::finishing);  // what is read from here on is refused
-    intake_.leave();
+    intake_.drain();
   }
-  if (state_ == State::finishing && since >= kLaunchFor) enter(State::waiting);
-  bool done = book_.inFlight().empty() && notices_.idle() && intake_.clients() == 0;
-  bool nothingOut = state_ == State::waiting && calls_.idle() && notices_.idle();
+  if (state_ == State::finishing && since >= kLaunchFor) enter(State::awaitingResponses);
+  bool done = store_.inFlight().empty() && notifier_.idle() && intake_.clientCount() == 0;
+  bool nothingOut = state_ == State::awaitingResponses && sender_.idle() && notifier_.idle();
   if (state_ >= State::finishing && (done || nothingOut || since >= kAnswersFor)) enter(State::ended);
 }
 
 Millis Dispatcher::due() const {
-  if (moreToDecide_ && state_ < State::waiting && !book_.isCommitting()) return loop_.now();
-  Millis due = std::min({calls_.due(), catalog_.due(), intake_.due()});
-  if (!book_.isCommitting()) due = std::min(due, notices_.due());
+  if (moreToDecide_ && state_ < State::awaitingResponses && !store_.isCommitting()) return loop_.now();
+  Millis due = std::min({sender_.due(), discovery_.due(), server_.due()});
+  if (!store_.isCommitting()) due = std::min(due, notifier_.due());
   if (hangsSince_ >= 0 && !hangTold_) due = std::min(due, hangsSince_ + kSlowTurn);
-  if (wakeAt_ >= 0 && state_ < State::waiting && !book_.isCommitting()) due = std::min(due, wakeAt_);
-  if (state_ == State::leaving) due = std::min(due, toldToEnd_ + kAcceptFor);
+  if (wakeAt_ >= 0 && state_ < State::awaitingResponses && !store_.isCommitting())
+    due = std::min(due, wakeAt_);
+  if (state_ == State::draining) due = std::min(due, toldToEnd_ + kAcceptFor);
   if (state_ == State::finishing) due = std::min(due, toldToEnd_ + kLaunchFor);
-  if (state_ == State::waiting) due = std::min(due, toldToEnd_ + kAnswersFor);
+  if (state_ == State::awaitingResponses) due = std::min(due, toldToEnd_ + kAnswersFor);
   return due;
 }
 
-Intake::Answered Dispatcher::answer(const std::vector<std::string_view>& words, bool left) {
+RespServer::CommandReply Dispatcher::answer(const std::vector<std::string_view>& words, bool left) {
   if (words[0] == "PING")
-    return words.size() == 1 ? Intake::Answered{"+PONG\r\n"} : throw Malformed("PING takes no more words");
+    return words.size() == 1 ? RespServer::CommandReply{"+PONG\r\n"}
+                             : throw Malformed("PING takes no more words");
   if (words[0] == "SUBMIT") return submit(words, left);
   throw Malformed("unknown command");
 }
 
-std::string Dispatcher::busy(Millis wait) {
+std::string Dispatcher::busyReply(Millis wait) {
   if (wait <= 0) return "-BUSY\r\n";
   return "-BUSY " + std::to_string(static_cast<std::int64_t>(std::ceil(wait))) + "\r\n";
 }
 
-Intake::Answered Dispatcher::submit(const std::vector<std::string_view>& words, bool left) {
+RespServer::CommandReply Dispatcher::submit(const std::vector<std::string_view>& words, bool left) {
   if (words.size() != 5) throw Malformed("SUBMIT takes key, id, list and body");
   Millis wall = std::floor(wallNow());  // whole, so that equal spans stay equal
-  StoredMessage held = book_.decode(words[1], words[2], words[3], words[4], wall);
-  if (book_.contains(held.reference))
-    return {"+OK\r\n", book_.idOf(held.reference)};  // submitted again, its first answer lost
-  if (!catalog_.knows(held.destination)) {
+  StoredMessage held = store_.decode(words[1], words[2], words[3], words[4], wall);
+  if (store_.contains(held.reference))
+    return {"+OK\r\n", store_.idOf(held.reference)};  // submitted again, its first answer lost
+  if (!discovery_.knows(held.destination)) {
     // Before discovery has said anything, ours may just be an old list.
-    if (!catalog_.heard()) return {"-BUSY\r\n"};
+    if (!discovery_.hasAnswered()) return {"-BUSY\r\n"};
     throw Malformed("unknown dest");
   }
   // Refused unseen, which is harmless: out of places, on the way out, or the client has not waited for us and
   // hands it in elsewhere; accepted too, it would be delivered for nothing.
-  if (left || state_ > State::leaving) return {"-BUSY\r\n"};
-  AdmissionInputs facts{loop_.now(), rules_.state().messagesInFlight, book_.fillShare(),
+  if (left || state_ > State::draining) return {"-BUSY\r\n"};
+  AdmissionInputs facts{loop_.now(), policy_.state().messagesInFlight, store_.fillShare(),
                         hangsSince_ < 0 ? 0 : loop_.now() - hangsSince_, workedThisTurn()};
-  AdmissionDecision call = admission_.decide(facts, terms_.types.at(held.type.value).priorityWeight,
-                                             rules_.isOverQuota(held.tenant));
-  if (!call.accepted) return {busy(call.retryAfter)};
-  held.deadlineWall -= loop_.heldUp();  // its time counts from when the client sent it
+  AdmissionDecision call = admission_.decide(facts, settings_.types.at(held.type.value).priorityWeight,
+                                             policy_.isOverQuota(held.tenant));
+  if (!call.accepted) return {busyReply(call.retryAfter)};
+  held.deadlineWall -= loop_.heldUpFor();  // its time counts from when the client sent it
   Millis outer = loop_.now() + (held.deadlineWall - wall);
   TrafficTypeId type = held.type;
   TenantId tenant = held.tenant;
   OrderingKey key = held.orderingKey;
   DestinationId destination = held.destination;
-  auto id = book_.accept(std::move(held));
-  if (!id) return {busy(admission_.recordRejection(loop_.now()))};
-  rules_.acceptMessage(*id, type, tenant, key, destination, outer);
+  auto id = store_.accept(std::move(held));
+  if (!id) return {busyReply(admission_.recordRejection(loop_.now()))};
+  policy_.acceptMessage(*id, type, tenant, key, destination, outer);
   log::debug("callback.taken", {{"callback", words[2]},
-                                {"type", facts_.trafficTypes[type.value]},
+                                {"type", names_.trafficTypes[type.value]},
                                 {"destination", destination.value},
                                 {"left_ms", outer - loop_.now()}});
   return {"+OK\r\n", *id};
@@ -483,66 +489,66 @@
 void Dispatcher::decide() {
   Millis until = steadyNow() + kDecideMost;
   moreToDecide_ = false;
-  for (int n = 1; auto decision = rules_.nextDecision(); ++n) {
-    carryOut(*decision);
+  for (int n = 1; auto decision = policy_.nextDecision(); ++n) {
+    execute(*decision);
     if (n % kDecideLook != 0 || steadyNow() < until) continue;
     moreToDecide_ = true;
     break;
   }
-  calls_.flush();
+  sender_.recordBatches();
 }
 
 // What changed is written, and only then acted on towards clients and endpoints. Where a thread writes, a
 // folder that hangs keeps that waiting; the loop goes on with what needs no record.
-void Dispatcher::keep() {
-  if (book_.isCommitting()) {
-    if (!book_.finishCommit(0)) return hangs();
+void Dispatcher::commitJournal() {
+  if (store_.isCommitting()) {
+    if (!store_.finishCommit(0)) return reportHungWrite();
     if (hangTold_) log::warn("journal.hung", {{"for_ms", loop_.now() - hangsSince_}});
     hangTold_ = false;
     hangsSince_ = -1;
-    if (book_.lastCommitHeldRecords()) act();
+    if (store_.lastCommitHeldRecords()) executeDecisions();
   }
   do {
-    book_.beginCommit();
-    if (!book_.finishCommit(kWriteWait)) return hangs();
-  } while (book_.hasUncommitted());
-  act();
+    store_.beginCommit();
+    if (!store_.finishCommit(kWriteWait)) return reportHungWrite();
+  } while (store_.hasUncommitted());
+  executeDecisions();
 }
 
-void Dispatcher::act() {
-  for (MessageId id : book_.lostAcceptances()) {
+void Dispatcher::executeDecisions() {
+  for (MessageId id : store_.lostAcceptances()) {
     log::debug("callback.not_kept", {{"callback", id.value}});
-    rules_.cancelMessage(id);  // its attempt, if there is one, is not sent either
+    policy_.cancelMessage(id);  // its attempt, if there is one, is not sent either
   }
   // Danger: a write that hung in the loop, or long decisions, have made the turn old. What goes out counts
   // from now.
-  if (loop_.late(kWriteWait)) rules_.beginRound(loop_.now());
-  calls_.send();
-  intake_.send([this](MessageId id) { return book_.isDecided(id); },
-               [this](MessageId id) -> std::optional<std::string> {
-                 if (!book_.isLostAcceptance(id)) {
-                   if (const StoredMessage* held = book_.find(id))
-                     log::debug("callback.answered", {{"callback", held->reference}});
-                   return std::nullopt;
-                 }
-                 return busy(admission_.recordRejection(loop_.now()));
-               });
-  book_.clearLost();
+  if (loop_.refreshTime(kWriteWait)) policy_.beginRound(loop_.now());
+  calls_.sendBatches();
+  server_.sendReplies([this](MessageId id) { return store_.isDecided(id); },
+                      [this](MessageId id) -> std::optional<std::string> {
+                        if (!store_.isLostAcceptance(id)) {
+                          if (const StoredMessage* held = store_.find(id))
+                            log::debug("callback.answered", {{"callback", held->reference}});
+                          return std::nullopt;
+                        }
+                        return busyReply(admission_.recordRejection(loop_.now()));
+                      });
+  store_.clearLost();
 }
 
 // A write is under way for long: refusals and errors need no record, and go out.
-void Dispatcher::hangs() {
+void Dispatcher::reportHungWrite() {
   if (hangsSince_ < 0) hangsSince_ = loop_.now();
   if (!hangTold_ && loop_.now() >= hangsSince_ + kSlowTurn) {
     hangTold_ = true;
-    log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", book_.inFlight().size()}});
+    log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", store_.inFlight().size()}});
   }
-  intake_.send([this](MessageId id) { return book_.isDecided(id) && !book_.isLostAcceptance(id); },
-               [](MessageId) { return std::nullopt; });
+  intake_.sendReplies([this](MessageId id) { return store_.isDecided(id) && !store_.isLostAcceptance(id); },
+                      [](MessageId) { return std::nullopt; });
 }
 
-void Dispatcher::ended(MessageId id, const char* result, Millis wait) {
-  const StoredMessage* held = book_.find(id);
+void Dispatcher::logFinished(MessageId id, const char* result, Millis wait) {
+  const StoredMessage* held = store_.find(id);
   if (held == nullptr) return;
   log::debug("callback.ended", {{"callback", held->reference},
                                 {"result", result},
@@ -551,22 +557,22 @@
                                 {"wait_ms", wait}});
 }
 
-void Dispatcher::carryOut(const Decision& d) {
+void Dispatcher::execute(const Decision& d) {
   switch (d.act) {
     case Act::launch:
-      return calls_.launch(d);
+      return sender_.sendAttempt(d);
     case Act::withdraw:
-      return calls_.withdraw(d);
+      return calls_.cancelAttempt(d);
     case Act::shed:
-      ended(d.message, "shed", d.span);
-      return book_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
+      logFinished(d.message, "shed", d.span);
+      return store_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
     case Act::giveUp:
-      ended(d.message, "given_up", 0);
-      return book_.addPendingNotification(d.message, FinalOutcome::failed, 0);
+      logFinished(d.message, "given_up", 0);
+      return store_.addPendingNotification(d.message, FinalOutcome::failed, 0);
     case Act::probe:
-      return calls_.probe(d.endpoint);
+      return calls_.sendHealthCheck(d.endpoint);
     case Act::closeIdle:
-      return calls_.closeIdle(d.endpoint);
+      return sender_.closeIdleConnection(d.endpoint);
     case Act::wake:
       wakeAt_ = d.span;
       return;
--- a/src/net/phases.h
+++ b/src/net/phases.h
@@ -19,7 +19,7 @@
 namespace stonewing::net {
 
 // What a dispatcher is told at its start.
-struct Orders {
+struct DispatcherConfig {
   std::string name;
   std::string listen;
   std::string discovery;
@@ -29,80 +29,80 @@
   std::size_t diskBytes{};
   std::size_t memoryBytes{};
   std::string settings;
-  std::string known;        // a list of endpoints, in discovery's form
-  std::string rooms;        // what the operator says of rooms (docs/rooms.md); empty for nothing
-  bool writesAside{false};  // a thread of its own writes the journal
+  std::string known;             // a list of endpoints, in discovery's form
+  std::string zoneFailover;      // what the operator says of rooms (docs/rooms.md); empty for nothing
+  bool usesWriterThread{false};  // a thread of its own writes the journal
 };
 
 // Reads the start file; `get` gives the variables of the environment, empty for none. Throws Malformed.
 // operatorText: what the operator adds; its keys go before the first text's. Empty for nothing.
-Orders readOrders(std::string_view text, const std::function<std::string(const char*)>& get,
-                  std::string_view operatorText = {});
+DispatcherConfig readConfig(std::string_view text, const std::function<std::string(const char*)>& get,
+                            std::string_view operatorText = {});
 
 // How the descriptors that the dispatcher may hold are dealt out, so that none can take those of another.
-struct Descriptors {
-  std::size_t own{};     // for the journal, discovery, the platform, the log and the loop
-  std::size_t links{};   // connections to endpoints
-  std::size_t probes{};  // of these, beside the concurrent requests
+struct DescriptorBudget {
+  std::size_t own{};                  // for the journal, discovery, the platform, the log and the loop
+  std::size_t endpointConnections{};  // connections to endpoints
+  std::size_t healthChecks{};         // of these, beside the concurrent requests
   std::size_t clients{};
-  int slots{};  // attempts at once: the deployment's, or what the connections bear
+  int maxConcurrentRequests{};  // attempts at once: the deployment's, or what the connections bear
 };
 // Throws Malformed where there are too few for any work.
-Descriptors descriptorsOf(std::size_t sockets, int slots);
+DescriptorBudget descriptorBudget(std::size_t sockets, int slots);
 
 // What the deployment and the operator state together. Throws Malformed.
-DeploymentSettings termsOf(const Orders& orders);
+DeploymentSettings deploymentSettings(const DispatcherConfig& orders);
 
 // Holds back the signals that a dispatcher takes as events, from now until there is one. A reload asked for
 // earlier would end the process.
-void holdSignals();
+void blockSignals();
 
 // One dispatcher from its start to its exit.
 class Dispatcher {
  public:
   // reread: what it is told now; throws Malformed where that cannot be used.
-  explicit Dispatcher(const Orders& orders, std::function<Orders()> reread = {});
+  explicit Dispatcher(const DispatcherConfig& orders, std::function<DispatcherConfig()> reread = {});
   ~Dispatcher();
   void run();
 
  private:
   // In this order; none is gone back to.
   enum class State {
-    restoring,  // what an earlier process left is accepted again
+    recovering,  // what an earlier process left is accepted again
     serving,
-    leaving,    // told to end: clients are still taken, and on their way elsewhere
-    finishing,  // no clients; what is held is attempted
-    waiting,    // nothing new goes out; answers that are out may still come
+    draining,           // told to end: clients are still taken, and on their way elsewhere
+    finishing,          // no clients; what is held is attempted
+    awaitingResponses,  // nothing new goes out; answers that are out may still come
     ended,
   };
-  class Signals;
-  class Landing;
+  class SignalHandler;
+  class JournalCompletion;
 
   void enter(State state);
-  void restore();
-  void takeNewOrders();
-  void move();
-  Intake::Answered answer(const std::vector<std::string_view>& words, bool left);
-  Intake::Answered submit(const std::vector<std::string_view>& words, bool left);
-  std::string busy(Millis wait);
+  void recover();
+  void reloadConfig();
+  void advanceLifecycle();
+  RespServer::CommandReply answer(const std::vector<std::string_view>& words, bool left);
+  RespServer::CommandReply submit(const std::vector<std::string_view>& words, bool left);
+  std::string busyReply(Millis wait);
   Millis ownWork() const;
   Millis workedThisTurn() const;
-  void tellRooms();
-  void tellSlow(Millis dispatched, Millis decided, Millis whole);
+  void logZoneHealth();
+  void logSlowTurn(Millis dispatched, Millis decided, Millis whole);
   void decide();
-  void keep();
-  void act();
-  void hangs();
-  void ended(MessageId id, const char* result, Millis wait);
-  void carryOut(const Decision& decision);
+  void commitJournal();
+  void executeDecisions();
+  void reportHungWrite();
+  void logFinished(MessageId id, const char* result, Millis wait);
+  void execute(const Decision& decision);
   Millis due() const;
 
-  Orders orders_;
-  std::function<Orders()> reread_;
-  DeploymentSettings terms_;
-  Descriptors descriptors_;
-  NameTables facts_;
-  State state_{State::restoring};
+  DispatcherConfig config_;
+  std::function<DispatcherConfig()> reread_;
+  DeploymentSettings settings_;
+  DescriptorBudget descriptors_;
+  NameTables names_;
+  State state_{State::recovering};
   Millis toldToEnd_{0};
   Millis wakeAt_{-1};
   std::size_t overBefore_{0};
@@ -112,17 +112,17 @@
   int slowTurns_{0};
   bool endWanted_{false};
   bool rereadWanted_{false};
-  Loop loop_;
-  DispatchPolicy rules_;
+  EventLoop loop_;
+  DispatchPolicy policy_;
   AdmissionController admission_;
-  MessageStore book_;
-  Catalog catalog_;
-  Calls calls_;
-  Notices notices_;
-  Intake intake_;
-  std::unique_ptr<Signals> signals_;
-  std::unique_ptr<Landing> landing_;  // where a thread writes the journal
-  Millis hangsSince_{-1};             // the write under way was begun then; -1 for none that took long
+  MessageStore store_;
+  DiscoveryClient discovery_;
+  AttemptSender sender_;
+  OutcomeNotifier notifier_;
+  RespServer server_;
+  std::unique_ptr<SignalHandler> signals_;
+  std::unique_ptr<JournalCompletion> journalCompletion_;  // where a thread writes the journal
+  Millis hangsSince_{-1};  // the write under way was begun then; -1 for none that took long
   bool hangTold_{false};
   std::vector<int> roomsTold_;  // of each room: 0 in order, 1 lost, 2 fed as it returns
   bool moreToDecide_{false};    // the last turn's part of deciding was used up
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -36,14 +36,14 @@
   Folder folder;
   int listener = loopback(0, true);
   int far = -1;
-  net::Loop loop;
+  net::EventLoop loop;
   DeploymentSettings terms;
   NameTables facts = readNameTables(kSettings);
   DispatchPolicy rules{terms, 7};
   std::size_t disk;
   net::MessageStore book{facts, folder.path.string(), disk};
-  net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:9"), "nowhere", 1};
-  net::Calls calls{loop, rules, book, catalog, terms, facts, 64, 8};
+  net::DiscoveryClient catalog{loop, rules, facts, *net::parseAddress("127.0.0.1:9"), "nowhere", 1};
+  net::AttemptSender calls{loop, rules, book, catalog, terms, facts, 64, 8};
   std::string got;  // by the endpoint
   std::map<std::string, MessageId> ids;
   bool withdraws{false};  // as the module decides it, too
@@ -53,7 +53,7 @@
     list("in_service");
   }
   void list(const std::string& state) {
-    catalog.told(nlohmann::json::parse(
+    catalog.applyAnswer(nlohmann::json::parse(
         R"({"version":1,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:)" +
         std::to_string(portOf(listener)) + R"(","zone":"a","kind":"many","cell":7,"state":")" + state +
         R"(","weight":1.0,"started_ms":0}]})"));
@@ -89,7 +89,7 @@
   void turn() {
     round(5);
     loop.dispatch();
-    calls.tick();
+    calls.onTick();
   }
   // What is held goes out in one call, and the endpoint has read it.
   bool sent(const std::string& lastBytes) {
@@ -99,14 +99,14 @@
   // Decided, noted and sent, as the dispatcher does it. meanwhile: while the journal is written.
   void decide(const std::function<void()>& meanwhile = [] {}) {
     while (auto d = rules.nextDecision()) {
-      if (d->act == Act::launch) calls.launch(*d);
-      if (d->act == Act::withdraw && withdraws) calls.withdraw(*d);
+      if (d->act == Act::launch) calls.sendAttempt(*d);
+      if (d->act == Act::withdraw && withdraws) calls.cancelAttempt(*d);
     }
-    calls.flush();
+    calls.recordBatches();
     book.commit();
     meanwhile();
-    if (loop.late(5)) rules.beginRound(loop.now());
-    calls.send();
+    if (loop.refreshTime(5)) rules.beginRound(loop.now());
+    calls.sendBatches();
   }
   // Whether the endpoint reads up to these bytes, or so many.
   bool read(const std::string& lastBytes, std::size_t many = 1e9) {
@@ -120,7 +120,7 @@
       return got.ends_with(lastBytes) || got.size() >= many;
     });
   }
-  void callOff(const std::string& ref) { calls.withdraw({Act::withdraw, ids[ref], {}, 0, 0}); }
+  void callOff(const std::string& ref) { calls.cancelAttempt({Act::withdraw, ids[ref], {}, 0, 0}); }
   bool out(const std::string& ref) const {
     const auto& held = rules.state().messages;
     auto at = held.find(ids.at(ref));
@@ -252,7 +252,7 @@
 TEST(Calls, ProbeNoMoreAtOnceThanTheirPartOfTheConnections) {
   Desk desk;
   EndpointId id = desk.catalog.idOf("s-1");
-  for (int n = 0; n < 12; ++n) desk.calls.probe(id);
+  for (int n = 0; n < 12; ++n) desk.calls.sendHealthCheck(id);
   int came = 0;
   for (pollfd waits{desk.listener, POLLIN, 0}; ::poll(&waits, 1, 100) > 0; ++came)
     ::close(::accept(desk.listener, nullptr, nullptr));
@@ -269,7 +269,7 @@
   ::getrlimit(RLIMIT_NOFILE, &usual);
   rlimit none{static_cast<rlim_t>(idle) + 1, usual.rlim_max};
   ::setrlimit(RLIMIT_NOFILE, &none);
-  desk.loop.onLack([&] { return idle >= 0 && ::close(std::exchange(idle, -1)) == 0; });
+  desk.loop.onDescriptorExhaustion([&] { return idle >= 0 && ::close(std::exchange(idle, -1)) == 0; });
   desk.decide();
   ::setrlimit(RLIMIT_NOFILE, &usual);
   EXPECT_EQ(idle, -1);
@@ -362,7 +362,7 @@
 
   Pair() : Desk(true) {
     withdraws = true;
-    catalog.told(nlohmann::json::parse(
+    catalog.applyAnswer(nlohmann::json::parse(
         R"({"version":2,"full":false,"servers":[{"id":"s-2","addr":"127.0.0.1:)" +
         std::to_string(portOf(ends[1].listener)) +
         R"(","zone":"a","kind":"many","cell":7,"state":"in_service","weight":1.0,"started_ms":0}]})"));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -36,14 +36,14 @@
 
 // The clients' side alone. PING is answered, anything else is accepted.
 struct Front {
-  net::Loop loop;
+  net::EventLoop loop;
   std::vector<std::string> taken;  // ids
   std::uint16_t port{};
   std::vector<int> clients;
-  net::Intake intake;
+  net::RespServer intake;
 
   explicit Front(std::size_t most = 64)
-      : intake(loop, most, 1 << 20, [this](const auto& words, bool) -> net::Intake::Answered {
+      : intake(loop, most, 1 << 20, [this](const auto& words, bool) -> net::RespServer::CommandReply {
           if (words[0] == "PING") return {kPong};
           if (words[0] != "SUBMIT") throw Malformed("unknown command");
           taken.emplace_back(words[2]);
@@ -52,19 +52,19 @@
     int fd = loopback(0, true);
     port = portOf(fd);
     ::close(fd);
-    intake.listen(*net::addressOf("127.0.0.1:" + std::to_string(port)));
+    intake.listen(*net::parseAddress("127.0.0.1:" + std::to_string(port)));
   }
   ~Front() {
     for (int fd : clients) ::close(fd);
   }
   int come() { return clients.emplace_back(loopback(port, false)); }
   void answer() {
-    intake.send([](MessageId) { return true; }, [](MessageId) { return std::nullopt; });
+    intake.sendReplies([](MessageId) { return true; }, [](MessageId) { return std::nullopt; });
   }
   void turn() {
     loop.wait(loop.now() + 2);
     loop.dispatch();
-    intake.tick();
+    intake.onTick();
     answer();
   }
   std::string turns(int fd, Millis most) {
@@ -94,7 +94,7 @@
   Front front;
   int fd = front.resting();
   put(fd, submit("late", "c=a,d=1,dest=7"));
-  front.intake.leave();
+  front.intake.drain();
   EXPECT_EQ(front.turns(fd, 500), kPong + "+OK\r\n" + "FIN");
   EXPECT_EQ(front.taken.size(), 1u);
 }
@@ -103,7 +103,7 @@
 TEST(Leaving, CrossesARequestThatArrivesBehindTheShutdown) {
   Front front;
   int fd = front.resting();
-  front.intake.leave();
+  front.intake.drain();
   for (std::string part : {submit("late", "c=a,d=1,dest=7"), submit("later", "c=a,d=1,dest=7")}) {
     put(fd, part);
     front.turn();
@@ -111,23 +111,23 @@
   EXPECT_EQ(heard(fd, 200), kPong + "FIN");
   front.turn();
   EXPECT_TRUE(front.taken.empty());
-  EXPECT_EQ(front.intake.clients(), 1u);  // it may still be writing
+  EXPECT_EQ(front.intake.clientCount(), 1u);  // it may still be writing
   ::shutdown(fd, SHUT_WR);
   EXPECT_TRUE(within(500, [&] {
     front.turn();
-    return front.intake.clients() == 0;
+    return front.intake.clientCount() == 0;
   }));
 }
 
 TEST(Leaving, EndsAClientThatSendsForEver) {
   Front front;
   int fd = front.resting();
-  front.intake.leave();
+  front.intake.drain();
   Millis began = front.loop.now();
   EXPECT_TRUE(within(3000, [&] {
     put(fd, kPing);
     front.turn();
-    return front.intake.clients() == 0;
+    return front.intake.clientCount() == 0;
   }));
   EXPECT_LT(front.loop.now() - began, 1500);
 }
@@ -138,7 +138,7 @@
   std::string whole = submit("half", "c=a,d=1,dest=7");
   put(fd, whole.substr(0, 20));
   front.turn();
-  front.intake.leave();
+  front.intake.drain();
   front.turn();
   put(fd, whole.substr(20));
   EXPECT_EQ(front.turns(fd, 500), kPong + "+OK\r\n" + "FIN");
@@ -150,7 +150,7 @@
   Front front;
   int fd = front.come();
   front.turn();
-  front.intake.leave();
+  front.intake.drain();
   front.turn();
   EXPECT_EQ(heard(fd), "");
   put(fd, submit("first", "c=a,d=1,dest=7"));
@@ -168,7 +168,7 @@
   Front front(400);
   for (int n = 0; n < kMany; ++n) put(front.come(), submit("c" + std::to_string(n), "c=a,d=1,dest=7"));
   front.intake.stopListening();
-  front.intake.leave();
+  front.intake.drain();
   for (int fd : front.clients) ASSERT_EQ(front.turns(fd, 1000), "+OK\r\nFIN");
   EXPECT_EQ(front.taken.size(), static_cast<std::size_t>(kMany));
 }
@@ -181,7 +181,7 @@
   front.loop.wait(front.loop.now());
   front.loop.dispatch();
   put(fd, kPing);
-  front.intake.tick();  // its time is up, and the command lies unread
+  front.intake.onTick();  // its time is up, and the command lies unread
   EXPECT_EQ(front.turns(fd, 200), kPong);
   int silent = front.come();
   EXPECT_EQ(front.turns(silent, 3000), "FIN");
@@ -200,7 +200,7 @@
   put(next, kPing);
   front.loop.wait(front.loop.now());
   // The listener's event is looked at before the client's.
-  EXPECT_TRUE(front.intake.closeIdlest());
+  EXPECT_TRUE(front.intake.closeIdlestClient());
   EXPECT_EQ(front.turns(kept[0], 100), kPong + "+OK\r\n");
   EXPECT_EQ(front.turns(next, 100), kPong);
 }
@@ -235,7 +235,7 @@
   sends.join();
   EXPECT_TRUE(within(2000, [&] {
     front.turn();
-    return front.intake.clients() == 0;
+    return front.intake.clientCount() == 0;
   }));
 }
 
@@ -251,7 +251,7 @@
   front.clients.clear();
   EXPECT_TRUE(within(2000, [&] {
     front.turn();
-    return front.intake.clients() == 0 && front.taken.size() > 0;
+    return front.intake.clientCount() == 0 && front.taken.size() > 0;
   }));
 }
 
@@ -274,14 +274,14 @@
 // The list's side alone, and a discovery that the test plays.
 struct Watcher {
   NameTables facts = readNameTables(kSettings);
-  net::Loop loop;
+  net::EventLoop loop;
   DispatchPolicy rules{readDeploymentSettings(kSettings), 7};
   int backlog;
   int listener = loopback(0, true, backlog);
   int far = -1;
   std::string in;
-  net::Catalog catalog{loop, rules, facts, *net::addressOf("127.0.0.1:" + std::to_string(portOf(listener))),
-                       "d",  1};
+  net::DiscoveryClient catalog{
+      loop, rules, facts, *net::parseAddress("127.0.0.1:" + std::to_string(portOf(listener))), "d", 1};
   explicit Watcher(int most = 8) : backlog(most) { rules.beginRound(loop.now()); }
   ~Watcher() {
     if (far >= 0) ::close(far);
@@ -291,7 +291,7 @@
     loop.wait(loop.now() + 2);
     rules.beginRound(loop.now());
     loop.dispatch();
-    catalog.tick();
+    catalog.onTick();
   }
   // The next question, and after how long it came; "" where none comes.
   std::string asked(Millis most, Millis* after = nullptr) {
@@ -392,7 +392,7 @@
     if (state == 2) put(w.far, listOf(9, "in_service", "old"));
     int next = loopback(0, true);
     std::swap(next, w.listener);
-    w.catalog.moveTo(*net::addressOf("127.0.0.1:" + std::to_string(portOf(w.listener))), "d");
+    w.catalog.changeAddress(*net::parseAddress("127.0.0.1:" + std::to_string(portOf(w.listener))), "d");
     int before = std::exchange(w.far, -1);
     put(before, listOf(9, "in_service", "old"));
     Millis after = 0;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -42,7 +42,7 @@
 }
 
 TEST(Host, LaunchesWhatIsTakenAndKeepsInstancesApart) {
-  Host host;
+  InstanceHost host;
   host.batch(1, 5, 100, createRecord(1) + createRecord(2) + pageRecord() + viewRecord(1) + viewRecord(2));
   std::string reply = host.batch(2, 1, 100.005, demandRecord(1, 7));
   Decision launch{Act::launch, MessageId{7}, EndpointId{0x0a0b0c0dull | 8000ull << 32}, 0, 4995};
@@ -55,7 +55,7 @@
 
 TEST(Host, NamesWhatIsWrongInAFrame) {
   auto throws = [](std::uint32_t records, const std::string& body, const std::string& part) {
-    Host host;
+    InstanceHost host;
     try {
       host.batch(1, records, 100, body);
       ADD_FAILURE() << "taken: " << part;
@@ -71,7 +71,7 @@
 }
 
 TEST(Host, ReportsAFailureOfTheModule) {
-  Host host;
+  InstanceHost host;
   std::string reply = host.batch(1, 2, 100, createRecord(1) + demandRecord(1, 7, 42));
   EXPECT_NE(reply.find("unknown traffic type"), std::string::npos);
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -19,7 +19,7 @@
 
 using net::AnswerReader;
 using net::Parsed;
-using Step = AnswerReader::Step;
+using Step = AnswerReader::Progress;
 
 const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 const std::string kNoContent = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -53,10 +53,11 @@
   std::vector<std::string_view> words;
   std::size_t used = 0;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
-    ASSERT_EQ(net::readCommand(std::string_view(bytes).substr(0, n), words, used), Parsed::more) << n;
+    ASSERT_EQ(net::parseRespCommand(std::string_view(bytes).substr(0, n), words, used), Parsed::needsMore)
+        << n;
   }
   bytes += "*1";
-  ASSERT_EQ(net::readCommand(bytes, words, used), Parsed::whole);
+  ASSERT_EQ(net::parseRespCommand(bytes, words, used), Parsed::complete);
   EXPECT_EQ(used, bytes.size() - 2);
   EXPECT_EQ(words.at(4), std::string_view("a\r\n\0$", 5));
 }
@@ -67,7 +68,7 @@
         "*1\r\n$2\r\nabX", "*1\r\n$-1\r\n", "*x\r\n", "*1111111111111111111111111111111111"}) {
     std::vector<std::string_view> words;
     std::size_t used = 0;
-    EXPECT_EQ(net::readCommand(bad, words, used), Parsed::broken) << bad;
+    EXPECT_EQ(net::parseRespCommand(bad, words, used), Parsed::malformed) << bad;
   }
 }
 
@@ -77,7 +78,7 @@
   std::string bytes = command(words);
   std::vector<std::string_view> read;
   std::size_t used = 0;
-  RC_ASSERT(net::readCommand(bytes, read, used) == Parsed::whole);
+  RC_ASSERT(net::parseRespCommand(bytes, read, used) == Parsed::complete);
   RC_ASSERT(used == bytes.size());
   RC_ASSERT(std::vector<std::string>(read.begin(), read.end()) == words);
 }
@@ -101,19 +102,19 @@
         Case{kNoContent, "", 204, true}}) {
     AnswerReader reader;
     for (std::size_t n = 0; n < c.bytes.size(); ++n) {
-      ASSERT_EQ(reader.step(std::string_view(c.bytes).substr(0, n), false), Step::more) << c.bytes << n;
+      ASSERT_EQ(reader.parse(std::string_view(c.bytes).substr(0, n), false), Step::needsMore) << c.bytes << n;
     }
-    ASSERT_EQ(reader.step(c.bytes, false), Step::whole) << c.bytes;
+    ASSERT_EQ(reader.parse(c.bytes, false), Step::complete) << c.bytes;
     EXPECT_EQ(reader.status(), c.status);
     EXPECT_EQ(reader.body(c.bytes), c.body);
-    EXPECT_EQ(reader.keeps(), c.keeps);
+    EXPECT_EQ(reader.keepsAlive(), c.keeps);
     EXPECT_EQ(reader.length(), c.bytes.size());
     EXPECT_EQ(reader.header(c.bytes, "X-Backoff-Ms"), c.status == 429 ? "40" : "");
   }
   AnswerReader toTheEnd;
   std::string open = "HTTP/1.1 200 OK\r\n\r\nall";
-  EXPECT_EQ(toTheEnd.step(open, false), Step::more);
-  EXPECT_EQ(toTheEnd.step(open, true), Step::whole);
+  EXPECT_EQ(toTheEnd.parse(open, false), Step::needsMore);
+  EXPECT_EQ(toTheEnd.parse(open, true), Step::complete);
   EXPECT_EQ(toTheEnd.body(open), "all");
 }
 
@@ -123,11 +124,12 @@
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 101 Go\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
-    EXPECT_EQ(AnswerReader().step(bad, false), Step::broken) << bad;
+    EXPECT_EQ(AnswerReader().parse(bad, false), Step::malformed) << bad;
   }
-  EXPECT_EQ(AnswerReader().step("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true), Step::broken);
-  EXPECT_EQ(AnswerReader().step(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'), false),
-            Step::broken);
+  EXPECT_EQ(HttpResponseParser().parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true),
+            Step::malformed);
+  EXPECT_EQ(AnswerReader().parse(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'), false),
+            Step::malformed);
 }
 
 RC_GTEST_PROP(Answers, CutAnywhereGiveTheSameEnd, (std::string body, std::vector<std::uint8_t> cuts)) {
@@ -137,20 +139,20 @@
   std::size_t at = 0;
   for (std::uint8_t cut : cuts) {
     at = std::min(at + cut, bytes.size());
-    RC_ASSERT(reader.step(std::string_view(bytes).substr(0, at), false) ==
-              (at < bytes.size() ? Step::more : Step::whole));
+    RC_ASSERT(reader.parse(std::string_view(bytes).substr(0, at), false) ==
+              (at < bytes.size() ? Step::needsMore : Step::complete));
   }
-  RC_ASSERT(reader.step(bytes, false) == Step::whole);
+  RC_ASSERT(reader.parse(bytes, false) == Step::complete);
   RC_ASSERT(reader.body(bytes) == body);
 }
 
 RC_GTEST_PROP(Answers, JunkEndsBrokenOrWholeButNeverPastItsBytes, (std::string junk)) {
   std::string bytes = "HTTP/1.1 200 OK\r\n" + junk;
   AnswerReader reader;
-  reader.step(bytes, false);
-  Step end = reader.step(bytes, true);
-  RC_ASSERT(end != Step::more);
-  if (end == Step::whole) RC_ASSERT(reader.length() <= bytes.size());
+  reader.parse(bytes, false);
+  Step end = reader.parse(bytes, true);
+  RC_ASSERT(end != Step::needsMore);
+  if (end == Step::complete) RC_ASSERT(reader.length() <= bytes.size());
 }
 
 // Danger: a program made anew takes the journal of its forerunner for torn, and cuts all that was accepted.
@@ -994,17 +996,18 @@
 TEST(Descriptors, AreDealtOutSoThatNobodyTakesThoseOfAnother) {
   for (std::size_t sockets : {28, 29, 40, 64, 96, 256, 512, 1024, 65536}) {
     for (int slots : {1, 2, 30, 200, 5000}) {
-      net::Descriptors d = net::descriptorsOf(sockets, slots);
-      EXPECT_EQ(d.own + d.links + d.clients, sockets);
+      net::DescriptorBudget d = net::descriptorBudget(sockets, slots);
+      EXPECT_EQ(d.own + d.endpointConnections + d.clients, sockets);
       EXPECT_GE(d.own, 14u);
       EXPECT_GE(d.clients, sockets / 8) << sockets << " " << slots;
-      EXPECT_GE(d.probes, 1u);
-      EXPECT_TRUE(d.slots >= 1 && d.slots <= slots);
-      EXPECT_EQ(static_cast<std::size_t>(d.slots) + d.probes, d.links) << sockets << " " << slots;
+      EXPECT_GE(d.healthChecks, 1u);
+      EXPECT_TRUE(d.maxConcurrentRequests >= 1 && d.maxConcurrentRequests <= slots);
+      EXPECT_EQ(static_cast<std::size_t>(d.maxConcurrentRequests) + d.healthChecks, d.endpointConnections)
+          << sockets << " " << slots;
     }
   }
-  EXPECT_EQ(net::descriptorsOf(1024, 200).slots, 200);
-  EXPECT_THROW(net::descriptorsOf(27, 1), Malformed);
+  EXPECT_EQ(net::descriptorBudget(1024, 200).maxConcurrentRequests, 200);
+  EXPECT_THROW(net::descriptorBudget(27, 1), Malformed);
 }
 
 // Danger: idle clients hold all descriptors while discovery is silent; then nothing can be delivered, told or
@@ -1286,13 +1289,13 @@
                             {R"({"listen":"a","discovery":"b","state":"c","seed":"zz"})", "seed"},
                             {R"({"listen":1})", "type"}}) {
     try {
-      net::readOrders(text, none);
+      net::readConfig(text, none);
       ADD_FAILURE() << text;
     } catch (const Malformed& problem) {
       EXPECT_NE(std::string(problem.what()).find(part), std::string::npos) << problem.what();
     }
   }
-  net::Orders orders;
+  net::DispatcherConfig orders;
   orders.settings = kSettings;
   orders.listen = "not an address";
   orders.discovery = "127.0.0.1:1";
