--- a/src/lab/agenda.h
+++ b/src/lab/agenda.h
@@ -49,7 +49,7 @@
     loop_.unwatch(fd_);
     ::close(fd_);
   }
-  void ready(std::uint32_t) override {
+  void onEvents(std::uint32_t) override {
     std::uint64_t times = 0;
     (void)!::read(fd_, &times, sizeof times);
   }
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -67,7 +67,7 @@
     load_.loop_.unwatch(fd_);
     ::close(std::exchange(fd_, -1));
   }
-  void ready(std::uint32_t) override {
+  void onEvents(std::uint32_t) override {
     if (fd_ < 0) return;
     if (!up_) {
       int error = 0;
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -46,7 +46,7 @@
     ::close(fd_);
     ::sigprocmask(SIG_SETMASK, &before_, nullptr);
   }
-  void ready(std::uint32_t) override {
+  void onEvents(std::uint32_t) override {
     signalfd_siginfo info;
     while (::read(fd_, &info, sizeof info) == sizeof info) seen = true;
   }
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -54,7 +54,7 @@
   ::close(fd_);
 }
 
-void Served::ready(std::uint32_t) {
+void Served::onEvents(std::uint32_t) {
   if (deaf_) return;
   write();
   if (fd_ >= 0) read();
@@ -158,7 +158,7 @@
   ::close(std::exchange(fd_, -1));
 }
 
-void Server::ready(std::uint32_t) {
+void Server::onEvents(std::uint32_t) {
   if (vanished_) return;
   while (fd_ >= 0) {
     int fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
--- a/src/lab/server.h
+++ b/src/lab/server.h
@@ -29,7 +29,7 @@
   void answer(std::string bytes, bool thenClose = false);
   void reset();        // ends at once, and the other side sees a break
   void deaf(bool on);  // nothing is read or written, as if the network were gone
-  void ready(std::uint32_t events) override;
+  void onEvents(std::uint32_t events) override;
   bool open() const { return fd_ >= 0; }
   // The other side has ended its part, though we may not have been told yet.
   bool left() const;
@@ -68,7 +68,7 @@
   void vanish(bool on);
   // Takes no more connections for now, and keeps those it has.
   void shut(bool on);
-  void ready(std::uint32_t events) override;
+  void onEvents(std::uint32_t events) override;
 
  private:
   friend class Served;
--- a/src/net/catalog.cpp
+++ b/src/net/catalog.cpp
@@ -204,7 +204,7 @@
 
 void DiscoveryClient::poll() {
   if (!link_ || !link_->isOpen() || !link_->isReusable()) {
-    HttpLink::closeLater(loop_, link_);
+    HttpClientConnection::closeLater(loop_, link_);
     link_ = std::make_unique<HttpClientConnection>(loop_, *this, kAnswerMost);
     if (!link_->open(address_)) return scheduleRetry(kPauseFirst, kPauseMost);
   }
--- a/src/net/catalog.h
+++ b/src/net/catalog.h
@@ -20,7 +20,7 @@
 };
 
 // Which endpoints there are, as discovery tells it: a list to start from, then a watch that goes on and on.
-class DiscoveryClient : public HttpLink::Observer {
+class DiscoveryClient : public HttpClientConnection::Observer {
  public:
   DiscoveryClient(EventLoop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
                   std::string host, std::uint64_t seed);
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -236,7 +236,7 @@
     up_ = true;
     if (!observer_.mayStartExchange(*this)) return;
   }
-  if (halfWritten && !owner_.mayContinueExchange(*this)) return;
+  if (halfWritten && !observer_.mayContinueExchange(*this)) return;
   if (!out_.empty()) write();
   if (fd_ >= 0) read((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
 }
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -44,7 +44,7 @@
 void OutcomeNotifier::changeAddress(sockaddr_in platform, std::string host) {
   platform_ = platform;
   host_ = std::move(host);
-  HttpLink::closeLater(loop_, link_);
+  HttpClientConnection::closeLater(loop_, link_);
   out_.clear();
   pause_ = 0;
   notBefore_ = loop_.now();
@@ -52,7 +52,7 @@
 
 void OutcomeNotifier::send() {
   if (!link_ || !link_->isOpen() || !link_->isReusable()) {
-    HttpLink::closeLater(loop_, link_);
+    HttpClientConnection::closeLater(loop_, link_);
     link_ = std::make_unique<HttpClientConnection>(loop_, *this, kAnswerMost);
     if (!link_->open(platform_)) return scheduleRetry();
   }
--- a/src/net/phases.cpp
+++ b/src/net/phases.cpp
@@ -250,11 +250,11 @@
       sender_(loop_, policy_, store_, discovery_, settings_, names_, descriptors_.endpointConnections,
               descriptors_.healthChecks),
       notifier_(loop_, store_, needAddress(orders.discovery, "discovery"), orders.discovery),
-      intake_(loop_, descriptors_.clients, orders.memoryBytes / kMemoryForHalves,
+      server_(loop_, descriptors_.clients, orders.memoryBytes / kMemoryForHalves,
               [this](const auto& words, bool left) { return answer(words, left); }),
       signals_(std::make_unique<SignalHandler>(loop_, endWanted_, rereadWanted_)) {
   needAddress(orders.listen, "listen");
-  loop_.onDescriptorExhaustion([this] { return intake_.closeIdlestClient(); });
+  loop_.onDescriptorExhaustion([this] { return server_.closeIdlestClient(); });
   if (store_.descriptor() >= 0)
     journalCompletion_ = std::make_unique<JournalCompletion>(loop_, store_.descriptor());
 }
@@ -276,14 +276,14 @@
   policy_.beginRound(loop_.now());
   if (!config_.known.empty()) {
     try {
-      catalog_.applyAnswer(json::parse(config_.known));
+      discovery_.applyAnswer(json::parse(config_.known));
     } catch (const Malformed& problem) {
       log::error("list.unreadable", {{"why", problem.what()}, {"kept", discovery_.count()}});
     }
   }
   if (std::size_t cut = store_.restore(); cut > 0) log::warn("journal.torn", {{"bytes", cut}});
   Millis toSteady = loop_.now() - wallNow();
-  catalog_.addRecoveredEndpoints(store_.inFlight());
+  discovery_.addRecoveredEndpoints(store_.inFlight());
   for (const auto& [id, held] : store_.inFlight()) {
     policy_.acceptMessage(id, held.type, held.tenant, held.orderingKey, held.destination,
                           held.deadlineWall + toSteady);
@@ -293,7 +293,8 @@
     for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
       if (sent > loop_.now() + kClockOff) sent = 0;
-      policy_.recordEarlierAttempt(id, catalog_.idOf(launch.endpoint.name), sent, launch.provablyNotExecuted);
+      policy_.recordEarlierAttempt(id, discovery_.idOf(launch.endpoint.name), sent,
+                                   launch.provablyNotExecuted);
     }
   }
 }
@@ -321,12 +322,12 @@
     server_.onTick();
     advanceLifecycle();
     // Many answers do not wait for the decisions; a few share one write of the journal with their attempts.
-    if (intake_.clientsWithReplies() >= kManyAnswers || store_.isCommitting()) commitJournal();
+    if (server_.clientsWithReplies() >= kManyAnswers || store_.isCommitting()) commitJournal();
     // What is decided while a write hangs could not be acted on, and would be decided on what is old by then.
     if (state_ < State::awaitingResponses && !store_.isCommitting()) decide();
     commitJournal();
     Millis decided = steadyNow();
-    if (!store_.isCommitting()) notices_.onTick();
+    if (!store_.isCommitting()) notifier_.onTick();
     for (; overBefore_ < store_.finishedCount(); ++overBefore_) admission_.recordFinished(loop_.now());
     Millis before = std::exchange(worked_, ownWork());
     admission_.recordTurn(loop_.now(), worked_ - before);
@@ -380,7 +381,7 @@
                           {"rest_ms", whole - dispatched - decided},
                           {"turns", std::exchange(slowTurns_, 0)},
                           {"held", store_.inFlight().size()},
-                          {"clients", intake_.clientCount()}});
+                          {"clients", server_.clientCount()}});
 }
 
 // Discovery and the platform may have moved. The old address closes what is open there, and what it no longer
@@ -397,7 +398,7 @@
     }
     if (orders.discovery == config_.discovery) return;
     config_.discovery = orders.discovery;
-    catalog_.changeAddress(discovery, orders.discovery);
+    discovery_.changeAddress(discovery, orders.discovery);
     notifier_.changeAddress(discovery, orders.discovery);
     log::info("discovery.moved", {{"address", orders.discovery}});
   } catch (const std::exception& problem) {
@@ -415,10 +416,10 @@
   if (state_ == State::draining && since >= kAcceptFor) {
     server_.stopListening();
     enter(State::finishing);  // what is read from here on is refused
-    intake_.drain();
+    server_.drain();
   }
   if (state_ == State::finishing && since >= kLaunchFor) enter(State::awaitingResponses);
-  bool done = store_.inFlight().empty() && notifier_.idle() && intake_.clientCount() == 0;
+  bool done = store_.inFlight().empty() && notifier_.idle() && server_.clientCount() == 0;
   bool nothingOut = state_ == State::awaitingResponses && sender_.idle() && notifier_.idle();
   if (state_ >= State::finishing && (done || nothingOut || since >= kAnswersFor)) enter(State::ended);
 }
@@ -523,7 +524,7 @@
   // Danger: a write that hung in the loop, or long decisions, have made the turn old. What goes out counts
   // from now.
   if (loop_.refreshTime(kWriteWait)) policy_.beginRound(loop_.now());
-  calls_.sendBatches();
+  sender_.sendBatches();
   server_.sendReplies([this](MessageId id) { return store_.isDecided(id); },
                       [this](MessageId id) -> std::optional<std::string> {
                         if (!store_.isLostAcceptance(id)) {
@@ -543,7 +544,7 @@
     hangTold_ = true;
     log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", store_.inFlight().size()}});
   }
-  intake_.sendReplies([this](MessageId id) { return store_.isDecided(id) && !store_.isLostAcceptance(id); },
+  server_.sendReplies([this](MessageId id) { return store_.isDecided(id) && !store_.isLostAcceptance(id); },
                       [](MessageId) { return std::nullopt; });
 }
 
@@ -562,7 +563,7 @@
     case Act::launch:
       return sender_.sendAttempt(d);
     case Act::withdraw:
-      return calls_.cancelAttempt(d);
+      return sender_.cancelAttempt(d);
     case Act::shed:
       logFinished(d.message, "shed", d.span);
       return store_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
@@ -570,7 +571,7 @@
       logFinished(d.message, "given_up", 0);
       return store_.addPendingNotification(d.message, FinalOutcome::failed, 0);
     case Act::probe:
-      return calls_.sendHealthCheck(d.endpoint);
+      return sender_.sendHealthCheck(d.endpoint);
     case Act::closeIdle:
       return sender_.closeIdleConnection(d.endpoint);
     case Act::wake:
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -17,9 +17,9 @@
 namespace stonewing::testing {
 namespace {
 
-using net::AnswerReader;
-using net::Parsed;
-using Step = AnswerReader::Progress;
+using net::HttpResponseParser;
+using net::RespParseResult;
+using Step = HttpResponseParser::Progress;
 
 const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 const std::string kNoContent = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -53,11 +53,12 @@
   std::vector<std::string_view> words;
   std::size_t used = 0;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
-    ASSERT_EQ(net::parseRespCommand(std::string_view(bytes).substr(0, n), words, used), Parsed::needsMore)
+    ASSERT_EQ(net::parseRespCommand(std::string_view(bytes).substr(0, n), words, used),
+              RespParseResult::needsMore)
         << n;
   }
   bytes += "*1";
-  ASSERT_EQ(net::parseRespCommand(bytes, words, used), Parsed::complete);
+  ASSERT_EQ(net::parseRespCommand(bytes, words, used), RespParseResult::complete);
   EXPECT_EQ(used, bytes.size() - 2);
   EXPECT_EQ(words.at(4), std::string_view("a\r\n\0$", 5));
 }
@@ -68,7 +69,7 @@
         "*1\r\n$2\r\nabX", "*1\r\n$-1\r\n", "*x\r\n", "*1111111111111111111111111111111111"}) {
     std::vector<std::string_view> words;
     std::size_t used = 0;
-    EXPECT_EQ(net::parseRespCommand(bad, words, used), Parsed::malformed) << bad;
+    EXPECT_EQ(net::parseRespCommand(bad, words, used), RespParseResult::malformed) << bad;
   }
 }
 
@@ -78,7 +79,7 @@
   std::string bytes = command(words);
   std::vector<std::string_view> read;
   std::size_t used = 0;
-  RC_ASSERT(net::parseRespCommand(bytes, read, used) == Parsed::complete);
+  RC_ASSERT(net::parseRespCommand(bytes, read, used) == RespParseResult::complete);
   RC_ASSERT(used == bytes.size());
   RC_ASSERT(std::vector<std::string>(read.begin(), read.end()) == words);
 }
@@ -100,7 +101,7 @@
         Case{"HTTP/1.0 503 Full\r\nContent-Length: 1\r\n\r\nx", "x", 503, false},
         Case{"HTTP/1.1 500 Oh\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", "x", 500, false},
         Case{kNoContent, "", 204, true}}) {
-    AnswerReader reader;
+    HttpResponseParser reader;
     for (std::size_t n = 0; n < c.bytes.size(); ++n) {
       ASSERT_EQ(reader.parse(std::string_view(c.bytes).substr(0, n), false), Step::needsMore) << c.bytes << n;
     }
@@ -111,7 +112,7 @@
     EXPECT_EQ(reader.length(), c.bytes.size());
     EXPECT_EQ(reader.header(c.bytes, "X-Backoff-Ms"), c.status == 429 ? "40" : "");
   }
-  AnswerReader toTheEnd;
+  HttpResponseParser toTheEnd;
   std::string open = "HTTP/1.1 200 OK\r\n\r\nall";
   EXPECT_EQ(toTheEnd.parse(open, false), Step::needsMore);
   EXPECT_EQ(toTheEnd.parse(open, true), Step::complete);
@@ -124,18 +125,19 @@
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 101 Go\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
-    EXPECT_EQ(AnswerReader().parse(bad, false), Step::malformed) << bad;
+    EXPECT_EQ(HttpResponseParser().parse(bad, false), Step::malformed) << bad;
   }
   EXPECT_EQ(HttpResponseParser().parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true),
             Step::malformed);
-  EXPECT_EQ(AnswerReader().parse(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'), false),
-            Step::malformed);
+  EXPECT_EQ(
+      HttpResponseParser().parse(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'), false),
+      Step::malformed);
 }
 
 RC_GTEST_PROP(Answers, CutAnywhereGiveTheSameEnd, (std::string body, std::vector<std::uint8_t> cuts)) {
   std::string bytes =
       "HTTP/1.1 200 OK\r\nX-Load: x1=3\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-  AnswerReader reader;
+  HttpResponseParser reader;
   std::size_t at = 0;
   for (std::uint8_t cut : cuts) {
     at = std::min(at + cut, bytes.size());
@@ -148,7 +150,7 @@
 
 RC_GTEST_PROP(Answers, JunkEndsBrokenOrWholeButNeverPastItsBytes, (std::string junk)) {
   std::string bytes = "HTTP/1.1 200 OK\r\n" + junk;
-  AnswerReader reader;
+  HttpResponseParser reader;
   reader.parse(bytes, false);
   Step end = reader.parse(bytes, true);
   RC_ASSERT(end != Step::needsMore);
