--- a/src/adapter/host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -1,9 +1,9 @@
-#include "adapter/host.h"
+#include "adapter/instance_host.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/facts.h"
+#include "settings/settings_reader.h"
 
 namespace stonewing {
 namespace {
--- a/src/adapter/host.h
+++ b/src/adapter/instance_host.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "adapter/wire.h"
-#include "rules.h"
+#include "policy/dispatch_policy.h"
 
 namespace stonewing {
 
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -3,7 +3,7 @@
 #include <exception>
 #include <string>
 
-#include "adapter/host.h"
+#include "adapter/instance_host.h"
 
 namespace {
 
--- a/src/adapter/wire.h
+++ b/src/adapter/wire.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "core/bytes.h"
-#include "core/decision.h"
-#include "core/ids.h"
+#include "base/bytes.h"
+#include "base/ids.h"
+#include "policy/decision.h"
 
 namespace stonewing::wire {
 
--- a/src/admission/admission.cpp
+++ b/src/admission/admission_controller.cpp
@@ -1,4 +1,4 @@
-#include "admission/admission.h"
+#include "admission/admission_controller.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/admission/admission.h
+++ b/src/admission/admission_controller.h
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <random>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
 // Whether a message is accepted at all, decided before it is written to the journal. The rules decide about
 // what is held; this decides only about our own overload: no place, no room in the journal, a folder that
--- a/src/net/calls.cpp
+++ b/src/delivery/attempt_sender.cpp
@@ -1,4 +1,4 @@
-#include "net/calls.h"
+#include "delivery/attempt_sender.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,9 +6,9 @@
 #include <cstring>
 #include <utility>
 
-#include "net/log.h"
+#include "logging/log.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr std::size_t kAnswerMost = 128 * 1024;
@@ -585,4 +585,4 @@
                       [](const auto& l) { return !l->members.empty(); });
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/calls.h
+++ b/src/delivery/attempt_sender.h
@@ -7,13 +7,13 @@
 #include <tuple>
 #include <vector>
 
-#include "core/facts.h"
-#include "net/book.h"
-#include "net/catalog.h"
-#include "net/http.h"
-#include "rules.h"
+#include "discovery/discovery_client.h"
+#include "net/http_client_connection.h"
+#include "policy/dispatch_policy.h"
+#include "settings/settings_reader.h"
+#include "storage/message_store.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // What a load report tells of the limit; one that cannot be read tells nothing.
 LoadReport reportIn(std::string_view report, const std::vector<std::string>& fields);
@@ -116,4 +116,4 @@
   std::vector<EndpointConnection*> noted_;                                      // to be sent
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/notices.cpp
+++ b/src/delivery/outcome_notifier.cpp
@@ -1,12 +1,12 @@
-#include "net/notices.h"
+#include "delivery/outcome_notifier.h"
 
 #include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "net/log.h"
+#include "logging/log.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 // A body holds 64 KiB at most. Thousands of ends in a moment are overdue before many small bodies are
@@ -103,4 +103,4 @@
   notBefore_ = loop_.now() + pause_;
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/notices.h
+++ b/src/delivery/outcome_notifier.h
@@ -2,10 +2,10 @@
 
 #include <vector>
 
-#include "net/book.h"
-#include "net/http.h"
+#include "net/http_client_connection.h"
+#include "storage/message_store.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // Tells the platform of ends without a delivery, again and again until it confirms.
 class OutcomeNotifier : public HttpClientConnection::Observer {
@@ -37,4 +37,4 @@
   Millis pause_{0};
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/catalog.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/catalog.h"
+#include "discovery/discovery_client.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -7,10 +7,10 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "core/bytes.h"
-#include "net/log.h"
+#include "base/bytes.h"
+#include "logging/log.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 using nlohmann::json;
@@ -264,4 +264,4 @@
   notBefore_ = loop_.now() + pause_ * spread(chance_);
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/catalog.h
+++ b/src/discovery/discovery_client.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <unordered_map>
 
-#include "net/book.h"
-#include "net/http.h"
-#include "rules.h"
+#include "net/http_client_connection.h"
+#include "policy/dispatch_policy.h"
+#include "storage/message_store.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 struct DiscoveredEndpoint {
   EndpointRecord record;
@@ -74,4 +74,4 @@
   std::unordered_map<std::string, EndpointId> ids_;
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/phases.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "net/phases.h"
+#include "dispatcher/dispatcher.h"
 
 #include <signal.h>
 #include <sys/resource.h>
@@ -13,10 +13,10 @@
 #include <system_error>
 #include <utility>
 
-#include "core/bytes.h"
-#include "net/log.h"
+#include "base/bytes.h"
+#include "logging/log.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 using nlohmann::json;
@@ -580,4 +580,4 @@
   }
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/phases.h
+++ b/src/dispatcher/dispatcher.h
@@ -6,17 +6,17 @@
 #include <memory>
 #include <string>
 
-#include "admission/admission.h"
-#include "core/facts.h"
-#include "net/book.h"
-#include "net/calls.h"
-#include "net/catalog.h"
-#include "net/intake.h"
-#include "net/loop.h"
-#include "net/notices.h"
-#include "rules.h"
+#include "admission/admission_controller.h"
+#include "delivery/attempt_sender.h"
+#include "delivery/outcome_notifier.h"
+#include "discovery/discovery_client.h"
+#include "net/event_loop.h"
+#include "policy/dispatch_policy.h"
+#include "server/resp_server.h"
+#include "settings/settings_reader.h"
+#include "storage/message_store.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // What a dispatcher is told at its start.
 struct DispatcherConfig {
@@ -128,4 +128,4 @@
   bool moreToDecide_{false};    // the last turn's part of deciding was used up
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/main.cpp
+++ b/src/dispatcher/main.cpp
@@ -5,9 +5,9 @@
 #include <iostream>
 #include <iterator>
 
-#include "core/bytes.h"
-#include "net/log.h"
-#include "net/phases.h"
+#include "base/bytes.h"
+#include "dispatcher/dispatcher.h"
+#include "logging/log.h"
 
 namespace {
 
@@ -24,10 +24,10 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-stonewing::net::DispatcherConfig ordersFrom(std::string path, const std::string& added) {
+stonewing::DispatcherConfig ordersFrom(std::string path, const std::string& added) {
   if (path.empty()) path = variable("EDGE_CONFIG");
   if (path.empty()) throw stonewing::Malformed("no configuration: give --config or set EDGE_CONFIG");
-  return stonewing::net::readConfig(contents(path), variable, added.empty() ? "" : contents(added));
+  return stonewing::readConfig(contents(path), variable, added.empty() ? "" : contents(added));
 }
 
 }  // namespace
@@ -55,13 +55,13 @@
     if (*version) std::cout << "stonewing " << kVersion << "\n";
     if (*check) {
       auto orders = ordersFrom(path, added);
-      auto terms = stonewing::net::deploymentSettings(orders);
+      auto terms = stonewing::deploymentSettings(orders);
       std::cout << orders.name << " at " << orders.listen << ": " << terms.types.size() << " traffic types, "
                 << terms.zoneFailover.priorities.size() << " tiers of rooms\n";
     }
     if (*serve) {
-      stonewing::net::blockSignals();
-      stonewing::net::Dispatcher(ordersFrom(path, added), [&] { return ordersFrom(path, added); }).run();
+      stonewing::blockSignals();
+      stonewing::Dispatcher(ordersFrom(path, added), [&] { return ordersFrom(path, added); }).run();
     }
   } catch (const std::exception& problem) {
     std::cerr << "stonewing: " << problem.what() << "\n";
--- a/src/lab/agenda.h
+++ b/src/lab/agenda.h
@@ -12,7 +12,7 @@
 #include <system_error>
 #include <utility>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 namespace stonewing::lab {
 
@@ -38,9 +38,9 @@
 
 // Wakes the loop to the microsecond. The loop itself sleeps in whole milliseconds, and a world that is up to
 // one late at each step has a tenth less capacity than its plan says.
-class Alarm : public net::EventHandler {
+class Alarm : public EventHandler {
  public:
-  explicit Alarm(net::EventLoop& loop)
+  explicit Alarm(EventLoop& loop)
       : loop_(loop), fd_(::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)) {
     if (fd_ < 0 || !loop.watch(fd_, *this))
       throw std::system_error(errno, std::generic_category(), "timerfd");
@@ -64,20 +64,20 @@
       ::timerfd_settime(fd_, TFD_TIMER_ABSTIME, &when, nullptr);
       set_ = due;
     }
-    loop_.wait(due <= net::steadyNow() ? 0 : due + 1);
+    loop_.wait(due <= steadyNow() ? 0 : due + 1);
     loop_.dispatch();
     agenda.run(loop_.now());
   }
 
  private:
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   int fd_;
   Millis set_{-1};
 };
 
 // The clock of one experiment: zero at its start.
 struct Clock {
-  const net::EventLoop& loop;
+  const EventLoop& loop;
   Millis epoch{0};
   Millis now() const { return loop.now() - epoch; }
 };
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <set>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 #include "lab/policy.h"
-#include "rules.h"
+#include "policy/dispatch_policy.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/gates.cpp
+++ b/src/lab/gates.cpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <utility>
 
-#include "admission/admission.h"
-#include "core/bytes.h"
+#include "admission/admission_controller.h"
+#include "base/bytes.h"
 #include "lab/draw.h"
 
 namespace stonewing::lab {
--- a/src/lab/gates.h
+++ b/src/lab/gates.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
 // How a dispatcher that is itself short of processor time turns messages away, compared with the ways of
 // others, in virtual time: one loop, clients with patience, and a gate. No sockets, no clock.
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-class Load::Link : public net::EventHandler {
+class Load::Link : public EventHandler {
  public:
   Link(Load& load, int dispatcher) : dispatcher(dispatcher), load_(load), reader_(redisReaderCreate()) {}
   ~Link() override {
@@ -48,7 +48,7 @@
     redisReaderFree(reader_);
   }
   bool open() {
-    auto to = net::parseAddress(load_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
+    auto to = parseAddress(load_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
     if (!to) return false;
     fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd_ < 0) return false;
@@ -60,7 +60,7 @@
   }
   void send(std::string bytes) {
     out_.add(std::move(bytes));
-    if (up_ && out_.write(fd_) == net::WriteBuffer::WriteResult::broken) load_.loop_.reschedule(fd_);
+    if (up_ && out_.write(fd_) == WriteBuffer::WriteResult::broken) load_.loop_.reschedule(fd_);
   }
   void close() {
     if (fd_ < 0) return;
@@ -79,9 +79,9 @@
       if (::getpeername(fd_, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return;  // not yet
       up_ = true;
     }
-    if (out_.write(fd_) == net::WriteBuffer::WriteResult::broken) return load_.ended(*this, false);
+    if (out_.write(fd_) == WriteBuffer::WriteResult::broken) return load_.ended(*this, false);
     std::string in;
-    net::ReadResult got = net::readAvailable(fd_, in, kAnswerMost);
+    ReadResult got = readAvailable(fd_, in, kAnswerMost);
     redisReaderFeed(reader_, in.data(), in.size());
     for (;;) {
       void* raw = nullptr;
@@ -93,9 +93,8 @@
       heard(answer);
       if (fd_ < 0) return;
     }
-    if (got == net::ReadResult::endOfStream || got == net::ReadResult::broken)
-      return load_.ended(*this, false);
-    if (got == net::ReadResult::more) load_.loop_.reschedule(fd_);
+    if (got == ReadResult::endOfStream || got == ReadResult::broken) return load_.ended(*this, false);
+    if (got == ReadResult::more) load_.loop_.reschedule(fd_);
   }
   void heard(const Answer& answer) {
     if (pong) return std::exchange(pong, {})();
@@ -121,10 +120,10 @@
   redisReader* reader_;
   int fd_{-1};
   bool up_{false};
-  net::WriteBuffer out_;
+  WriteBuffer out_;
 };
 
-Load::Load(net::EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients,
+Load::Load(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients,
            Trace& trace, std::vector<std::string> dispatchers)
     : loop_(loop),
       agenda_(agenda),
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -9,7 +9,7 @@
 #include "lab/agenda.h"
 #include "lab/clients.h"
 #include "lab/trace.h"
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 struct redisReader;
 
@@ -19,8 +19,8 @@
 // answered. Answers are read by hiredis, a RESP2 parser that is not the dispatcher's.
 class Load {
  public:
-  Load(net::EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients,
-       Trace& trace, std::vector<std::string> dispatchers);
+  Load(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients, Trace& trace,
+       std::vector<std::string> dispatchers);
   ~Load();
 
   // Hands in from now on.
@@ -43,7 +43,7 @@
   void gone(Link& link);
   std::string command(std::uint32_t callback) const;
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   Agenda& agenda_;
   const Clock& clock_;
   const Plan& plan_;
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -11,7 +11,7 @@
 #include <iterator>
 #include <nlohmann/json.hpp>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 #include "lab/compare.h"
 #include "lab/gates.h"
 #include "lab/model.h"
--- a/src/lab/plan.cpp
+++ b/src/lab/plan.cpp
@@ -13,7 +13,7 @@
 #include <sstream>
 #include <string_view>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/plan.h
+++ b/src/lab/plan.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "core/ids.h"
-#include "core/terms.h"
+#include "base/ids.h"
+#include "settings/deployment_settings.h"
 
 // What an experiment is made of, as its TOML file says (docs/lab.md lists every key). Times are milliseconds,
 // rates are per second, shares lie between 0 and 1.
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "core/decision.h"
-#include "core/ids.h"
-#include "core/terms.h"
+#include "base/ids.h"
+#include "policy/decision.h"
+#include "settings/deployment_settings.h"
 
 // What decides for one dispatcher of the model: the product's own module, or one of the plain policies that
 // it is compared with. Those are baselines of the laboratory; the dispatcher has none of them.
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 #include "lab/draw.h"
 
 namespace stonewing::lab {
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -28,9 +28,9 @@
 constexpr Millis kEndWithin = 4000;
 
 // SIGINT and SIGTERM as events of the loop.
-class Interrupts : public net::EventHandler {
+class Interrupts : public EventHandler {
  public:
-  explicit Interrupts(net::EventLoop& loop) : loop_(loop) {
+  explicit Interrupts(EventLoop& loop) : loop_(loop) {
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGINT);
@@ -53,7 +53,7 @@
   bool seen{false};
 
  private:
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   int fd_;
   sigset_t before_{};
 };
@@ -62,7 +62,7 @@
 std::string freeAddress(int dispatcher) {
   std::string host = "127.0." + std::to_string(dispatcher + 1) + ".200";
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at = *net::parseAddress(host + ":1");
+  sockaddr_in at = *parseAddress(host + ":1");
   at.sin_port = 0;
   socklen_t size = sizeof at;
   bool good = fd >= 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 &&
@@ -100,13 +100,13 @@
   }
 
   Played play() {
-    clock_.epoch = net::steadyNow();
+    clock_.epoch = steadyNow();
     int ready = 0;
     for (int d = 0; d < plan_.fleet.dispatchers; ++d) {
       process(d).start();
       load_->whenReady(d, [&ready] { ++ready; });
     }
-    Millis by = net::steadyNow() + kReadyWithin;
+    Millis by = steadyNow() + kReadyWithin;
     while (ready < plan_.fleet.dispatchers && !interrupts_.seen) {
       turn();
       for (int d = 0; d < plan_.fleet.dispatchers; ++d) {
@@ -137,7 +137,7 @@
 
   void begin() {
     played_.trace.events.clear();
-    clock_.epoch = net::steadyNow();
+    clock_.epoch = steadyNow();
     for (int d = 0; d < plan_.fleet.dispatchers; ++d) note(What::up, d);
     for (const TroublePlan& t : plan_.troubles) {
       agenda_.at(clock_.epoch + t.from, [this, &t] { strike(t, true); });
@@ -247,8 +247,8 @@
       p->signal(SIGCONT);
       p->signal(SIGTERM);
     }
-    Millis by = net::steadyNow() + kEndWithin;
-    for (bool running = true; running && net::steadyNow() < by;) {
+    Millis by = steadyNow() + kEndWithin;
+    for (bool running = true; running && steadyNow() < by;) {
       turn();
       running = false;
       for (auto& p : processes_) running = p->running() || running;
@@ -257,7 +257,7 @@
 
   const Plan& plan_;
   const RunChoices& choices_;
-  net::EventLoop loop_;
+  EventLoop loop_;
   Agenda agenda_;
   Alarm alarm_{loop_};
   Clock clock_{loop_};
@@ -278,10 +278,10 @@
 }
 
 void serveWorld(const Plan& plan, std::uint64_t seed, const std::string& folder) {
-  net::EventLoop loop;
+  EventLoop loop;
   Agenda agenda;
   Alarm alarm(loop);
-  Clock clock{loop, net::steadyNow()};
+  Clock clock{loop, steadyNow()};
   Interrupts interrupts(loop);
   Trace trace;
   Town town(plan, seed ^ 0x5bd1e995u, trace);
@@ -311,10 +311,10 @@
 Played driveLoad(const Plan& plan, std::uint64_t seed, const std::vector<std::string>& dispatchers,
                  const std::function<void(Millis, std::size_t)>& progress) {
   Played played;
-  net::EventLoop loop;
+  EventLoop loop;
   Agenda agenda;
   Alarm alarm(loop);
-  Clock clock{loop, net::steadyNow()};
+  Clock clock{loop, steadyNow()};
   Interrupts interrupts(loop);
   Clients clients(plan, seed, played.trace);
   Load load(loop, agenda, clock, plan, clients, played.trace, dispatchers);
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <utility>
 
-#include "net/http.h"
+#include "net/http_client_connection.h"
 
 namespace stonewing::lab {
 namespace {
@@ -46,7 +46,7 @@
   return {};
 }
 
-Served::Served(net::EventLoop& loop, Server& server, int fd) : loop_(loop), server_(server), fd_(fd) {}
+Served::Served(EventLoop& loop, Server& server, int fd) : loop_(loop), server_(server), fd_(fd) {}
 
 Served::~Served() {
   if (fd_ < 0) return;
@@ -61,7 +61,7 @@
 }
 
 void Served::read() {
-  net::ReadResult got = net::readAvailable(fd_, in_, kRequestMost);
+  ReadResult got = readAvailable(fd_, in_, kRequestMost);
   while (!busy_ && fd_ >= 0) {
     std::size_t end = in_.find("\r\n\r\n");
     if (end == std::string::npos) break;
@@ -72,7 +72,7 @@
     request.method = in_.substr(0, first);
     request.target = in_.substr(first + 1, second - first - 1);
     request.head = in_.substr(std::min(line + 2, end), end - std::min(line + 2, end));
-    std::size_t length = net::parseWholeNumber(request.header("Content-Length")).value_or(0);
+    std::size_t length = parseWholeNumber(request.header("Content-Length")).value_or(0);
     if (in_.size() < end + 4 + length) break;
     request.body = in_.substr(end + 4, length);
     in_.erase(0, end + 4 + length);
@@ -80,8 +80,8 @@
     server_.owner_.asked(server_, *this, std::move(request));
   }
   if (fd_ < 0) return;
-  if (got == net::ReadResult::endOfStream || got == net::ReadResult::broken) return end();
-  if (got == net::ReadResult::more) loop_.reschedule(fd_);
+  if (got == ReadResult::endOfStream || got == ReadResult::broken) return end();
+  if (got == ReadResult::more) loop_.reschedule(fd_);
 }
 
 bool Served::left() const {
@@ -122,11 +122,11 @@
 void Served::write() {
   if (out_.empty()) return;
   auto wrote = out_.write(fd_);
-  if (wrote == net::WriteBuffer::WriteResult::broken) return end();
-  if (wrote == net::WriteBuffer::WriteResult::all && closing_) end();
+  if (wrote == WriteBuffer::WriteResult::broken) return end();
+  if (wrote == WriteBuffer::WriteResult::all && closing_) end();
 }
 
-Server::Server(net::EventLoop& loop, Owner& owner, const std::string& host)
+Server::Server(EventLoop& loop, Owner& owner, const std::string& host)
     : loop_(loop), owner_(owner), host_(host) {
   listen(kBacklog);
 }
--- a/src/lab/server.h
+++ b/src/lab/server.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 // The servers' side of HTTP/1.1 for stand-ins: one request at a time on a connection.
 namespace stonewing::lab {
@@ -22,9 +22,9 @@
 class Server;
 
 // One connection. Its server's owner answers when it likes, or never.
-class Served : public net::EventHandler {
+class Served : public EventHandler {
  public:
-  Served(net::EventLoop& loop, Server& server, int fd);
+  Served(EventLoop& loop, Server& server, int fd);
   ~Served() override;
   void answer(std::string bytes, bool thenClose = false);
   void reset();        // ends at once, and the other side sees a break
@@ -39,17 +39,17 @@
   void end();
   void write();
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   Server& server_;
   int fd_;
   bool deaf_{false};
   bool closing_{false};
   bool busy_{false};  // a request is with the owner
   std::string in_;
-  net::WriteBuffer out_;
+  WriteBuffer out_;
 };
 
-class Server : public net::EventHandler {
+class Server : public EventHandler {
  public:
   struct Owner {
     virtual ~Owner() = default;
@@ -58,7 +58,7 @@
     virtual void closed(Server&, Served&) {}  // from the other side, or by a reset of ours
   };
   // address: numbers; port 0 takes any. Throws std::system_error.
-  Server(net::EventLoop& loop, Owner& owner, const std::string& host);
+  Server(EventLoop& loop, Owner& owner, const std::string& host);
   ~Server() override;
 
   std::string address() const;  // "127.0.1.1:40123"
@@ -76,7 +76,7 @@
   void stop();
   void gone(Served& served);
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   Owner& owner_;
   std::string host_;
   std::uint16_t port_{0};
--- a/src/lab/town.h
+++ b/src/lab/town.h
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/decision.h"
 #include "lab/plan.h"
 #include "lab/trace.h"
+#include "policy/decision.h"
 
 // How the partners' endpoints behave, with no sockets and no clock: calls and times in, replies out. The
 // world on sockets and the model in virtual time both ask it, so that they differ in the network alone.
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <string_view>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "net/http.h"
+#include "net/http_client_connection.h"
 
 namespace stonewing::lab {
 namespace {
@@ -61,8 +61,7 @@
   return callback;
 }
 
-World::World(net::EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town,
-             Trace& trace)
+World::World(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town, Trace& trace)
     : loop_(loop), agenda_(agenda), clock_(clock), plan_(plan), town_(town), trace_(trace) {
   auto count = static_cast<std::size_t>(plan.endpointCount());
   endpoints_.resize(count);
@@ -146,10 +145,9 @@
     for (const Entry& e : entries_) told_[static_cast<std::size_t>(place.dispatcher)][e.endpoint] = e.phase;
     return served.answer(headOf(200, body.size()) + body);
   }
-  auto from = static_cast<std::int64_t>(net::parseWholeNumber(since).value_or(0));
+  auto from = static_cast<std::int64_t>(parseWholeNumber(since).value_or(0));
   if (version_ > from) return answerWatch(place.dispatcher, from, served);
-  auto timeout =
-      static_cast<Millis>(net::parseWholeNumber(parameter(request.target, "timeout_ms")).value_or(0));
+  auto timeout = static_cast<Millis>(parseWholeNumber(parameter(request.target, "timeout_ms")).value_or(0));
   std::uint64_t serial = ++serial_;
   watches_[place.dispatcher] = {&served, from, serial};
   agenda_.at(loop_.now() + std::min(timeout, kWatchMost), [this, d = place.dispatcher, serial] {
@@ -274,8 +272,7 @@
       std::string_view row = rest.substr(0, feed);
       std::size_t first = row.find(' ');
       std::size_t last = row.rfind(' ');
-      auto length =
-          last == std::string_view::npos ? std::nullopt : net::parseWholeNumber(row.substr(last + 1));
+      auto length = last == std::string_view::npos ? std::nullopt : parseWholeNumber(row.substr(last + 1));
       good = feed != std::string_view::npos && length && rest.size() >= feed + 4 + *length &&
              add(row.substr(0, first));
       if (good) rest.remove_prefix(feed + 4 + *length);
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -19,7 +19,7 @@
 // 127.0.<dispatcher + 1>.<room + 1>, so that it is known who calls.
 class World : public Server::Owner {
  public:
-  World(net::EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town, Trace& trace);
+  World(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town, Trace& trace);
   ~World() override;
 
   std::string discovery(int dispatcher) const;
@@ -77,7 +77,7 @@
   std::string entryText(int dispatcher, const Entry& entry) const;
   Millis oneWay(const Place& place) const;
 
-  net::EventLoop& loop_;
+  EventLoop& loop_;
   Agenda& agenda_;
   const Clock& clock_;
   const Plan& plan_;
--- a/src/net/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.h"
+#include "logging/log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 
 namespace stonewing::log {
 namespace {
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "net/event_loop.h"
 
 #include <arpa/inet.h>
 #include <sys/epoll.h>
@@ -14,7 +14,7 @@
 #include <system_error>
 #include <utility>
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr int kEventsAtOnce = 256;
@@ -169,4 +169,4 @@
   return WriteResult::all;
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/loop.h
+++ b/src/net/event_loop.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // Time that never steps back; decisions are made on it.
 inline Millis steadyNow() {
@@ -111,4 +111,4 @@
   std::size_t size_{0};
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/http.cpp
+++ b/src/net/http_client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/http.h"
+#include "net/http_client_connection.h"
 
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -9,7 +9,7 @@
 #include <cerrno>
 #include <charconv>
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr std::size_t kHeadMost = 16 * 1024;
@@ -277,4 +277,4 @@
   observer_.onResponse(*this);
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/http.h
+++ b/src/net/http_client_connection.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <string_view>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // Reads one HTTP/1.1 answer in place: it keeps positions, the bytes stay with the connection.
 class HttpResponseParser {
@@ -114,4 +114,4 @@
   HttpResponseParser answer_;
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/core/decision.h
+++ b/src/policy/decision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "core/ids.h"
+#include "base/ids.h"
 
 namespace stonewing {
 
--- a/src/rules.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -3,7 +3,7 @@
 // in the order in which they came (they only update what is known), then next() until it returns nothing, and
 // carry out each decision in order. Nothing is shared, and the same inputs give the same decisions. "Route"
 // is what waits, windows and outages belong to: a destination, or one endpoint of it where routes are apart.
-#include "rules.h"
+#include "policy/dispatch_policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/rules.h
+++ b/src/policy/dispatch_policy.h
@@ -4,9 +4,9 @@
 #include <optional>
 #include <random>
 
-#include "core/decision.h"
-#include "core/state.h"
-#include "core/terms.h"
+#include "policy/decision.h"
+#include "policy/policy_state.h"
+#include "settings/deployment_settings.h"
 
 namespace stonewing {
 
--- a/src/core/state.h
+++ b/src/policy/policy_state.h
@@ -8,10 +8,10 @@
 #include <set>
 #include <vector>
 
-#include "core/ids.h"
-#include "core/terms.h"
-#include "index/waiting.h"
-#include "rooms/rooms.h"
+#include "base/ids.h"
+#include "policy/wait_queue.h"
+#include "policy/zone_failover.h"
+#include "settings/deployment_settings.h"
 
 namespace stonewing {
 
--- a/src/index/waiting.h
+++ b/src/policy/wait_queue.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <utility>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
 // Where messages stand while they wait, so that a decision costs by what is due and not by what is held.
 // Plain state; what follows from it is decided elsewhere.
--- a/src/rooms/rooms.cpp
+++ b/src/policy/zone_failover.cpp
@@ -1,4 +1,4 @@
-#include "rooms/rooms.h"
+#include "policy/zone_failover.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/rooms/rooms.h
+++ b/src/policy/zone_failover.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <vector>
 
-#include "core/ids.h"
-#include "core/terms.h"
+#include "base/ids.h"
+#include "settings/deployment_settings.h"
 
 // Zones (zones) as one dispatcher sees them: in which order they are preferred, whether one is lost, how much
 // of another zone strangers may take, and how a zone that returns is fed. What it is told only updates what
--- a/src/net/intake.cpp
+++ b/src/server/resp_server.cpp
@@ -1,4 +1,4 @@
-#include "net/intake.h"
+#include "server/resp_server.h"
 
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -12,11 +12,11 @@
 #include <tuple>
 #include <utility>
 
-#include "core/bytes.h"
-#include "net/http.h"
-#include "net/log.h"
+#include "base/bytes.h"
+#include "logging/log.h"
+#include "net/http_client_connection.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr std::size_t kWordsMost = 16;
@@ -449,4 +449,4 @@
   return patience_.empty() ? due : std::min(due, patience_.begin()->first);
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/intake.h
+++ b/src/server/resp_server.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "net/loop.h"
+#include "net/event_loop.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 enum class RespParseResult { needsMore, complete, malformed };
 
@@ -82,4 +82,4 @@
   std::set<std::pair<Millis, ClientConnection*>> patience_;  // by when each is to be looked at
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/core/terms.h
+++ b/src/settings/deployment_settings.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
 namespace stonewing {
 
--- a/src/core/facts.cpp
+++ b/src/settings/settings_reader.cpp
@@ -1,11 +1,11 @@
-#include "core/facts.h"
+#include "settings/settings_reader.h"
 
 #include <algorithm>
 #include <charconv>
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 
 namespace stonewing {
 namespace {
--- a/src/core/facts.h
+++ b/src/settings/settings_reader.h
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/terms.h"
+#include "settings/deployment_settings.h"
 
 namespace stonewing {
 
--- a/src/net/writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -1,4 +1,4 @@
-#include "net/writer.h"
+#include "storage/background_writer.h"
 
 #include <signal.h>
 #include <sys/eventfd.h>
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <utility>
 
-namespace stonewing::net {
+namespace stonewing {
 
 // Kept alive by the thread too: at the end of the process it may still hang in the kernel.
 struct BackgroundWriter::Shared {
@@ -75,4 +75,4 @@
 
 int BackgroundWriter::descriptor() const { return shared_->wake; }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/writer.h
+++ b/src/storage/background_writer.h
@@ -6,9 +6,9 @@
 #include <mutex>
 #include <thread>
 
-#include "core/ids.h"
+#include "base/ids.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // A thread that does one thing at a time for the loop, so that a folder that hangs does not hold the loop up.
 // Where a thing took longer than the loop would wait for it, a descriptor becomes readable at its end.
@@ -32,4 +32,4 @@
   std::shared_ptr<Shared> shared_;
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/journal.cpp
+++ b/src/storage/journal.cpp
@@ -1,4 +1,4 @@
-#include "net/journal.h"
+#include "storage/journal.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -12,9 +12,9 @@
 #include <system_error>
 #include <utility>
 
-#include "core/bytes.h"
+#include "base/bytes.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr std::size_t kBufferKept = 64 * 1024;
@@ -286,4 +286,4 @@
   takes_ = false;
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/journal.h
+++ b/src/storage/journal.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "net/writer.h"
+#include "storage/background_writer.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // A file of records that outlives the process: each with its length and a check sum, written whole. It begins
 // with three letters and a version byte; one without them is of the first version, whose records have another
@@ -106,4 +106,4 @@
   std::unique_ptr<BackgroundWriter> writer_;
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/book.cpp
+++ b/src/storage/message_store.cpp
@@ -1,14 +1,14 @@
-#include "net/book.h"
+#include "storage/message_store.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-#include "core/bytes.h"
-#include "net/http.h"
-#include "net/log.h"
+#include "base/bytes.h"
+#include "logging/log.h"
+#include "net/http_client_connection.h"
 
-namespace stonewing::net {
+namespace stonewing {
 namespace {
 
 constexpr std::size_t kWordMost = 128;
@@ -446,4 +446,4 @@
     note(recordOf(RecordTag::finished, id), {RecordTag::finished, id, 0, {}});
 }
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/src/net/book.h
+++ b/src/storage/message_store.h
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "core/facts.h"
-#include "core/ids.h"
-#include "net/journal.h"
+#include "base/ids.h"
+#include "settings/settings_reader.h"
+#include "storage/journal.h"
 
-namespace stonewing::net {
+namespace stonewing {
 
 // What the list says of an endpoint, as far as it outlives a process.
 struct EndpointRecord {
@@ -175,4 +175,4 @@
   int passedOver_{0};        // so many more times that there is no room, for the same reason
 };
 
-}  // namespace stonewing::net
+}  // namespace stonewing
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,13 +1,12 @@
 // Our own overload: what is turned away and when, and the lines in which messages wait.
-#include "admission/admission.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <set>
 
+#include "admission/admission_controller.h"
 #include "bench_free.h"
-#include "index/waiting.h"
+#include "policy/wait_queue.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -16,7 +16,7 @@
 #include <thread>
 #include <vector>
 
-#include "rules.h"
+#include "policy/dispatch_policy.h"
 
 extern char** environ;
 
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -1,8 +1,6 @@
 // Calls of several messages, with the rules, the book and the loop of a dispatcher around them and an
 // endpoint that the test answers for. Withdrawals are handed in as decisions, so that the outcome does not
 // hang on the clock.
-#include "net/calls.h"
-
 #include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -10,9 +8,10 @@
 #include <nlohmann/json.hpp>
 
 #include "bench_free.h"
-#include "core/facts.h"
-#include "net/book.h"
-#include "net/catalog.h"
+#include "delivery/attempt_sender.h"
+#include "discovery/discovery_client.h"
+#include "settings/settings_reader.h"
+#include "storage/message_store.h"
 
 namespace stonewing::testing {
 namespace {
@@ -36,14 +35,14 @@
   Folder folder;
   int listener = loopback(0, true);
   int far = -1;
-  net::EventLoop loop;
+  EventLoop loop;
   DeploymentSettings terms;
   NameTables facts = readNameTables(kSettings);
   DispatchPolicy rules{terms, 7};
   std::size_t disk;
-  net::MessageStore book{facts, folder.path.string(), disk};
-  net::DiscoveryClient catalog{loop, rules, facts, *net::parseAddress("127.0.0.1:9"), "nowhere", 1};
-  net::AttemptSender calls{loop, rules, book, catalog, terms, facts, 64, 8};
+  MessageStore book{facts, folder.path.string(), disk};
+  DiscoveryClient catalog{loop, rules, facts, *parseAddress("127.0.0.1:9"), "nowhere", 1};
+  AttemptSender calls{loop, rules, book, catalog, terms, facts, 64, 8};
   std::string got;  // by the endpoint
   std::map<std::string, MessageId> ids;
   bool withdraws{false};  // as the module decides it, too
@@ -63,9 +62,9 @@
     ::close(listener);
   }
   void take(const std::string& ref, const std::string& type, Millis left, const std::string& body = "x") {
-    net::StoredMessage held = book.decode("00", ref, "c=" + type + ",d=1,dest=7", body, 0);
+    StoredMessage held = book.decode("00", ref, "c=" + type + ",d=1,dest=7", body, 0);
     ids[ref] = *book.accept(std::move(held));
-    const net::StoredMessage* kept = book.find(ids[ref]);
+    const StoredMessage* kept = book.find(ids[ref]);
     rules.acceptMessage(ids[ref], kept->type, {}, {}, DestinationId{7}, loop.now() + left);
   }
   void round(Millis most) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -5,10 +5,10 @@
 
 #include <nlohmann/json.hpp>
 
+#include "base/bytes.h"
 #include "bench_free.h"
-#include "core/bytes.h"
-#include "net/catalog.h"
-#include "net/intake.h"
+#include "discovery/discovery_client.h"
+#include "server/resp_server.h"
 
 namespace stonewing::testing {
 namespace {
@@ -36,14 +36,14 @@
 
 // The clients' side alone. PING is answered, anything else is accepted.
 struct Front {
-  net::EventLoop loop;
+  EventLoop loop;
   std::vector<std::string> taken;  // ids
   std::uint16_t port{};
   std::vector<int> clients;
-  net::RespServer intake;
+  RespServer intake;
 
   explicit Front(std::size_t most = 64)
-      : intake(loop, most, 1 << 20, [this](const auto& words, bool) -> net::RespServer::CommandReply {
+      : intake(loop, most, 1 << 20, [this](const auto& words, bool) -> RespServer::CommandReply {
           if (words[0] == "PING") return {kPong};
           if (words[0] != "SUBMIT") throw Malformed("unknown command");
           taken.emplace_back(words[2]);
@@ -52,7 +52,7 @@
     int fd = loopback(0, true);
     port = portOf(fd);
     ::close(fd);
-    intake.listen(*net::parseAddress("127.0.0.1:" + std::to_string(port)));
+    intake.listen(*parseAddress("127.0.0.1:" + std::to_string(port)));
   }
   ~Front() {
     for (int fd : clients) ::close(fd);
@@ -274,14 +274,14 @@
 // The list's side alone, and a discovery that the test plays.
 struct Watcher {
   NameTables facts = readNameTables(kSettings);
-  net::EventLoop loop;
+  EventLoop loop;
   DispatchPolicy rules{readDeploymentSettings(kSettings), 7};
   int backlog;
   int listener = loopback(0, true, backlog);
   int far = -1;
   std::string in;
-  net::DiscoveryClient catalog{
-      loop, rules, facts, *net::parseAddress("127.0.0.1:" + std::to_string(portOf(listener))), "d", 1};
+  DiscoveryClient catalog{loop, rules, facts, *parseAddress("127.0.0.1:" + std::to_string(portOf(listener))),
+                          "d",  1};
   explicit Watcher(int most = 8) : backlog(most) { rules.beginRound(loop.now()); }
   ~Watcher() {
     if (far >= 0) ::close(far);
@@ -392,7 +392,7 @@
     if (state == 2) put(w.far, listOf(9, "in_service", "old"));
     int next = loopback(0, true);
     std::swap(next, w.listener);
-    w.catalog.changeAddress(*net::parseAddress("127.0.0.1:" + std::to_string(portOf(w.listener))), "d");
+    w.catalog.changeAddress(*parseAddress("127.0.0.1:" + std::to_string(portOf(w.listener))), "d");
     int before = std::exchange(w.far, -1);
     put(before, listOf(9, "in_service", "old"));
     Millis after = 0;
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -1,10 +1,9 @@
-#include "adapter/host.h"
-
 #include <gtest/gtest.h>
 
 #include <cstring>
 
-#include "core/facts.h"
+#include "adapter/instance_host.h"
+#include "settings/settings_reader.h"
 
 namespace stonewing {
 namespace {
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -5,8 +5,8 @@
 
 #include <fstream>
 
+#include "base/bytes.h"
 #include "bench_free.h"
-#include "core/bytes.h"
 #include "lab/audit.h"
 #include "lab/clients.h"
 #include "lab/compare.h"
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -6,19 +6,17 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "base/bytes.h"
 #include "bench_free.h"
-#include "core/bytes.h"
-#include "net/book.h"
-#include "net/http.h"
-#include "net/intake.h"
-#include "net/log.h"
-#include "net/phases.h"
+#include "dispatcher/dispatcher.h"
+#include "logging/log.h"
+#include "net/http_client_connection.h"
+#include "server/resp_server.h"
+#include "storage/message_store.h"
 
 namespace stonewing::testing {
 namespace {
 
-using net::HttpResponseParser;
-using net::RespParseResult;
 using Step = HttpResponseParser::Progress;
 
 const std::string kOk = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -53,12 +51,11 @@
   std::vector<std::string_view> words;
   std::size_t used = 0;
   for (std::size_t n = 0; n < bytes.size(); ++n) {
-    ASSERT_EQ(net::parseRespCommand(std::string_view(bytes).substr(0, n), words, used),
-              RespParseResult::needsMore)
+    ASSERT_EQ(parseRespCommand(std::string_view(bytes).substr(0, n), words, used), RespParseResult::needsMore)
         << n;
   }
   bytes += "*1";
-  ASSERT_EQ(net::parseRespCommand(bytes, words, used), RespParseResult::complete);
+  ASSERT_EQ(parseRespCommand(bytes, words, used), RespParseResult::complete);
   EXPECT_EQ(used, bytes.size() - 2);
   EXPECT_EQ(words.at(4), std::string_view("a\r\n\0$", 5));
 }
@@ -69,7 +66,7 @@
         "*1\r\n$2\r\nabX", "*1\r\n$-1\r\n", "*x\r\n", "*1111111111111111111111111111111111"}) {
     std::vector<std::string_view> words;
     std::size_t used = 0;
-    EXPECT_EQ(net::parseRespCommand(bad, words, used), RespParseResult::malformed) << bad;
+    EXPECT_EQ(parseRespCommand(bad, words, used), RespParseResult::malformed) << bad;
   }
 }
 
@@ -79,7 +76,7 @@
   std::string bytes = command(words);
   std::vector<std::string_view> read;
   std::size_t used = 0;
-  RC_ASSERT(net::parseRespCommand(bytes, read, used) == RespParseResult::complete);
+  RC_ASSERT(parseRespCommand(bytes, read, used) == RespParseResult::complete);
   RC_ASSERT(used == bytes.size());
   RC_ASSERT(std::vector<std::string>(read.begin(), read.end()) == words);
 }
@@ -176,21 +173,21 @@
   std::vector<std::string> read;
   auto keep = [&](std::string_view record) { read.emplace_back(record); };
   {
-    net::Journal journal(folder.path.string(), 100000);
+    Journal journal(folder.path.string(), 100000);
     EXPECT_EQ(journal.replay(keep), 4u);
     ASSERT_TRUE(journal.append("new"));
     EXPECT_TRUE(journal.commit().empty());
   }
   read.clear();
-  net::Journal journal(folder.path.string(), 100000);
+  Journal journal(folder.path.string(), 100000);
   EXPECT_EQ(journal.replay(keep), 0u);
   EXPECT_EQ(read, (std::vector<std::string>{"old", "older", "new"}));
-  ASSERT_TRUE(journal.beginCompaction() && journal.appendToCompaction(net::Journal::framed("old")) &&
+  ASSERT_TRUE(journal.beginCompaction() && journal.appendToCompaction(Journal::framed("old")) &&
               journal.installCompaction());
   ASSERT_TRUE(journal.append("newer"));
   EXPECT_TRUE(journal.commit().empty());
   read.clear();
-  net::Journal(folder.path.string(), 100000).replay(keep);
+  Journal(folder.path.string(), 100000).replay(keep);
   EXPECT_EQ(read, (std::vector<std::string>{"old", "newer"}));
 }
 
@@ -199,7 +196,7 @@
   std::string path = (folder.path / "journal").string();
   const std::string bytes = "SWJ\3and what we cannot read";
   std::ofstream(path) << bytes;
-  net::Journal journal(folder.path.string(), 100000);
+  Journal journal(folder.path.string(), 100000);
   EXPECT_THROW(journal.replay([](std::string_view) {}), std::runtime_error);
   std::ifstream in(path);
   EXPECT_EQ(std::string(std::istreambuf_iterator<char>(in), {}), bytes);
@@ -224,15 +221,15 @@
   Folder folder;
   std::string path = (folder.path / "journal").string();
   const std::string head = "SWJ\2";
-  std::string bytes = head + net::Journal::framed("first") + net::Journal::framed("second");
-  std::size_t whole = head.size() + net::Journal::framed("first").size();
+  std::string bytes = head + Journal::framed("first") + Journal::framed("second");
+  std::size_t whole = head.size() + Journal::framed("first").size();
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     std::ofstream(path, std::ios::trunc) << bytes.substr(0, cut);
     std::ofstream(path + ".new") << "a rewrite that was cut short";
     std::vector<std::string> read;
     auto keep = [&](std::string_view record) { read.emplace_back(record); };
     {
-      net::Journal journal(folder.path.string(), 100000);
+      Journal journal(folder.path.string(), 100000);
       std::size_t kept = cut < head.size() ? 0 : cut < whole ? head.size() : cut < bytes.size() ? whole : cut;
       EXPECT_EQ(journal.replay(keep), cut - kept);
       ASSERT_TRUE(journal.append("third"));
@@ -240,7 +237,7 @@
     }
     EXPECT_FALSE(std::filesystem::exists(path + ".new"));
     read.clear();
-    net::Journal(folder.path.string(), 100000).replay(keep);
+    Journal(folder.path.string(), 100000).replay(keep);
     std::vector<std::string> expected{"third"};
     if (cut == bytes.size()) expected.insert(expected.begin(), "second");
     if (cut >= whole) expected.insert(expected.begin(), "first");
@@ -251,7 +248,7 @@
 struct BookBed {
   Folder folder;
   NameTables facts = readNameTables(kSettings);
-  net::MessageStore book;
+  MessageStore book;
   explicit BookBed(std::size_t most = 60000, bool aside = false)
       : book(facts, folder.path.string(), most, aside) {}
   std::optional<MessageId> take(const std::string& ref, std::size_t bytes = 100) {
@@ -266,19 +263,19 @@
   auto done = bed.take("done");
   auto dead = bed.take("dead");
   auto told = bed.take("told");
-  net::EndpointRecord endpoint{"s-1", DestinationId{7}, KindId{1}, ZoneId{0}};
+  EndpointRecord endpoint{"s-1", DestinationId{7}, KindId{1}, ZoneId{0}};
   ASSERT_TRUE(bed.book.recordAttempt(*held, endpoint, 1234));
   ASSERT_TRUE(bed.book.recordAttempt(*held, endpoint, 1300));
   bed.book.recordNotExecuted(*held, 0);
   bed.book.recordDelivered(*done);
-  bed.book.addPendingNotification(*dead, net::FinalOutcome::shed, 250);
-  bed.book.addPendingNotification(*told, net::FinalOutcome::failed, 0);
+  bed.book.addPendingNotification(*dead, FinalOutcome::shed, 250);
+  bed.book.addPendingNotification(*told, FinalOutcome::failed, 0);
   bed.book.confirmNotification(*told);
   bed.book.commit();
-  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
+  MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   EXPECT_EQ(again.restore(), 0u);
   ASSERT_EQ(again.inFlight().size(), 1u);
-  const net::StoredMessage& h = again.inFlight().at(*held);
+  const StoredMessage& h = again.inFlight().at(*held);
   EXPECT_EQ(h.reference, "held");
   EXPECT_EQ(h.idempotencyKey, "5c");
   EXPECT_EQ(h.deadlineWall, 1500);
@@ -318,16 +315,16 @@
   bed.book.commit();
   EXPECT_GT(refused, 0u);
   EXPECT_LT(refused, 100u);
-  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
+  MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   again.restore();
   EXPECT_EQ(again.inFlight().size(), held.size());
 }
 
-std::string toldOf(const net::MessageStore& book) {
+std::string toldOf(const MessageStore& book) {
   std::ostringstream told;
   for (const auto& [id, held] : book.inFlight()) {
     told << id.value << held.reference << *held.body;
-    for (const net::AttemptRecord& l : held.attempts) told << " at " << l.sentWall << l.provablyNotExecuted;
+    for (const AttemptRecord& l : held.attempts) told << " at " << l.sentWall << l.provablyNotExecuted;
   }
   for (const auto& [id, notice] : book.pendingNotifications())
     told << id.value << notice.reference << notice.retryAfter;
@@ -358,7 +355,7 @@
     if (what == 2) bed.book.recordAttempt(held(), {"s-1", DestinationId{7}, {}, {}}, n);
     if (what == 3) bed.book.recordNotExecuted(held(), static_cast<int>(chance() % 3));
     if (what == 4) bed.book.recordDelivered(held());
-    if (what == 5) bed.book.addPendingNotification(held(), net::FinalOutcome::shed, n);
+    if (what == 5) bed.book.addPendingNotification(held(), FinalOutcome::shed, n);
     if (what == 6) bed.book.confirmNotification(any(bed.book.pendingNotifications()));
     if (chance() % 3 != 0) continue;
     if (!under) {
@@ -376,7 +373,7 @@
     if (halfWay == 0 && chance() % 16 != 0) continue;
     Folder copy;
     std::filesystem::copy(bed.folder.path / "journal", copy.path / "journal");
-    net::MessageStore again(bed.facts, copy.path.string(), kMost);
+    MessageStore again(bed.facts, copy.path.string(), kMost);
     ASSERT_EQ(again.restore(), 0u);
     ASSERT_EQ(toldOf(again), begun) << n;
   }
@@ -414,7 +411,7 @@
   bed.book.recordNotExecuted(*first, 0);
   bed.book.recordNotExecuted(*first, 2);
   bed.book.commit();
-  net::MessageStore again(bed.facts, bed.folder.path.string(), 60000);
+  MessageStore again(bed.facts, bed.folder.path.string(), 60000);
   again.restore();
   EXPECT_EQ(again.inFlight().size(), 2u);
   const auto& launches = again.find(*first)->attempts;
@@ -560,7 +557,7 @@
     Folder copy;
     std::filesystem::copy(node.folder.path / "journal", copy.path / "journal");
     NameTables facts = readNameTables(kSettings);
-    net::MessageStore book(facts, copy.path.string(), 3'000'000);
+    MessageStore book(facts, copy.path.string(), 3'000'000);
     book.restore();
     return book.pendingNotifications().empty();
   }));
@@ -781,10 +778,10 @@
 // Danger: noise taken for a limit.
 TEST(Reports, ThatCannotBeReadTellNothing) {
   std::vector<std::string> fields{"x0", "x1"};
-  EXPECT_EQ(net::reportIn("x0=0.4,x1=25", fields).rateLimit, 25);
+  EXPECT_EQ(reportIn("x0=0.4,x1=25", fields).rateLimit, 25);
   for (const char* bad : {"", "x1=25,x0=", "x1=25;x0", "x1=2e5z,x0=1", "x1=nan", "x1=-3", "y1=3,x1=4",
                           "x1=1e999", "x1=0x20", "\x01\xff"}) {
-    EXPECT_EQ(net::reportIn(bad, fields).rateLimit, -1) << bad;
+    EXPECT_EQ(reportIn(bad, fields).rateLimit, -1) << bad;
   }
 }
 
@@ -998,7 +995,7 @@
 TEST(Descriptors, AreDealtOutSoThatNobodyTakesThoseOfAnother) {
   for (std::size_t sockets : {28, 29, 40, 64, 96, 256, 512, 1024, 65536}) {
     for (int slots : {1, 2, 30, 200, 5000}) {
-      net::DescriptorBudget d = net::descriptorBudget(sockets, slots);
+      DescriptorBudget d = descriptorBudget(sockets, slots);
       EXPECT_EQ(d.own + d.endpointConnections + d.clients, sockets);
       EXPECT_GE(d.own, 14u);
       EXPECT_GE(d.clients, sockets / 8) << sockets << " " << slots;
@@ -1008,8 +1005,8 @@
           << sockets << " " << slots;
     }
   }
-  EXPECT_EQ(net::descriptorBudget(1024, 200).maxConcurrentRequests, 200);
-  EXPECT_THROW(net::descriptorBudget(27, 1), Malformed);
+  EXPECT_EQ(descriptorBudget(1024, 200).maxConcurrentRequests, 200);
+  EXPECT_THROW(descriptorBudget(27, 1), Malformed);
 }
 
 // Danger: idle clients hold all descriptors while discovery is silent; then nothing can be delivered, told or
@@ -1083,9 +1080,9 @@
     std::string ref = ahead > 0 ? "ahead" : "before";
     {
       NameTables facts = readNameTables(settings);
-      net::MessageStore book(facts, node.folder.path.string(), 3'000'000);
-      auto id = book.accept(book.decode("00", ref, "c=order,d=8000,dest=7,k=5c", "x", net::wallNow()));
-      book.recordAttempt(*id, {"s-1", DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow() + ahead);
+      MessageStore book(facts, node.folder.path.string(), 3'000'000);
+      auto id = book.accept(book.decode("00", ref, "c=order,d=8000,dest=7,k=5c", "x", wallNow()));
+      book.recordAttempt(*id, {"s-1", DestinationId{7}, KindId{0}, ZoneId{0}}, wallNow() + ahead);
       book.commit();
     }
     ASSERT_TRUE(node.start());
@@ -1103,13 +1100,13 @@
     Node node(settings, row(world), world.address(), R"({"sockets":256,"disk_mb":40})");
     {
       NameTables facts = readNameTables(settings);
-      net::MessageStore book(facts, node.folder.path.string(), 40'000'000);
+      MessageStore book(facts, node.folder.path.string(), 40'000'000);
       for (std::uint32_t n = 0; n < many; ++n) {
         std::string ref = "r" + std::to_string(n);
-        auto id = book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow()));
+        auto id = book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", wallNow()));
         ASSERT_TRUE(id.has_value());
         std::string name = "gone-" + std::to_string(n % 1024);
-        book.recordAttempt(*id, {name, DestinationId{7}, KindId{0}, ZoneId{0}}, net::wallNow());
+        book.recordAttempt(*id, {name, DestinationId{7}, KindId{0}, ZoneId{0}}, wallNow());
         book.recordNotExecuted(*id, 0);
       }
       book.commit();
@@ -1167,10 +1164,10 @@
   Node node(settings, row(world, "plain", "terminating"), world.address(), R"({"sockets":256,"disk_mb":80})");
   {
     NameTables facts = readNameTables(settings);
-    net::MessageStore book(facts, node.folder.path.string(), 80'000'000);
+    MessageStore book(facts, node.folder.path.string(), 80'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string ref = "r" + std::to_string(n);
-      ASSERT_TRUE(book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", net::wallNow())));
+      ASSERT_TRUE(book.accept(book.decode("00", ref, "c=order,d=60000,dest=7", "x", wallNow())));
     }
     book.commit();
   }
@@ -1220,10 +1217,10 @@
   Node node(settings, row(endpoint), world.address());
   {
     NameTables facts = readNameTables(settings);
-    net::MessageStore book(facts, node.folder.path.string(), 3'000'000);
+    MessageStore book(facts, node.folder.path.string(), 3'000'000);
     for (int n = 0; n < kMany; ++n) {
       std::string list = n % 2 == 0 ? "c=order,d=60000,dest=7" : "c=status,d=60000,dest=7";
-      ASSERT_TRUE(book.accept(book.decode("00", "r" + std::to_string(n) + ".", list, "x", net::wallNow())));
+      ASSERT_TRUE(book.accept(book.decode("00", "r" + std::to_string(n) + ".", list, "x", wallNow())));
     }
     book.commit();
   }
@@ -1291,20 +1288,20 @@
                             {R"({"listen":"a","discovery":"b","state":"c","seed":"zz"})", "seed"},
                             {R"({"listen":1})", "type"}}) {
     try {
-      net::readConfig(text, none);
+      readConfig(text, none);
       ADD_FAILURE() << text;
     } catch (const Malformed& problem) {
       EXPECT_NE(std::string(problem.what()).find(part), std::string::npos) << problem.what();
     }
   }
-  net::DispatcherConfig orders;
+  DispatcherConfig orders;
   orders.settings = kSettings;
   orders.listen = "not an address";
   orders.discovery = "127.0.0.1:1";
   Folder folder;
   orders.state = folder.path.string();
   orders.sockets = 100;
-  EXPECT_THROW(net::Dispatcher{orders}, Malformed);
+  EXPECT_THROW(Dispatcher{orders}, Malformed);
 }
 
 }  // namespace
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -1,12 +1,11 @@
 // Zones: which is believed lost, what strangers may take of another, and how one that returns is fed.
-#include "rooms/rooms.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "base/bytes.h"
 #include "bench_free.h"
-#include "core/bytes.h"
-#include "core/facts.h"
+#include "policy/zone_failover.h"
+#include "settings/settings_reader.h"
 
 namespace stonewing::testing {
 namespace {
