--- a/src/delivery/attempt_sender.cpp
+++ b/src/delivery/attempt_sender.cpp
@@ -25,8 +25,9 @@
 }
 
 const char* nameOf(AttemptOutcome ending) {
-  constexpr const char* kNames[] = {"completed", "error",     "full",     "timeout", "connect_failed",
-                                    "reset",     "withdrawn", "not_sent", "withheld"};
+  constexpr const char* kNames[] = {"completed", "error",          "rejected",
+                                    "timeout",   "connect_failed", "reset",
+                                    "cancelled", "not_sent",       "local_resource_exhausted"};
   return kNames[static_cast<int>(ending)];
 }
 
@@ -82,10 +83,10 @@
     line.members = std::move(members);
     line.sent = loop_.now();
     for (const BatchedAttempt& m : line.members) {
-      log::debug("launch.sent", {{"callback", m.ref},
-                                 {"launch", m.attempt},
-                                 {"endpoint", nameAt(endpoint)},
-                                 {"time_out_ms", m.due - loop_.now()}});
+      log::debug("attempt.sent", {{"message", m.ref},
+                                  {"attempt", m.attempt},
+                                  {"endpoint", nameAt(endpoint)},
+                                  {"timeout_ms", m.due - loop_.now()}});
       policy_.recordConnectionIdleTime(m.message, m.attempt,
                                        line.isConnected() ? loop_.now() - line.usedAt : 0);
     }
@@ -170,8 +171,8 @@
 // What goes out, of those that are in the call by now: only once its connection is up.
 void AttemptSender::write(EndpointConnection& line) {
   for (const BatchedAttempt& m : line.members)
-    log::debug("launch.written",
-               {{"callback", m.ref}, {"launch", m.attempt}, {"together", line.members.size()}});
+    log::debug("attempt.written",
+               {{"message", m.ref}, {"attempt", m.attempt}, {"batch_size", line.members.size()}});
   Millis latest = loop_.now();
   for (const BatchedAttempt& m : line.members) latest = std::max(latest, m.due);
   std::string common = "Host: " + discovery_.find(line.endpoint)->authority + "\r\nX-Deadline-Ms: " +
@@ -252,7 +253,7 @@
   for (BatchedAttempt& m : line.members) {
     if (m.message != d.message || m.attempt != d.attempt || m.told) continue;
     m.off = keepsCall(line, m);
-    if (m.off) log::debug("launch.to_be_called_off", {{"callback", m.ref}, {"launch", m.attempt}});
+    if (m.off) log::debug("attempt.cancel_deferred", {{"message", m.ref}, {"attempt", m.attempt}});
     if (m.off) break;
     tell(line, m,
          line.isRequestWritten() ? unanswered(line, AttemptOutcome::cancelled) : AttemptOutcome::notSent,
@@ -371,14 +372,14 @@
   }
   LoadReport report =
       line.status() != 0 ? reportIn(line.header("X-Load"), names_.loadReportFields) : LoadReport{};
-  log::debug("launch.ended", {{"callback", m.ref},
-                              {"launch", m.attempt},
-                              {"endpoint", nameAt(line.endpoint)},
-                              {"ending", nameOf(ending)},
-                              {"spent_ms", loop_.now() - line.sent},
-                              {"wait_ms", wait},
-                              {"limit", report.rateLimit},
-                              {"left", report.remainingShare}});
+  log::debug("attempt.finished", {{"message", m.ref},
+                                  {"attempt", m.attempt},
+                                  {"endpoint", nameAt(line.endpoint)},
+                                  {"outcome", nameOf(ending)},
+                                  {"spent_ms", loop_.now() - line.sent},
+                                  {"retry_after_ms", wait},
+                                  {"rate_limit", report.rateLimit},
+                                  {"remaining", report.remainingShare}});
   bool known = ends || store_.find(m.message) == nullptr;
   policy_.recordAttemptOutcome(m.message, m.attempt, ending, loop_.now() - line.sent, known, wait, report);
   if (ends) isOver();
@@ -440,7 +441,7 @@
   } else if (status == 410) {
     tellAll(line, AttemptOutcome::notSent, true);
   } else if (status == 400 || status == 413) {
-    log::error("call.unreadable", {{"endpoint", nameAt(line.endpoint)}, {"status", status}});
+    log::error("request.unreadable", {{"endpoint", nameAt(line.endpoint)}, {"status", status}});
     tellAll(line, line.members.size() > 1 ? AttemptOutcome::notSent : AttemptOutcome::error);
   } else {
     tellAll(line, AttemptOutcome::error);
@@ -523,7 +524,7 @@
   AttemptOutcome ending =
       line.withheld ? AttemptOutcome::localResourceExhausted : unanswered(line, AttemptOutcome::reset);
   if (line.withheld)
-    log::warn("launch.withheld",
+    log::warn("attempt.resource_exhausted",
               {{"endpoint", nameAt(line.endpoint)},
                {"why", line.isOutOfResources() ? "no descriptor" : "not noted, or not listed any more"}});
   if (line.probing) probeEnded(line, ending);
--- a/src/delivery/outcome_notifier.cpp
+++ b/src/delivery/outcome_notifier.cpp
@@ -63,7 +63,8 @@
   for (; at != store_.pendingNotifications().end() && lines.size() < kBodyFull; ++at) {
     lines += lineOf(at->second);
     out_.push_back(at->first);
-    log::debug("notice.sent", {{"callback", at->second.reference}, {"new_link", !link_->isConnected()}});
+    log::debug("notification.sent",
+               {{"message", at->second.reference}, {"new_connection", !link_->isConnected()}});
     if (oneByOne_) break;
   }
   link_->add("POST /reports HTTP/1.1\r\nHost: " + host_ + "\r\nContent-Type: application/x-ndjson\r\n" +
@@ -78,14 +79,14 @@
     for (MessageId id : std::exchange(out_, {})) {
       auto at = store_.pendingNotifications().find(id);
       if (at != store_.pendingNotifications().end())
-        log::debug("notice.confirmed", {{"callback", at->second.reference}});
+        log::debug("notification.confirmed", {{"message", at->second.reference}});
       store_.confirmNotification(id);
     }
     pause_ = 0;
     if (store_.pendingNotifications().empty()) oneByOne_ = false;
     return;
   }
-  log::warn("notices.refused", {{"status", link.status()}, {"notices", out_.size()}});
+  log::warn("notification.rejected", {{"status", link.status()}, {"notifications", out_.size()}});
   oneByOne_ = true;
   scheduleRetry();
 }
@@ -93,7 +94,7 @@
 void OutcomeNotifier::onBroken(HttpClientConnection& link) {
   link.close();
   if (out_.empty()) return;
-  log::debug("notice.unanswered", {{"notices", out_.size()}, {"after_ms", loop_.now() - since_}});
+  log::debug("notification.unanswered", {{"notifications", out_.size()}, {"after_ms", loop_.now() - since_}});
   scheduleRetry();
 }
 
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -140,7 +140,7 @@
   }
   bool goesOn = unusable == 0 || std::exchange(doubted_, false);
   doubted_ = !goesOn;
-  if (unusable > 0) log::warn("list.entries_passed_over", {{"entries", unusable}, {"why", why}});
+  if (unusable > 0) log::warn("discovery.entries_skipped", {{"entries", unusable}, {"why", why}});
   if (full || !rows.empty()) {
     policy_.beginEndpointList();
     for (Row& row : rows) {
@@ -228,7 +228,7 @@
   out_ = false;
   if (link.status() == 503) {  // nothing is wrong with the list it goes on from
     scheduleRetry(kTurnedAway, kTurnedAway);
-    return log::info("list.turned_away",
+    return log::info("discovery.rejected",
                      {{"after_ms", notBefore_ - loop_.now()}, {"kept", endpoints_.size()}});
   }
   try {
@@ -240,7 +240,7 @@
     pause_ = 0;
     notBefore_ = loop_.now();  // a watch goes on only when asked for again at once
   } catch (const Malformed& problem) {
-    log::warn("list.unreadable", {{"why", problem.what()}, {"kept", endpoints_.size()}});
+    log::warn("discovery.unreadable", {{"why", problem.what()}, {"kept", endpoints_.size()}});
     whole_ = true;
     scheduleRetry(kPauseFirst, kPauseMost);
   }
@@ -249,7 +249,7 @@
 void DiscoveryClient::onBroken(HttpClientConnection& link) {
   // Danger: dropped without a word, the dispatcher would answer PING and refuse every message.
   if (out_ && link.hasReceived()) {
-    log::warn("list.unreadable",
+    log::warn("discovery.unreadable",
               {{"why", "it broke off, is no HTTP or is over " + std::to_string(kAnswerMost) + " bytes"},
                {"kept", endpoints_.size()}});
   }
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -44,7 +44,8 @@
 constexpr std::size_t kProbesOf = 8;  // a part of the connections to endpoints, at the least
 
 const char* nameOf(int state) {
-  constexpr const char* kNames[] = {"restoring", "serving", "leaving", "finishing", "waiting", "ended"};
+  constexpr const char* kNames[] = {"recovering",         "serving", "draining", "finishing",
+                                    "awaiting_responses", "ended"};
   return kNames[state];
 }
 
@@ -218,7 +219,7 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
   ::getrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_cur >= orders.sockets) return orders;
-  log::warn("descriptors.fewer", {{"told", orders.sockets}, {"allowed", limit.rlim_cur}});
+  log::warn("descriptors.limited", {{"configured", orders.sockets}, {"allowed", limit.rlim_cur}});
   orders.sockets = limit.rlim_cur;
   return orders;
 }
@@ -263,10 +264,10 @@
 
 void Dispatcher::enter(State state) {
   state_ = state;
-  log::info("phase", {{"name", config_.name},
-                      {"phase", nameOf(static_cast<int>(state))},
-                      {"held", store_.inFlight().size()},
-                      {"owed", store_.pendingNotifications().size()}});
+  log::info("lifecycle.changed", {{"name", config_.name},
+                                  {"state", nameOf(static_cast<int>(state))},
+                                  {"in_flight", store_.inFlight().size()},
+                                  {"pending_notifications", store_.pendingNotifications().size()}});
 }
 
 // Danger: a wall clock that was set back between two processes makes an attempt of the first lie in the
@@ -278,17 +279,17 @@
     try {
       discovery_.applyAnswer(json::parse(config_.known));
     } catch (const Malformed& problem) {
-      log::error("list.unreadable", {{"why", problem.what()}, {"kept", discovery_.count()}});
+      log::error("discovery.unreadable", {{"why", problem.what()}, {"kept", discovery_.count()}});
     }
   }
-  if (std::size_t cut = store_.restore(); cut > 0) log::warn("journal.torn", {{"bytes", cut}});
+  if (std::size_t cut = store_.restore(); cut > 0) log::warn("journal.truncated", {{"bytes", cut}});
   Millis toSteady = loop_.now() - wallNow();
   discovery_.addRecoveredEndpoints(store_.inFlight());
   for (const auto& [id, held] : store_.inFlight()) {
     policy_.acceptMessage(id, held.type, held.tenant, held.orderingKey, held.destination,
                           held.deadlineWall + toSteady);
-    log::debug("callback.restored", {{"callback", held.reference},
-                                     {"launches", held.attempts.size()},
+    log::debug("message.recovered", {{"message", held.reference},
+                                     {"attempts", held.attempts.size()},
                                      {"left_ms", held.deadlineWall + toSteady - loop_.now()}});
     for (const AttemptRecord& launch : held.attempts) {
       Millis sent = launch.sentWall + toSteady;
@@ -361,11 +362,11 @@
     ZoneId zone{static_cast<std::uint8_t>(n)};
     int now = rooms.isLost(zone) ? 1 : rooms.isRamping(loop_.now(), zone) ? 2 : 0;
     if (std::exchange(roomsTold_[n], now) == now) continue;
-    if (now == 1) log::warn("room.lost", {{"room", names_.zones[n]}});
+    if (now == 1) log::warn("zone.lost", {{"zone", names_.zones[n]}});
     if (now == 2)
-      log::warn("room.returns",
-                {{"room", names_.zones[n]}, {"fed_per_s", rooms.rampAttemptsPerSecond(loop_.now(), zone)}});
-    if (now == 0) log::info("room.well", {{"room", names_.zones[n]}});
+      log::warn("zone.recovering", {{"zone", names_.zones[n]},
+                                    {"attempts_per_s", rooms.rampAttemptsPerSecond(loop_.now(), zone)}});
+    if (now == 0) log::info("zone.healthy", {{"zone", names_.zones[n]}});
   }
 }
 
@@ -375,13 +376,13 @@
   ++slowTurns_;
   if (loop_.now() < slowTold_ + kSlowTold) return;
   slowTold_ = loop_.now();
-  log::warn("loop.slow", {{"turn_ms", whole},
-                          {"reading_ms", dispatched},
-                          {"deciding_ms", decided},
-                          {"rest_ms", whole - dispatched - decided},
-                          {"turns", std::exchange(slowTurns_, 0)},
-                          {"held", store_.inFlight().size()},
-                          {"clients", server_.clientCount()}});
+  log::warn("event_loop.slow", {{"turn_ms", whole},
+                                {"reading_ms", dispatched},
+                                {"deciding_ms", decided},
+                                {"rest_ms", whole - dispatched - decided},
+                                {"turns", std::exchange(slowTurns_, 0)},
+                                {"in_flight", store_.inFlight().size()},
+                                {"clients", server_.clientCount()}});
 }
 
 // Discovery and the platform may have moved. The old address closes what is open there, and what it no longer
@@ -394,15 +395,15 @@
     if (orders.listen != config_.listen || orders.state != config_.state ||
         orders.settings != config_.settings || orders.zoneFailover != config_.zoneFailover ||
         orders.usesWriterThread != config_.usesWriterThread) {
-      log::warn("configuration.partly_taken", {{"taken", "discovery"}, {"rest", "at the next start"}});
+      log::warn("configuration.partly_applied", {{"applied", "discovery"}, {"rest", "at the next start"}});
     }
     if (orders.discovery == config_.discovery) return;
     config_.discovery = orders.discovery;
     discovery_.changeAddress(discovery, orders.discovery);
     notifier_.changeAddress(discovery, orders.discovery);
-    log::info("discovery.moved", {{"address", orders.discovery}});
+    log::info("discovery.address_changed", {{"address", orders.discovery}});
   } catch (const std::exception& problem) {
-    log::error("configuration.unusable", {{"why", problem.what()}, {"kept", "the old one"}});
+    log::error("configuration.rejected", {{"why", problem.what()}, {"kept", "the old one"}});
   }
 }
 
@@ -478,10 +479,10 @@
   auto id = store_.accept(std::move(held));
   if (!id) return {busyReply(admission_.recordRejection(loop_.now()))};
   policy_.acceptMessage(*id, type, tenant, key, destination, outer);
-  log::debug("callback.taken", {{"callback", words[2]},
-                                {"type", names_.trafficTypes[type.value]},
-                                {"destination", destination.value},
-                                {"left_ms", outer - loop_.now()}});
+  log::debug("message.accepted", {{"message", words[2]},
+                                  {"type", names_.trafficTypes[type.value]},
+                                  {"destination", destination.value},
+                                  {"left_ms", outer - loop_.now()}});
   return {"+OK\r\n", *id};
 }
 
@@ -504,7 +505,7 @@
 void Dispatcher::commitJournal() {
   if (store_.isCommitting()) {
     if (!store_.finishCommit(0)) return reportHungWrite();
-    if (hangTold_) log::warn("journal.hung", {{"for_ms", loop_.now() - hangsSince_}});
+    if (hangTold_) log::warn("journal.write_recovered", {{"for_ms", loop_.now() - hangsSince_}});
     hangTold_ = false;
     hangsSince_ = -1;
     if (store_.lastCommitHeldRecords()) executeDecisions();
@@ -518,7 +519,7 @@
 
 void Dispatcher::executeDecisions() {
   for (MessageId id : store_.lostAcceptances()) {
-    log::debug("callback.not_kept", {{"callback", id.value}});
+    log::debug("message.not_journaled", {{"message", id.value}});
     policy_.cancelMessage(id);  // its attempt, if there is one, is not sent either
   }
   // Danger: a write that hung in the loop, or long decisions, have made the turn old. What goes out counts
@@ -529,7 +530,7 @@
                       [this](MessageId id) -> std::optional<std::string> {
                         if (!store_.isLostAcceptance(id)) {
                           if (const StoredMessage* held = store_.find(id))
-                            log::debug("callback.answered", {{"callback", held->reference}});
+                            log::debug("message.acknowledged", {{"message", held->reference}});
                           return std::nullopt;
                         }
                         return busyReply(admission_.recordRejection(loop_.now()));
@@ -542,7 +543,8 @@
   if (hangsSince_ < 0) hangsSince_ = loop_.now();
   if (!hangTold_ && loop_.now() >= hangsSince_ + kSlowTurn) {
     hangTold_ = true;
-    log::warn("journal.hangs", {{"for_ms", loop_.now() - hangsSince_}, {"held", store_.inFlight().size()}});
+    log::warn("journal.write_hanging",
+              {{"for_ms", loop_.now() - hangsSince_}, {"in_flight", store_.inFlight().size()}});
   }
   server_.sendReplies([this](MessageId id) { return store_.isDecided(id) && !store_.isLostAcceptance(id); },
                       [](MessageId) { return std::nullopt; });
@@ -551,11 +553,11 @@
 void Dispatcher::logFinished(MessageId id, const char* result, Millis wait) {
   const StoredMessage* held = store_.find(id);
   if (held == nullptr) return;
-  log::debug("callback.ended", {{"callback", held->reference},
-                                {"result", result},
-                                {"destination", held->destination.value},
-                                {"launches", held->attempts.size()},
-                                {"wait_ms", wait}});
+  log::debug("message.finished", {{"message", held->reference},
+                                  {"result", result},
+                                  {"destination", held->destination.value},
+                                  {"attempts", held->attempts.size()},
+                                  {"retry_after_ms", wait}});
 }
 
 void Dispatcher::execute(const Decision& d) {
@@ -568,7 +570,7 @@
       logFinished(d.message, "shed", d.span);
       return store_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
     case Act::giveUp:
-      logFinished(d.message, "given_up", 0);
+      logFinished(d.message, "failed", 0);
       return store_.addPendingNotification(d.message, FinalOutcome::failed, 0);
     case Act::probe:
       return sender_.sendHealthCheck(d.endpoint);
--- a/src/server/resp_server.cpp
+++ b/src/server/resp_server.cpp
@@ -401,7 +401,7 @@
       if (errno == EINTR || errno == ECONNABORTED) continue;
       if (errno != EAGAIN && errno != EWOULDBLOCK) {
         // No descriptor left, say: the edge is gone, so the next try is by the clock.
-        log::warn("client.not_accepted", {{"why", std::generic_category().message(errno)}});
+        log::warn("client.accept_failed", {{"why", std::generic_category().message(errno)}});
         closeIdlestClient();
         acceptAgain_ = loop_.now() + kAcceptPause;
       }
--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -142,7 +142,7 @@
     try {
       replayed(record);
     } catch (const Malformed& problem) {
-      log::error("journal.record_passed_over", {{"why", problem.what()}});
+      log::error("journal.record_skipped", {{"why", problem.what()}});
     }
   });
   decidedNext_ = next_;
@@ -169,7 +169,7 @@
         inFlight_[id] = std::move(held);
       } catch (const Malformed& problem) {
         // The settings have changed under it: its end is still owed.
-        log::error("callback.undeliverable", {{"callback", ref}, {"why", problem.what()}});
+        log::error("message.undeliverable", {{"message", ref}, {"why", problem.what()}});
         pendingNotifications_[id] = {ref, FinalOutcome::failed, 0};
       }
       return;
@@ -250,7 +250,7 @@
 
 void MessageStore::rewriteFailed() {
   notAgain_ = journal_.size() + journal_.maxBytes() / kWorthRewriting;
-  log::error("journal.not_rewritten", {{"bytes", journal_.size()}});
+  log::error("journal.compaction_failed", {{"bytes", journal_.size()}});
 }
 
 // Before the room runs out, and where it wins something.
@@ -336,7 +336,7 @@
       }
     }
   }
-  if (!lost.empty()) log::error("journal.not_written", {{"records", lost.size()}});
+  if (!lost.empty()) log::error("journal.write_failed", {{"records", lost.size()}});
   if (journal_.hasCompactionFailed()) rewriteFailed();
   if (!journal_.isCompacting()) return;
   // Danger: the rewrite already shows what the file would not take; attempts would be counted apart.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -205,11 +205,11 @@
 TEST(Logs, HaveOneVocabularyInBothFormats) {
   std::initializer_list<log::Field> fields = {
       {"callback", "9b1f"}, {"launch", 2}, {"spent_ms", 1.5}, {"why", "it said \"no\"\n"}, {"bytes", "\xff"}};
-  EXPECT_EQ(log::lineOf(log::Format::text, "launch.ended", fields),
-            "launch.ended callback=9b1f launch=2 spent_ms=1.5 why=\"it said \\\"no\\\"\\n\" bytes=\xff");
-  std::string object = "{" + log::lineOf(log::Format::json, "launch.ended", fields) + "}";
+  EXPECT_EQ(log::lineOf(log::Format::text, "attempt.finished", fields),
+            "attempt.finished callback=9b1f launch=2 spent_ms=1.5 why=\"it said \\\"no\\\"\\n\" bytes=\xff");
+  std::string object = "{" + log::lineOf(log::Format::json, "attempt.finished", fields) + "}";
   auto row = nlohmann::json::parse(object);
-  EXPECT_EQ(row["event"], "launch.ended");
+  EXPECT_EQ(row["event"], "attempt.finished");
   EXPECT_EQ(row["launch"], 2);
   EXPECT_EQ(row["why"], "it said \"no\"\n");
   EXPECT_THROW(log::open("x", "loud", "text"), Malformed);
