--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -20,7 +20,7 @@
     case 2:
       return EndpointState::draining;
   }
-  throw wire::Malformed("unknown phase " + std::to_string(code));
+  throw ProtocolError("unknown phase " + std::to_string(code));
 }
 
 AttemptOutcome endingOf(std::uint16_t code) {
@@ -42,11 +42,11 @@
     case 80:
       return AttemptOutcome::notSent;
   }
-  throw wire::Malformed("unknown completion code " + std::to_string(code));
+  throw ProtocolError("unknown completion code " + std::to_string(code));
 }
 
 double finite(double value, const char* field) {
-  if (!std::isfinite(value)) throw wire::Malformed(std::string("field ") + field + " is not a finite number");
+  if (!std::isfinite(value)) throw ProtocolError(std::string("field ") + field + " is not a finite number");
   return value;
 }
 
@@ -91,7 +91,7 @@
 
 void InstanceHost::rows(wire::Reader& in) {
   auto page = in.get<std::uint8_t>("page");
-  if (page >= pages_.size()) throw wire::Malformed("list number " + std::to_string(page) + " is above 15");
+  if (page >= pages_.size()) throw ProtocolError("list number " + std::to_string(page) + " is above 15");
   auto n = in.get<std::uint32_t>("records");
   std::vector<Row> list;
   for (std::uint32_t i = 0; i < n; ++i) {
@@ -114,11 +114,11 @@
   in.get<std::uint32_t>("epoch");
   auto form = in.get<std::uint8_t>("form");
   auto page = in.get<std::uint8_t>("page");
-  if (form > 3) throw wire::Malformed("unknown form of list " + std::to_string(form));
+  if (form > 3) throw ProtocolError("unknown form of list " + std::to_string(form));
   Instance* instance = touch(who, now);
   if (form == 2) return;
   if (page >= pages_.size() || !paged_[page]) {
-    throw wire::Malformed("list " + std::to_string(page) + " was never sent");
+    throw ProtocolError("list " + std::to_string(page) + " was never sent");
   }
   if (instance == nullptr) return;
   guarded(who, [&](DispatchPolicy& rules) {
@@ -147,7 +147,7 @@
   if (code == wire::kSnapshotRows) return rows(in);
   if (code == wire::kView) return view(in, now);
   if (code < wire::kAlarm || code > wire::kSnapshotRows) {
-    throw wire::Malformed("unknown record code " + std::to_string(code));
+    throw ProtocolError("unknown record code " + std::to_string(code));
   }
   auto who = in.get<std::uint32_t>("who");
   if (code == wire::kCreate) {
@@ -196,7 +196,7 @@
       in.get<double>("expected-s");
       double destination = finite(in.get<float>("dest"), "dest");
       in.get<std::uint8_t>("bits");
-      if (destination < 0 || destination > 0xffff) throw wire::Malformed("dest is out of range");
+      if (destination < 0 || destination > 0xffff) throw ProtocolError("dest is out of range");
       DestinationId to{static_cast<std::uint16_t>(destination)};
       tell([&](DispatchPolicy& rules) { rules.acceptMessage(id, type, tenant, key, to, outerLimit); });
       break;
@@ -233,10 +233,10 @@
   touched_.clear();
   wire::Reader in(body);
   for (std::uint32_t i = 0; i < records; ++i) record(in, now);
-  if (!in.atEnd()) throw wire::Malformed("bytes are left over behind the last record");
+  if (!in.atEnd()) throw ProtocolError("bytes are left over behind the last record");
   for (std::uint32_t who : touched_) {
     guarded(who, [&](DispatchPolicy& rules) {
-      while (auto decision = rules.nextDecision()) out_.act(who, *decision);
+      while (auto decision = rules.nextDecision()) out_.write(who, *decision);
     });
   }
   return out_.frame(number);
--- a/src/adapter/instance_host.h
+++ b/src/adapter/instance_host.h
@@ -15,7 +15,7 @@
 // Hosts the instances of one process: feeds them the events of a batch, then pulls their decisions.
 class InstanceHost {
  public:
-  // One batch: the records behind the header. Throws wire::Malformed on what cannot be read.
+  // One batch: the records behind the header. Throws ProtocolError on what cannot be read.
   std::string batch(std::uint32_t number, std::uint32_t records, double clockSeconds, std::string_view body);
 
  private:
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -12,7 +12,7 @@
   std::size_t got = std::fread(to, 1, n, stdin);
   if (got == n) return true;
   if (got == 0 && std::string_view(what) == "header") return false;
-  throw stonewing::wire::Malformed(std::string("the input ends inside a ") + what);
+  throw stonewing::ProtocolError(std::string("the input ends inside a ") + what);
 }
 
 constexpr std::uint32_t kLongestBody = 1u << 30;
@@ -32,7 +32,7 @@
       auto length = in.get<std::uint32_t>("length");
       auto records = in.get<std::uint32_t>("records");
       auto clock = in.get<double>("clock");
-      if (length > kLongestBody) throw stonewing::wire::Malformed("a length of over 1 GiB");
+      if (length > kLongestBody) throw stonewing::ProtocolError("a length of over 1 GiB");
       body.clear();
       while (body.size() < length) {
         std::size_t had = body.size();
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <bit>
 #include <utility>
+#include <variant>
+
+#include "base/overloaded.h"
 
 namespace stonewing::wire {
 
@@ -18,43 +21,47 @@
   ++count_;
 }
 
-void Writer::act(std::uint32_t who, const Decision& d) {
-  auto endpoint = [&] { body_.append(reinterpret_cast<const char*>(&d.endpoint.value), 6); };
-  switch (d.act) {
-    case Act::launch:
-      begin(kAttempt, who);
-      put(d.message.value);
-      endpoint();
-      put(d.span / kMillisPerSecond);
-      break;
-    case Act::withdraw:
-      begin(kWithdraw, who);
-      put(d.message.value);
-      put(static_cast<std::uint8_t>(d.attempt));
-      break;
-    case Act::shed:
-      begin(kTurnAway, who);
-      put(d.message.value);
-      put(d.span / kMillisPerSecond);
-      break;
-    case Act::giveUp:
-      begin(kRespondError, who);
-      put(d.message.value);
-      break;
-    case Act::probe:
-      begin(kTest, who);
-      endpoint();
-      break;
-    case Act::closeIdle:
-      begin(kDropConns, who);
-      endpoint();
-      break;
-    case Act::wake:
-      begin(kAfter, who);
-      put(std::uint64_t{0});
-      put(d.span / kMillisPerSecond);
-      break;
-  }
+void Writer::putEndpoint(EndpointId endpoint) {
+  body_.append(reinterpret_cast<const char*>(&endpoint.value), kEndpointBytes);
+}
+
+void Writer::write(std::uint32_t instance, const Decision& decision) {
+  std::visit(Overloaded{
+                 [&](const SendAttempt& d) {
+                   begin(kAttempt, instance);
+                   put(d.message.value);
+                   putEndpoint(d.endpoint);
+                   put(d.timeout / kMillisPerSecond);
+                 },
+                 [&](const CancelAttempt& d) {
+                   begin(kWithdraw, instance);
+                   put(d.message.value);
+                   put(static_cast<std::uint8_t>(d.attempt));
+                 },
+                 [&](const ShedMessage& d) {
+                   begin(kTurnAway, instance);
+                   put(d.message.value);
+                   put(d.retryAfter / kMillisPerSecond);
+                 },
+                 [&](const FailMessage& d) {
+                   begin(kRespondError, instance);
+                   put(d.message.value);
+                 },
+                 [&](const SendHealthCheck& d) {
+                   begin(kTest, instance);
+                   putEndpoint(d.endpoint);
+                 },
+                 [&](const CloseIdleConnection& d) {
+                   begin(kDropConns, instance);
+                   putEndpoint(d.endpoint);
+                 },
+                 [&](const SetTimer& d) {
+                   begin(kAfter, instance);
+                   put(std::uint64_t{0});  // the timer's label; there is one timer
+                   put(d.at / kMillisPerSecond);
+                 },
+             },
+             decision);
 }
 
 void Writer::failure(std::uint32_t who, std::string_view text) {
--- a/src/adapter/wire.h
+++ b/src/adapter/wire.h
@@ -11,8 +11,6 @@
 
 namespace stonewing::wire {
 
-using stonewing::Malformed;
-
 enum EventCode : std::uint16_t {
   kAlarm = 1,
   kVanished = 2,
@@ -39,13 +37,14 @@
 };
 
 inline constexpr std::size_t kHeaderBytes = 20;
+inline constexpr std::size_t kEndpointBytes = 6;  // of an endpoint id on the wire
 
 class Reader : public ByteReader {
  public:
   using ByteReader::ByteReader;
 
   EndpointId endpoint() {
-    std::string_view raw = text(6, "endpoint");
+    std::string_view raw = text(kEndpointBytes, "endpoint");
     std::uint64_t value = 0;
     std::memcpy(&value, raw.data(), raw.size());
     return EndpointId{value};
@@ -55,7 +54,8 @@
 // Gathers the records of one reply.
 class Writer {
  public:
-  void act(std::uint32_t who, const Decision& decision);
+  // Appends the record of one decision of an instance.
+  void write(std::uint32_t instance, const Decision& decision);
   void failure(std::uint32_t who, std::string_view text);
   std::string frame(std::uint32_t number);
 
@@ -65,6 +65,7 @@
     putBytes(body_, value);
   }
   void begin(ActionCode code, std::uint32_t who);
+  void putEndpoint(EndpointId endpoint);
 
   std::string body_;
   std::uint32_t count_ = 0;
--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -1,18 +1,14 @@
 #pragma once
 
 #include <cstring>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
-namespace stonewing {
+#include "base/errors.h"
 
-// What came from outside cannot be read; the text says why.
-struct Malformed : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
+namespace stonewing {
 
-// Reads packed little-endian fields; past the end it throws Malformed.
+// Reads packed little-endian fields; past the end it throws ParseError.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
@@ -24,7 +20,7 @@
     return value;
   }
   std::string_view text(std::size_t n, const char* field) {
-    if (bytes_.size() - at_ < n) throw Malformed(std::string("record ends inside field ") + field);
+    if (bytes_.size() - at_ < n) throw ParseError(std::string("record ends inside field ") + field);
     std::string_view part = bytes_.substr(at_, n);
     at_ += n;
     return part;
--- a/src/delivery/attempt_sender.cpp
+++ b/src/delivery/attempt_sender.cpp
@@ -62,13 +62,13 @@
   return idleMost_ < kForever ? std::min(idleMost_, policy_.state().reusableIdleTime) : idleMost_;
 }
 
-void AttemptSender::sendAttempt(const Decision& d) {
+void AttemptSender::sendAttempt(const SendAttempt& d) {
   const StoredMessage* held = store_.find(d.message);
   int call =
       policy_.state().messages.at(d.message).attempts.at(static_cast<std::size_t>(d.attempt)).requestId;
   auto& [endpoint, members] = gathered_[call];
   endpoint = d.endpoint;
-  members.push_back({d.message, d.attempt, loop_.now() + d.span, held != nullptr ? held->reference : ""});
+  members.push_back({d.message, d.attempt, loop_.now() + d.timeout, held != nullptr ? held->reference : ""});
 }
 
 void AttemptSender::recordBatches() {
@@ -243,7 +243,7 @@
 
 // Danger: while the loop is behind, the answer of an attempt that is called off may lie unread; closed on it,
 // the message would be attempted again after it was delivered.
-void AttemptSender::cancelAttempt(const Decision& d) {
+void AttemptSender::cancelAttempt(const CancelAttempt& d) {
   auto at = carries_.find({d.message, d.attempt});
   if (at == carries_.end()) return;
   at->second->readPending();
--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -29,8 +29,8 @@
 
   // Attempts of one pass that belong to one call go out together: noted with flush, sent once the book has
   // kept them.
-  void sendAttempt(const Decision& decision);
-  void cancelAttempt(const Decision& decision);
+  void sendAttempt(const SendAttempt& decision);
+  void cancelAttempt(const CancelAttempt& decision);
   void sendHealthCheck(EndpointId endpoint);
   void closeIdleConnection(EndpointId endpoint);
   void recordBatches();
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -43,13 +43,13 @@
   if (state == "in_service") return EndpointState::ready;
   if (state == "terminating") return EndpointState::draining;
   if (state == "terminated") return EndpointState::removed;
-  throw Malformed("unknown state " + state);
+  throw ParseError("unknown state " + state);
 }
 
 template <class Id>
 Id placeOf(const std::vector<std::string>& names, const std::string& name) {
   auto at = std::find(names.begin(), names.end(), name);
-  if (at == names.end()) throw Malformed("unknown kind or zone " + name);
+  if (at == names.end()) throw ParseError("unknown kind or zone " + name);
   return Id{static_cast<decltype(Id{}.value)>(at - names.begin())};
 }
 
@@ -65,18 +65,18 @@
   row.phase = phaseOf(entry.at("state").get<std::string>());
   row.site.authority = entry.at("addr").get<std::string>();
   auto address = parseAddress(row.site.authority);
-  if (!address) throw Malformed("bad address of " + row.site.record.name);
+  if (!address) throw ParseError("bad address of " + row.site.record.name);
   row.site.address = *address;
   row.site.record.zone = placeOf<ZoneId>(facts.zones, entry.at("zone").get<std::string>());
   row.site.record.kind = placeOf<KindId>(facts.kinds, entry.at("kind").get<std::string>());
   auto cell = entry.at("cell").get<std::int64_t>();
-  if (cell < 0 || cell > 0xffff) throw Malformed("bad cell of " + row.site.record.name);
+  if (cell < 0 || cell > 0xffff) throw ParseError("bad cell of " + row.site.record.name);
   row.site.record.destination = DestinationId{static_cast<std::uint16_t>(cell)};
   row.weight = entry.value("weight", 1.0);
-  if (!std::isfinite(row.weight)) throw Malformed("bad weight of " + row.site.record.name);
+  if (!std::isfinite(row.weight)) throw ParseError("bad weight of " + row.site.record.name);
   return row;
 } catch (const json::exception& problem) {
-  throw Malformed(problem.what());
+  throw ParseError(problem.what());
 }
 
 }  // namespace
@@ -130,13 +130,13 @@
     for (const json& entry : answer.at("servers")) {
       try {
         rows.push_back(rowOf(entry, names_));
-      } catch (const Malformed& problem) {
+      } catch (const Error& problem) {
         if (unusable++ == 0) why = problem.what();
         asItWas(entry);
       }
     }
   } catch (const json::exception& problem) {
-    throw Malformed(problem.what());
+    throw ParseError(problem.what());
   }
   bool goesOn = unusable == 0 || std::exchange(doubted_, false);
   doubted_ = !goesOn;
@@ -232,14 +232,14 @@
                      {{"after_ms", notBefore_ - loop_.now()}, {"kept", endpoints_.size()}});
   }
   try {
-    if (link.status() != 200) throw Malformed("status " + std::to_string(link.status()));
+    if (link.status() != 200) throw ParseError("status " + std::to_string(link.status()));
     const json answer = json::parse(link.body(), nullptr, false);
-    if (answer.is_discarded()) throw Malformed("not JSON");
+    if (answer.is_discarded()) throw ParseError("not JSON");
     if (!applyAnswer(answer)) return scheduleRetry(kPauseFirst, kPauseMost);
     heard_ = true;
     pause_ = 0;
     notBefore_ = loop_.now();  // a watch goes on only when asked for again at once
-  } catch (const Malformed& problem) {
+  } catch (const Error& problem) {
     log::warn("discovery.unreadable", {{"why", problem.what()}, {"kept", endpoints_.size()}});
     whole_ = true;
     scheduleRetry(kPauseFirst, kPauseMost);
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -25,7 +25,7 @@
   DiscoveryClient(EventLoop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
                   std::string host, std::uint64_t seed);
 
-  // Tells the rules a list, or changes. Throws Malformed and tells nothing where it cannot be read. False:
+  // Tells the rules a list, or changes. Throws ParseError and tells nothing where it cannot be read. False:
   // some entries could not be used, and the whole list is to be asked for.
   bool applyAnswer(const nlohmann::json& answer);
   // Endpoints that no list names any more, but that restored messages were attempted at.
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -12,8 +12,10 @@
 #include <nlohmann/json.hpp>
 #include <system_error>
 #include <utility>
+#include <variant>
 
 #include "base/bytes.h"
+#include "base/overloaded.h"
 #include "logging/log.h"
 
 namespace stonewing {
@@ -51,7 +53,7 @@
 
 sockaddr_in needAddress(const std::string& text, const char* what) {
   auto address = parseAddress(text);
-  if (!address) throw Malformed(std::string("'") + what + "' is not an address: '" + text + "'");
+  if (!address) throw ConfigError(std::string("'") + what + "' is not an address: '" + text + "'");
   return *address;
 }
 
@@ -60,18 +62,18 @@
 DispatcherConfig readConfig(std::string_view text, const std::function<std::string(const char*)>& get,
                             std::string_view operatorText) {
   json file = json::parse(text, nullptr, false);
-  if (file.is_discarded() || !file.is_object()) throw Malformed("the configuration is not a JSON object");
+  if (file.is_discarded() || !file.is_object()) throw ConfigError("the configuration is not a JSON object");
   if (!operatorText.empty()) {
     json added;
     try {
       added = json::parse(operatorText, nullptr, true, true);  // comments are welcome there
     } catch (const json::parse_error& problem) {
-      throw Malformed(std::string("the operator's file is not JSON: ") + problem.what());
+      throw ConfigError(std::string("the operator's file is not JSON: ") + problem.what());
     }
-    if (!added.is_object()) throw Malformed("the operator's file must hold one JSON object");
+    if (!added.is_object()) throw ConfigError("the operator's file must hold one JSON object");
     for (const auto& [key, value] : added.items()) {
       if (key != "journal" && key != "rooms")
-        throw Malformed("the operator's file has '" + key + "'; it may hold journal, rooms");
+        throw ConfigError("the operator's file has '" + key + "'; it may hold journal, rooms");
       file[key] = value;
     }
   }
@@ -79,7 +81,8 @@
   try {
     auto either = [&](const char* key, const char* variable) {
       std::string value = file.value(key, get(variable));
-      if (value.empty()) throw Malformed(std::string("neither '") + key + "' nor " + variable + " is given");
+      if (value.empty())
+        throw ConfigError(std::string("neither '") + key + "' nor " + variable + " is given");
       return value;
     };
     orders.name = file.value("name", get("EDGE_NAME"));
@@ -89,23 +92,24 @@
     std::string seed = file.value("seed", "0");
     auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), orders.seed, 16);
     if (error != std::errc() || end != seed.data() + seed.size())
-      throw Malformed("'seed' is not hexadecimal");
+      throw ConfigError("'seed' is not hexadecimal");
     const json limits = file.value("limits", json::object());
     orders.sockets = limits.value("sockets", std::size_t{1024});
     orders.diskBytes = static_cast<std::size_t>(limits.value("disk_mb", 3.0) * kBytesPerMegabyte);
     orders.memoryBytes = static_cast<std::size_t>(limits.value("memory_mb", 128.0) * kBytesPerMegabyte);
     const json journal = file.value("journal", json::object());
-    if (!journal.is_object()) throw Malformed("'journal' must be an object, such as {\"writer\": \"aside\"}");
+    if (!journal.is_object())
+      throw ConfigError("'journal' must be an object, such as {\"writer\": \"aside\"}");
     std::string writer = journal.value("writer", "loop");
     if (writer != "loop" && writer != "aside")
-      throw Malformed("'journal.writer' is '" + writer + "'; it must be \"loop\" or \"aside\"");
+      throw ConfigError("'journal.writer' is '" + writer + "'; it must be \"loop\" or \"aside\"");
     orders.usesWriterThread = writer == "aside";
     if (file.contains("rooms")) orders.zoneFailover = file["rooms"].dump();
-    if (!file.contains("settings")) throw Malformed("the configuration lacks 'settings'");
+    if (!file.contains("settings")) throw ConfigError("the configuration lacks 'settings'");
     orders.settings = file["settings"].dump();
     if (file.contains("known")) orders.known = file["known"].dump();
   } catch (const json::exception& problem) {
-    throw Malformed(problem.what());
+    throw ConfigError(problem.what());
   }
   return orders;
 }
@@ -192,8 +196,8 @@
 // Slots beyond a quarter of the descriptors take more, up to half of what is left beside our own.
 DescriptorBudget descriptorBudget(std::size_t sockets, int slots) {
   if (sockets < kSocketsLeast)
-    throw Malformed("'limits.sockets' is " + std::to_string(sockets) + "; it must be at least " +
-                    std::to_string(kSocketsLeast));
+    throw ConfigError("'limits.sockets' is " + std::to_string(sockets) + "; it must be at least " +
+                      std::to_string(kSocketsLeast));
   DescriptorBudget d;
   d.own = std::clamp(sockets / 2, kOwnLeast, kOwnMost);
   std::size_t rest = sockets - d.own;
@@ -278,7 +282,7 @@
   if (!config_.known.empty()) {
     try {
       discovery_.applyAnswer(json::parse(config_.known));
-    } catch (const Malformed& problem) {
+    } catch (const Error& problem) {
       log::error("discovery.unreadable", {{"why", problem.what()}, {"kept", discovery_.count()}});
     }
   }
@@ -441,9 +445,9 @@
 RespServer::CommandReply Dispatcher::answer(const std::vector<std::string_view>& words, bool left) {
   if (words[0] == "PING")
     return words.size() == 1 ? RespServer::CommandReply{"+PONG\r\n"}
-                             : throw Malformed("PING takes no more words");
+                             : throw ProtocolError("PING takes no more words");
   if (words[0] == "SUBMIT") return submit(words, left);
-  throw Malformed("unknown command");
+  throw ProtocolError("unknown command");
 }
 
 std::string Dispatcher::busyReply(Millis wait) {
@@ -452,7 +456,7 @@
 }
 
 RespServer::CommandReply Dispatcher::submit(const std::vector<std::string_view>& words, bool left) {
-  if (words.size() != 5) throw Malformed("SUBMIT takes key, id, list and body");
+  if (words.size() != 5) throw ProtocolError("SUBMIT takes key, id, list and body");
   Millis wall = std::floor(wallNow());  // whole, so that equal spans stay equal
   StoredMessage held = store_.decode(words[1], words[2], words[3], words[4], wall);
   if (store_.contains(held.reference))
@@ -460,7 +464,7 @@
   if (!discovery_.knows(held.destination)) {
     // Before discovery has said anything, ours may just be an old list.
     if (!discovery_.hasAnswered()) return {"-BUSY\r\n"};
-    throw Malformed("unknown dest");
+    throw ProtocolError("unknown dest");
   }
   // Refused unseen, which is harmless: out of places, on the way out, or the client has not waited for us and
   // hands it in elsewhere; accepted too, it would be delivered for nothing.
@@ -560,26 +564,23 @@
                                   {"retry_after_ms", wait}});
 }
 
-void Dispatcher::execute(const Decision& d) {
-  switch (d.act) {
-    case Act::launch:
-      return sender_.sendAttempt(d);
-    case Act::withdraw:
-      return sender_.cancelAttempt(d);
-    case Act::shed:
-      logFinished(d.message, "shed", d.span);
-      return store_.addPendingNotification(d.message, FinalOutcome::shed, d.span);
-    case Act::giveUp:
-      logFinished(d.message, "failed", 0);
-      return store_.addPendingNotification(d.message, FinalOutcome::failed, 0);
-    case Act::probe:
-      return sender_.sendHealthCheck(d.endpoint);
-    case Act::closeIdle:
-      return sender_.closeIdleConnection(d.endpoint);
-    case Act::wake:
-      wakeAt_ = d.span;
-      return;
-  }
+void Dispatcher::execute(const Decision& decision) {
+  std::visit(Overloaded{
+                 [this](const SendAttempt& d) { sender_.sendAttempt(d); },
+                 [this](const CancelAttempt& d) { sender_.cancelAttempt(d); },
+                 [this](const ShedMessage& d) {
+                   logFinished(d.message, "shed", d.retryAfter);
+                   store_.addPendingNotification(d.message, FinalOutcome::shed, d.retryAfter);
+                 },
+                 [this](const FailMessage& d) {
+                   logFinished(d.message, "failed", 0);
+                   store_.addPendingNotification(d.message, FinalOutcome::failed, 0);
+                 },
+                 [this](const SendHealthCheck& d) { sender_.sendHealthCheck(d.endpoint); },
+                 [this](const CloseIdleConnection& d) { sender_.closeIdleConnection(d.endpoint); },
+                 [this](const SetTimer& d) { wakeAt_ = d.at; },
+             },
+             decision);
 }
 
 }  // namespace stonewing
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -34,7 +34,7 @@
   bool usesWriterThread{false};  // a thread of its own writes the journal
 };
 
-// Reads the start file; `get` gives the variables of the environment, empty for none. Throws Malformed.
+// Reads the start file; `get` gives the variables of the environment, empty for none. Throws ConfigError.
 // operatorText: what the operator adds; its keys go before the first text's. Empty for nothing.
 DispatcherConfig readConfig(std::string_view text, const std::function<std::string(const char*)>& get,
                             std::string_view operatorText = {});
@@ -47,10 +47,10 @@
   std::size_t clients{};
   int maxConcurrentRequests{};  // attempts at once: the deployment's, or what the connections bear
 };
-// Throws Malformed where there are too few for any work.
+// Throws ConfigError where there are too few for any work.
 DescriptorBudget descriptorBudget(std::size_t sockets, int slots);
 
-// What the deployment and the operator state together. Throws Malformed.
+// What the deployment and the operator state together. Throws ConfigError.
 DeploymentSettings deploymentSettings(const DispatcherConfig& orders);
 
 // Holds back the signals that a dispatcher takes as events, from now until there is one. A reload asked for
@@ -60,7 +60,7 @@
 // One dispatcher from its start to its exit.
 class Dispatcher {
  public:
-  // reread: what it is told now; throws Malformed where that cannot be used.
+  // reread: what it is told now; throws ConfigError where that cannot be used.
   explicit Dispatcher(const DispatcherConfig& orders, std::function<DispatcherConfig()> reread = {});
   ~Dispatcher();
   void run();
--- a/src/dispatcher/main.cpp
+++ b/src/dispatcher/main.cpp
@@ -20,13 +20,13 @@
 
 std::string contents(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw stonewing::Malformed("cannot read " + path);
+  if (!file) throw stonewing::ConfigError("cannot read " + path);
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
 stonewing::DispatcherConfig ordersFrom(std::string path, const std::string& added) {
   if (path.empty()) path = variable("EDGE_CONFIG");
-  if (path.empty()) throw stonewing::Malformed("no configuration: give --config or set EDGE_CONFIG");
+  if (path.empty()) throw stonewing::ConfigError("no configuration: give --config or set EDGE_CONFIG");
   return stonewing::readConfig(contents(path), variable, added.empty() ? "" : contents(added));
 }
 
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -161,7 +161,7 @@
     if (!losers_.empty()) {
       auto [id, n] = losers_.front();
       losers_.pop_front();
-      return Decision{Act::withdraw, id, {}, n, 0};
+      return CancelAttempt{id, n};
     }
     while (!ends_.empty() && ends_.begin()->first <= now_) {
       MessageId id = ends_.begin()->second;
@@ -190,7 +190,7 @@
     }
     if (due < 0 || (wakeAsked_ >= 0 && wakeAsked_ <= due)) return std::nullopt;
     wakeAsked_ = due;
-    return Decision{Act::wake, {}, {}, 0, due};
+    return SetTimer{due};
   }
 
  private:
@@ -259,7 +259,7 @@
 
   Decision give(MessageId id) {
     over(id);
-    return {Act::giveUp, id, {}, 0, 0};
+    return FailMessage{id};
   }
 
   bool repeatAllowed(const Held& h, EndpointId to) {
@@ -317,8 +317,9 @@
     if (recipe_.copies && !h.copied) later_.insert({now_ + std::max(p95_, 1.0), id});
     bool last = static_cast<int>(h.launches.size()) >= recipe_.launches;
     Millis left = h.outer - now_;
-    return Decision{Act::launch, id, *to, static_cast<int>(h.launches.size()) - 1,
-                    last ? left : std::min(left, std::max(h.type->latencyObjective, kTimeoutShare * left))};
+    return SendAttempt{
+        id, *to, static_cast<int>(h.launches.size()) - 1,
+        last ? left : std::min(left, std::max(h.type->latencyObjective, kTimeoutShare * left))};
   }
 
   std::optional<EndpointId> choose(const Held& h, Destination& d, bool copy) {
@@ -375,7 +376,7 @@
   }
   std::string known;
   for (const std::string& n : policyNames()) known += (known.empty() ? "" : ", ") + n;
-  throw Malformed("there is no policy '" + name + "'; there are " + known);
+  throw ConfigError("there is no policy '" + name + "'; there are " + known);
 }
 
 const std::vector<std::string>& policyNames() {
--- a/src/lab/gates.cpp
+++ b/src/lab/gates.cpp
@@ -153,7 +153,7 @@
   if (name == "gradient") return std::make_unique<Gradient>();
   std::string known;
   for (const std::string& n : gateNames()) known += (known.empty() ? "" : ", ") + n;
-  throw Malformed("there is no gate '" + name + "'; there are " + known);
+  throw ConfigError("there is no gate '" + name + "'; there are " + known);
 }
 
 struct Client {
--- a/src/lab/gates.h
+++ b/src/lab/gates.h
@@ -42,7 +42,7 @@
   Millis calmAfter{0};          // from the surge's end until a second without a loss; -1: not seen
 };
 
-// "none", "work" (ours), "codel", "credits", "gradient". Throws Malformed with the names there are.
+// "none", "work" (ours), "codel", "credits", "gradient". Throws ConfigError with the names there are.
 GateResult playGate(const GatePlan& plan, const std::string& gate);
 const std::vector<std::string>& gateNames();
 std::string tableOf(const std::vector<GateResult>& rows);
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -21,14 +21,15 @@
 namespace {
 
 using namespace stonewing::lab;
-using stonewing::Malformed;
+using stonewing::ConfigError;
+using stonewing::Error;
 namespace fs = std::filesystem;
 
 constexpr int kRuleBroken = 2;
 
 std::string textOf(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw Malformed("cannot read " + path);
+  if (!in) throw ConfigError("cannot read " + path);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -57,7 +58,7 @@
        {own.parent_path(), own.parent_path().parent_path().parent_path(), fs::path("build")}) {
     if (fs::exists(folder / name, none)) return (folder / name).string();
   }
-  throw Malformed(std::string("the program ") + name + " was not found; name it with --dispatcher");
+  throw ConfigError(std::string("the program ") + name + " was not found; name it with --dispatcher");
 }
 
 std::uint64_t seedOf(const Choices& c, const Plan& plan) {
@@ -181,13 +182,13 @@
   std::string command =
       "'" + lab + "' model '" + file + "' --json --seed " + std::to_string(seed) + " --policy " + policy;
   std::FILE* from = ::popen(command.c_str(), "r");
-  if (from == nullptr) throw Malformed("cannot run " + lab);
+  if (from == nullptr) throw ConfigError("cannot run " + lab);
   std::string text;
   char chunk[4096];
   for (std::size_t n; (n = std::fread(chunk, 1, sizeof chunk, from)) > 0;) text.append(chunk, n);
   ::pclose(from);
   auto result = nlohmann::json::parse(text, nullptr, false);
-  if (!result.is_object()) throw Malformed(lab + " gave no result for " + file);
+  if (!result.is_object()) throw ConfigError(lab + " gave no result for " + file);
   const auto& r = result.at("result");
   return {r.at("gain_share"), r.at("delivery").at("p99_ms"),
           r.at("launches").get<double>() / std::max(1.0, r.at("due").get<double>()),
@@ -212,7 +213,7 @@
       choices.folder = (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
       Played played = playSockets(plan, seed, choices);
       fs::remove_all(choices.folder);
-      if (played.interrupted) throw Malformed("interrupted");
+      if (played.interrupted) throw ConfigError("interrupted");
       return figuresOf(tally(plan, played.trace), audit(plan, played.trace).size());
     }
     if (!lab.empty()) return byOtherLab(lab, file, seed, policy);
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -6,7 +6,9 @@
 #include <set>
 #include <unordered_map>
 #include <utility>
+#include <variant>
 
+#include "base/overloaded.h"
 #include "lab/clients.h"
 #include "lab/policy.h"
 #include "lab/town.h"
@@ -294,10 +296,10 @@
     policy.roundBegins(now_);
     input(policy);
     if (dispatchers_[d].diskHangs) return;  // nothing could be noted
-    std::map<int, std::vector<Decision>> gathered;
+    std::map<int, std::vector<SendAttempt>> gathered;
     while (auto decision = policy.next()) {
-      if (decision->act == Act::launch) {
-        gathered[policy.callOf(decision->message, decision->attempt)].push_back(*decision);
+      if (const auto* attempt = std::get_if<SendAttempt>(&*decision)) {
+        gathered[policy.callOf(attempt->message, attempt->attempt)].push_back(*attempt);
       } else {
         carryOut(d, *decision);
       }
@@ -307,31 +309,35 @@
 
   void carryOut(std::uint32_t d, const Decision& decision) {
     Dispatcher& from = dispatchers_[d];
-    std::uint32_t callback = decision.message.value - 1;
-    auto endpoint = static_cast<std::uint32_t>(decision.endpoint.value - 1);
-    switch (decision.act) {
-      case Act::withdraw:
-        return withdraw(callback, decision.attempt);
-      case Act::shed:
-      case Act::giveUp:
-        from.held.erase(callback);
-        at(now_ + plan_.world.nearOneWay, Kind::noticed, callback, 0, decision.act == Act::shed ? 2 : 1,
-           decision.span);
-        return;
-      case Act::probe:
-        for (int n = 0; n < (sabotage_.pushesCold ? 10 : 1); ++n) {
-          at(now_ + 3 * oneWay(d, known(endpoint)), Kind::probeArrives, d, endpoint,
-             static_cast<std::int32_t>(from.life));
-        }
-        return;
-      case Act::closeIdle:
-        return closeIdle(from, endpoint);
-      case Act::wake:
-        from.wakeAt = decision.span;
-        at(std::max(now_, decision.span), Kind::wake, d, 0, 0, decision.span);
-        return;
-      case Act::launch:
-        return;
+    std::visit(Overloaded{
+                   [](const SendAttempt&) {},  // gathered by request in round()
+                   [&](const CancelAttempt& c) { withdraw(numberOf(c.message), c.attempt); },
+                   [&](const ShedMessage& c) { tellEnd(from, c.message, 2, c.retryAfter); },
+                   [&](const FailMessage& c) { tellEnd(from, c.message, 1, 0); },
+                   [&](const SendHealthCheck& c) { probe(d, numberOf(c.endpoint)); },
+                   [&](const CloseIdleConnection& c) { closeIdle(from, numberOf(c.endpoint)); },
+                   [&](const SetTimer& c) {
+                     from.wakeAt = c.at;
+                     at(std::max(now_, c.at), Kind::wake, d, 0, 0, c.at);
+                   },
+               },
+               decision);
+  }
+
+  static std::uint32_t numberOf(MessageId message) { return message.value - 1; }
+  static std::uint32_t numberOf(EndpointId endpoint) {
+    return static_cast<std::uint32_t>(endpoint.value - 1);
+  }
+
+  void tellEnd(Dispatcher& from, MessageId message, std::int32_t result, Millis wait) {
+    from.held.erase(numberOf(message));
+    at(now_ + plan_.world.nearOneWay, Kind::noticed, numberOf(message), 0, result, wait);
+  }
+
+  void probe(std::uint32_t d, std::uint32_t endpoint) {
+    for (int n = 0; n < (sabotage_.pushesCold ? 10 : 1); ++n) {
+      at(now_ + 3 * oneWay(d, known(endpoint)), Kind::probeArrives, d, endpoint,
+         static_cast<std::int32_t>(dispatchers_[d].life));
     }
   }
 
@@ -369,7 +375,7 @@
     if (pool->second.empty()) dispatchers_[d].idle.erase(pool);
   }
 
-  void send(std::uint32_t d, const std::vector<Decision>& launches) {
+  void send(std::uint32_t d, const std::vector<SendAttempt>& launches) {
     Dispatcher& from = dispatchers_[d];
     std::uint32_t number = nextCall_++;
     Call& call = calls_[number];
@@ -384,13 +390,13 @@
       pool->second.pop_back();
       kept = true;
     }
-    for (const Decision& l : launches) {
+    for (const SendAttempt& l : launches) {
       std::uint32_t callback = l.message.value - 1;
       call.members.push_back({callback, l.attempt});
       from.held[callback].launches.push_back({call.endpoint, now_, false});
       from.policy->goesOutOn(l.message, l.attempt, idle);
       out_[place(callback, l.attempt)] = number;
-      at(now_ + l.span, Kind::timeout, number, static_cast<std::uint32_t>(call.members.size() - 1));
+      at(now_ + l.timeout, Kind::timeout, number, static_cast<std::uint32_t>(call.members.size() - 1));
       ++cost_.launches;
     }
     if (kept) {
--- a/src/lab/plan.cpp
+++ b/src/lab/plan.cpp
@@ -85,7 +85,7 @@
       text += (text.empty() ? "" : "\n") + file + ":" + std::to_string(at.line) + ":" +
               std::to_string(at.column) + ": " + what;
     }
-    throw Malformed(text);
+    throw ConfigError(text);
   }
 };
 
@@ -384,22 +384,22 @@
 void apply(toml::table& root, const std::string& change) {
   std::size_t equals = change.find('=');
   if (equals == std::string::npos || equals == 0) {
-    throw Malformed("--set takes table.key=value, not '" + change + "'");
+    throw ConfigError("--set takes table.key=value, not '" + change + "'");
   }
   std::string path = change.substr(0, equals);
   toml::table value;
   try {
     value = toml::parse("value = " + change.substr(equals + 1));
   } catch (const toml::parse_error&) {
-    throw Malformed("--set " + path + ": '" + change.substr(equals + 1) +
-                    "' is no TOML value; texts need quotes");
+    throw ConfigError("--set " + path + ": '" + change.substr(equals + 1) +
+                      "' is no TOML value; texts need quotes");
   }
   toml::table* at = &root;
   for (std::size_t dot; (dot = path.find('.')) != std::string::npos; path.erase(0, dot + 1)) {
     std::string key = path.substr(0, dot);
     at->insert(key, toml::table{});
     at = at->get(key)->as_table();
-    if (at == nullptr) throw Malformed("--set: '" + key + "' is no table");
+    if (at == nullptr) throw ConfigError("--set: '" + key + "' is no table");
   }
   at->insert_or_assign(path, *value.get("value"));
 }
@@ -435,7 +435,7 @@
 
 Plan loadPlan(const std::string& path, const std::vector<std::string>& overrides) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw Malformed("cannot read " + path);
+  if (!in) throw ConfigError("cannot read " + path);
   return readPlan(std::string(std::istreambuf_iterator<char>(in), {}), path, overrides);
 }
 
--- a/src/lab/plan.h
+++ b/src/lab/plan.h
@@ -160,7 +160,7 @@
 
 const char* nameOf(TroubleKind kind);
 
-// Reads a plan. Throws Malformed with every mistake of the text, a line each: file, line, column, what is
+// Reads a plan. Throws ConfigError with every mistake of the text, a line each: file, line, column, what is
 // wrong and what would be right.
 // overrides: "load.per_s=4000", as if the file had said so.
 Plan readPlan(const std::string& text, const std::string& file,
--- a/src/lab/policy.h
+++ b/src/lab/policy.h
@@ -41,7 +41,7 @@
   virtual int held() const = 0;
 };
 
-// "ours", or a baseline by its name. Throws Malformed with the names there are.
+// "ours", or a baseline by its name. Throws ConfigError with the names there are.
 std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentSettings& terms,
                                     std::uint64_t seed);
 const std::vector<std::string>& policyNames();
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -43,7 +43,7 @@
 
 std::ofstream opened(const std::string& path) {
   std::ofstream out(path, std::ios::binary);
-  if (!out) throw Malformed("cannot write " + path);
+  if (!out) throw ConfigError("cannot write " + path);
   return out;
 }
 
@@ -426,7 +426,7 @@
   }
   std::ofstream html = opened(folder + "/report.html");
   writeHtml(r, svgs, left, html);
-  if (!html.flush() || !series.flush()) throw Malformed("no room to write the report in " + folder);
+  if (!html.flush() || !series.flush()) throw ConfigError("no room to write the report in " + folder);
   return left;
 }
 
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -33,7 +33,7 @@
 
 std::ofstream opened(const std::string& path) {
   std::ofstream out(path, std::ios::binary);
-  if (!out) throw Malformed("cannot write " + path);
+  if (!out) throw ConfigError("cannot write " + path);
   return out;
 }
 
@@ -64,7 +64,7 @@
     if (!done_) fail("there are more fields than columns");
   }
   [[noreturn]] void fail(const std::string& what) const {
-    throw Malformed(file_ + ":" + std::to_string(number_) + ": " + what);
+    throw ConfigError(file_ + ":" + std::to_string(number_) + ": " + what);
   }
 
  private:
@@ -77,7 +77,7 @@
 template <class Row>
 void eachLine(const std::string& path, Row row) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw Malformed("cannot read " + path + "; a folder of `stonewing_lab run` or `model` has it");
+  if (!in) throw ConfigError("cannot read " + path + "; a folder of `stonewing_lab run` or `model` has it");
   std::string line;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     if (number == 1) continue;
@@ -107,7 +107,7 @@
                   c.due);
     callbacks << row;
   }
-  if (!events.flush() || !callbacks.flush()) throw Malformed("no room to write the trace in " + folder);
+  if (!events.flush() || !callbacks.flush()) throw ConfigError("no room to write the trace in " + folder);
 }
 
 Trace loadTrace(const std::string& folder) {
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -65,7 +65,7 @@
 
 const char* nameOf(What what);
 
-// Two tables, events.csv and messages.csv, in a folder. Throws Malformed naming file and line.
+// Two tables, events.csv and messages.csv, in a folder. Throws ConfigError naming file and line.
 void save(const Trace& trace, const std::string& folder);
 Trace loadTrace(const std::string& folder);
 
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -44,11 +44,11 @@
 void open(const std::string& who, const std::string& level, const std::string& wanted) {
   auto known = spdlog::level::from_str(level);
   if (known == spdlog::level::off && level != "off") {
-    throw Malformed("there is no log level '" + level +
-                    "'; there are trace, debug, info, warn, error and off");
+    throw ConfigError("there is no log level '" + level +
+                      "'; there are trace, debug, info, warn, error and off");
   }
   if (wanted != "text" && wanted != "json") {
-    throw Malformed("there is no log format '" + wanted + "'; there are text and json");
+    throw ConfigError("there is no log format '" + wanted + "'; there are text and json");
   }
   format = wanted == "json" ? Format::json : Format::text;
   spdlog::set_default_logger(spdlog::stderr_logger_st(who));
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -27,7 +27,7 @@
       : name(name), value(static_cast<std::int64_t>(number)) {}
 };
 
-// level: trace, debug, info, warn, error or off. Throws Malformed with the words there are.
+// level: trace, debug, info, warn, error or off. Throws ConfigError with the words there are.
 void open(const std::string& who, const std::string& level, const std::string& format);
 bool on(Level level);
 void event(Level level, std::string_view name, std::initializer_list<Field> fields = {});
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -674,7 +674,7 @@
   state_.updateIndexes(id, c);
   isReached(state_.now + silenceThreshold(c, p));
   lastRound_.lastAttemptRound = state_.round;
-  return {Act::launch, id, e.id, static_cast<int>(c.attempts.size()) - 1, span};
+  return SendAttempt{id, e.id, static_cast<int>(c.attempts.size()) - 1, span};
 }
 
 // Whether that time has come; if not, we want to be woken then.
@@ -723,11 +723,7 @@
 }
 
 Decision DispatchPolicy::shed(MessageId id, Millis away) {
-  return {Act::shed,
-          finish(id),
-          {},
-          0,
-          settings_.mayAdviseRetryAfter ? std::min(away, settings_.maxRetryAfter) : 0};
+  return ShedMessage{finish(id), settings_.mayAdviseRetryAfter ? std::min(away, settings_.maxRetryAfter) : 0};
 }
 
 // Danger: what waits in vain and never ran passes for failed, as if it had been tried. In a large fleet
@@ -739,14 +735,14 @@
     if (!isReached(limit)) break;
     const Message& c = state_.messages.at(id);
     if (!c.responseStarted)
-      return Decision{mayHaveExecuted(c) ? Act::giveUp : Act::shed, finish(id), {}, 0, 0};
+      return mayHaveExecuted(c) ? Decision(FailMessage{finish(id)}) : Decision(ShedMessage{finish(id), 0});
   }
   while (!state_.retryExhaustionTimes.empty() && isReached(state_.retryExhaustionTimes.begin()->first)) {
     MessageId id = state_.retryExhaustionTimes.begin()->second;
     state_.retryExhaustionTimes.erase(state_.retryExhaustionTimes.begin());
     const Message* c = state_.find(id);
     if (c == nullptr || c->finished || !c->hasNoPendingAttempt()) continue;
-    if (!mayAttempt(*c, nullptr)) return Decision{Act::giveUp, finish(id), {}, 0, 0};
+    if (!mayAttempt(*c, nullptr)) return FailMessage{finish(id)};
     if (mayHaveExecuted(*c)) continue;
     Millis latest = latestUsefulAttemptAt(*c);
     if (state_.now >= latest) return shed(id, 0);
@@ -798,7 +794,7 @@
     if (c == nullptr || !settings_.mayCancel || !c->attempts[n].pending) continue;
     c->attempts[n].cancelled = true;
     if (!c->attempts[n].isHedge) c->attempts[n].endpoint->recordTimeout(c->attempts[n].sentAt);
-    return Decision{Act::withdraw, id, {}, n, 0};
+    return CancelAttempt{id, n};
   }
   return std::nullopt;
 }
@@ -834,7 +830,7 @@
       l.endpoint->recordTimeout(l.sentAt);
       state_.timeoutScale *= 1 - kPatienceCut;
       scan_.stuckNext = id;  // another attempt of it may be stuck too
-      return Decision{Act::withdraw, id, {}, static_cast<int>(n), 0};
+      return CancelAttempt{id, static_cast<int>(n)};
     }
   }
   return std::nullopt;
@@ -917,7 +913,7 @@
   if (bestTo->requestsInFlight == 0 && bestTo->lastUsedAt >= 0 &&
       state_.now - bestTo->lastUsedAt > state_.reusableIdleTime) {
     bestTo->lastUsedAt = -1;
-    return Decision{Act::closeIdle, {}, bestTo->id, 0, 0};
+    return CloseIdleConnection{bestTo->id};
   }
   return sendAttempt(*best, *bestTo, false);
 }
@@ -935,7 +931,7 @@
         (e.lastRequestInterval >= 0 ? e.lastRequestInterval : spread) <= state_.reusableIdleTime)
       continue;
     e.lastUsedAt = -1;
-    return Decision{Act::closeIdle, {}, e.id, 0, 0};
+    return CloseIdleConnection{e.id};
   }
   return std::nullopt;
 }
@@ -972,7 +968,7 @@
     p.healthCheckPending = true;
     recordSlowStartSend(p);
     state_.zones.recordHealthCheck(state_.now, e.zone);
-    return Decision{Act::probe, {}, id, 0, 0};
+    return SendHealthCheck{id};
   }
   return std::nullopt;
 }
@@ -984,7 +980,7 @@
   if (nextWakeAt_ < 0 || (state_.timerSetFor > state_.now && state_.timerSetFor <= nextWakeAt_))
     return std::nullopt;
   state_.timerSetFor = nextWakeAt_;
-  return Decision{Act::wake, {}, {}, 0, nextWakeAt_};
+  return SetTimer{nextWakeAt_};
 }
 
 std::optional<Decision> DispatchPolicy::nextDecision() {
--- a/src/server/resp_server.cpp
+++ b/src/server/resp_server.cpp
@@ -217,7 +217,7 @@
         answer(intake_.answer_(words_, left));
         spoken_ = true;
         handedIn_ = handedIn_ || words_.size() > 1;
-      } catch (const Malformed& problem) {
+      } catch (const Error& problem) {
         refuse(std::string("-ERR ") + problem.what() + "\r\n");
       }
       at += used;
--- a/src/server/resp_server.h
+++ b/src/server/resp_server.h
@@ -29,7 +29,7 @@
     std::string text;
     std::optional<MessageId> ifAccepted{};
   };
-  // Answers one command. Throws Malformed for one that is answered by an error and a close. left: its client
+  // Answers one command. Throws Error for one that is answered by an error and a close. left: its client
   // has ended its side of the connection.
   using CommandHandler = std::function<CommandReply(const std::vector<std::string_view>& words, bool left)>;
   // In place of the answer of a message that was not kept; no value where it was.
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "base/bytes.h"
+#include "base/errors.h"
 
 namespace stonewing {
 namespace {
@@ -20,7 +20,7 @@
   while (begin <= path.size()) {
     std::size_t end = std::min(path.find('.', begin), path.size());
     std::string key = path.substr(begin, end - begin);
-    if (!at->is_object() || !at->contains(key)) throw Malformed("the settings lack '" + path + "'");
+    if (!at->is_object() || !at->contains(key)) throw SettingsError("the settings lack '" + path + "'");
     at = &(*at)[key];
     begin = end + 1;
   }
@@ -32,7 +32,7 @@
   try {
     return need(from, path).get<T>();
   } catch (const json::exception&) {
-    throw Malformed("setting '" + path + "' is of the wrong kind");
+    throw SettingsError("setting '" + path + "' is of the wrong kind");
   }
 }
 
@@ -47,7 +47,7 @@
 
 json parsed(std::string_view text) {
   json facts = json::parse(text, nullptr, false);
-  if (facts.is_discarded() || !facts.is_object()) throw Malformed("the settings are not a JSON object");
+  if (facts.is_discarded() || !facts.is_object()) throw SettingsError("the settings are not a JSON object");
   return facts;
 }
 
@@ -59,8 +59,8 @@
 
 [[noreturn]] void wrong(const std::string& type, const std::string& key, const json& value,
                         const std::string& right) {
-  throw Malformed("setting '" + key + "' of class '" + type + "' is " + value.dump() + "; it must be " +
-                  right);
+  throw SettingsError("setting '" + key + "' of class '" + type + "' is " + value.dump() + "; it must be " +
+                      right);
 }
 
 TrafficType trafficType(const json& row) {
@@ -100,7 +100,7 @@
   DeploymentSettings terms;
   for (const json& row : get<json>(facts, "request-classes")) terms.types.push_back(trafficType(row));
   if (terms.types.empty())
-    throw Malformed("setting 'request-classes' is empty; it must name a class or more");
+    throw SettingsError("setting 'request-classes' is empty; it must name a class or more");
   const json family = get<json>(facts, "family-info");
   auto apart = orElse(family, "kind-apart", std::vector<bool>{});
   auto perCall = orElse(family, "per-call", std::vector<int>{});
@@ -109,7 +109,8 @@
     terms.kinds.push_back({k < apart.size() && apart[k], k < perCall.size() ? std::max(1, perCall[k]) : 1});
   }
   std::string decay = orElse<std::string>(family, "decay", "linear");
-  if (decay != "linear" && decay != "halving") throw Malformed("setting 'decay' has unknown value " + decay);
+  if (decay != "linear" && decay != "halving")
+    throw SettingsError("setting 'decay' has unknown value " + decay);
   terms.decay = decay == "halving" ? WeightDecay::halving : WeightDecay::linear;
   terms.maxConcurrentRequests = get<int>(family, "call-slots");
   if (facts.contains("orgs")) {
@@ -155,23 +156,23 @@
   ZoneFailoverSettings::Priorities tiers;
   std::vector<ZoneId> seen;
   if (!rows.is_array() || rows.empty()) {
-    throw Malformed("'" + key +
-                    "' must be a list of tiers, best first, each a list of rooms: [[\"a\"], [\"b\", \"c\"]]");
+    throw SettingsError(
+        "'" + key + "' must be a list of tiers, best first, each a list of rooms: [[\"a\"], [\"b\", \"c\"]]");
   }
   for (const json& row : rows) {
     if (!row.is_array() || row.empty())
-      throw Malformed("each tier of '" + key + "' must be a list of rooms: [\"a\"]");
+      throw SettingsError("each tier of '" + key + "' must be a list of rooms: [\"a\"]");
     tiers.emplace_back();
     for (const json& name : row) {
       auto at =
           name.is_string() ? std::find(zones.begin(), zones.end(), name.get<std::string>()) : zones.end();
       if (at == zones.end()) {
-        throw Malformed("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
-                        listed(zones));
+        throw SettingsError("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
+                            listed(zones));
       }
       ZoneId zone{static_cast<std::uint8_t>(at - zones.begin())};
       if (std::find(seen.begin(), seen.end(), zone) != seen.end()) {
-        throw Malformed("'" + key + "' names " + name.dump() + " twice; a room stands in one tier");
+        throw SettingsError("'" + key + "' names " + name.dump() + " twice; a room stands in one tier");
       }
       seen.push_back(zone);
       tiers.back().push_back(zone);
@@ -182,10 +183,10 @@
 
 // Every key of an object that is known; another one is named with those there are.
 void onlyKeys(const json& object, const std::string& name, const std::vector<std::string>& known) {
-  if (!object.is_object()) throw Malformed("'" + name + "' must be an object with " + listed(known));
+  if (!object.is_object()) throw SettingsError("'" + name + "' must be an object with " + listed(known));
   for (const auto& [key, value] : object.items()) {
     if (std::find(known.begin(), known.end(), key) == known.end())
-      throw Malformed("'" + name + "." + key + "' is not known; there are " + listed(known));
+      throw SettingsError("'" + name + "." + key + "' is not known; there are " + listed(known));
   }
 }
 
@@ -194,8 +195,8 @@
   if (!object.contains(key)) return otherwise;
   const json& value = object[key];
   if (!value.is_number() || value.get<double>() < least || value.get<double>() > most) {
-    throw Malformed("'" + name + "." + key + "' is " + value.dump() + "; it must be a number from " +
-                    json(least).dump() + " to " + json(most).dump());
+    throw SettingsError("'" + name + "." + key + "' is " + value.dump() + "; it must be a number from " +
+                        json(least).dump() + " to " + json(most).dump());
   }
   return value.get<double>();
 }
@@ -207,17 +208,18 @@
   if (text.empty()) return terms;
   const json rooms = json::parse(text, nullptr, false);
   onlyKeys(rooms, "rooms", {"tiers", "destinations", "spill", "return"});
-  if (!rooms.contains("tiers")) throw Malformed("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
+  if (!rooms.contains("tiers"))
+    throw SettingsError("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
   terms.priorities = readTiers(rooms["tiers"], zones, "rooms.tiers");
   const json destinations = rooms.value("destinations", json::object());
   if (!destinations.is_object())
-    throw Malformed("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
+    throw SettingsError("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
   for (const auto& [name, tiers] : destinations.items()) {
     std::uint16_t number{};
     auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), number);
     if (error != std::errc() || end != name.data() + name.size())
-      throw Malformed("'rooms.destinations' names \"" + name +
-                      "\"; a destination is a number from 0 to 65535");
+      throw SettingsError("'rooms.destinations' names \"" + name +
+                          "\"; a destination is a number from 0 to 65535");
     terms.destinations[DestinationId{number}] = readTiers(tiers, zones, "rooms.destinations." + name);
   }
   const json spill = rooms.value("spill", json::object());
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -23,8 +23,8 @@
 };
 NameTables readNameTables(std::string_view text);
 
-// Reads what an operator states of rooms, by the names of the zones; empty text: nothing. Throws Malformed
-// naming the key, what is wrong and what would be right.
+// Reads what an operator states of rooms, by the names of the zones; empty text: nothing. Throws
+// SettingsError naming the key, what is wrong and what would be right.
 ZoneFailoverSettings readZoneFailoverSettings(std::string_view text, const std::vector<std::string>& zones);
 
 }  // namespace stonewing
--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -25,14 +25,14 @@
       !text.empty() && text.size() <= kWordMost && std::all_of(text.begin(), text.end(), [](unsigned char c) {
         return c > ' ' && c < 0x7f && c != '"' && c != '\\' && c != ',';
       });
-  if (!plain) throw Malformed(std::string("bad ") + field);
+  if (!plain) throw ProtocolError(std::string("bad ") + field);
   return std::string(text);
 }
 
 template <class Id>
 Id placeOf(const std::vector<std::string>& names, std::string_view name, const char* field) {
   auto at = std::find(names.begin(), names.end(), name);
-  if (at == names.end()) throw Malformed(std::string("unknown ") + field);
+  if (at == names.end()) throw ProtocolError(std::string("unknown ") + field);
   return Id{static_cast<decltype(Id{}.value)>(at - names.begin())};
 }
 
@@ -65,7 +65,8 @@
   StoredMessage held;
   held.reference = word(ref, "id");
   auto [keyEnd, keyError] = std::from_chars(key.data(), key.data() + key.size(), held.orderingKey.value, 16);
-  if (key.empty() || keyError != std::errc() || keyEnd != key.data() + key.size()) throw Malformed("bad key");
+  if (key.empty() || keyError != std::errc() || keyEnd != key.data() + key.size())
+    throw ProtocolError("bad key");
   bool typed = false;
   bool addressed = false;
   Millis left = -1;
@@ -74,7 +75,7 @@
     std::string_view item = rest.substr(0, comma);
     rest.remove_prefix(std::min(comma + 1, rest.size()));
     std::size_t equals = item.find('=');
-    if (equals == std::string_view::npos) throw Malformed("a name without a value");
+    if (equals == std::string_view::npos) throw ProtocolError("a name without a value");
     std::string_view name = item.substr(0, equals);
     std::string_view value = item.substr(equals + 1);
     if (name == "c") {
@@ -85,18 +86,18 @@
     } else if (name == "d") {
       auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), left);
       if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(left) || left < 0) {
-        throw Malformed("bad d");
+        throw ProtocolError("bad d");
       }
     } else if (name == "k") {
       held.idempotencyKey = word(value, "k");
     } else if (name == "dest") {
       auto number = parseWholeNumber(value);
-      if (!number || *number > 0xffff) throw Malformed("bad dest");
+      if (!number || *number > 0xffff) throw ProtocolError("bad dest");
       held.destination = DestinationId{static_cast<std::uint16_t>(*number)};
       addressed = true;
     }
   }
-  if (!typed || !addressed || left < 0) throw Malformed("c, d and dest are needed");
+  if (!typed || !addressed || left < 0) throw ProtocolError("c, d and dest are needed");
   held.deadlineWall = wall + left;
   held.body = std::make_shared<const std::string>(body);
   putText(held.acceptedFields, key);
@@ -141,7 +142,7 @@
   std::size_t cut = journal_.replay([this](std::string_view record) {
     try {
       replayed(record);
-    } catch (const Malformed& problem) {
+    } catch (const Error& problem) {
       log::error("journal.record_skipped", {{"why", problem.what()}});
     }
   });
@@ -167,7 +168,7 @@
         byReference_[held.reference] = id;
         inFlightBytes_ += acceptedRecordSize(held) + kReserve;
         inFlight_[id] = std::move(held);
-      } catch (const Malformed& problem) {
+      } catch (const Error& problem) {
         // The settings have changed under it: its end is still owed.
         log::error("message.undeliverable", {{"message", ref}, {"why", problem.what()}});
         pendingNotifications_[id] = {ref, FinalOutcome::failed, 0};
@@ -205,7 +206,7 @@
       pendingNotifications_.erase(id);
       return;
   }
-  throw Malformed("unknown tag");
+  throw JournalError("unknown tag");
 }
 
 std::size_t MessageStore::liveBytes() const {
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -67,7 +67,7 @@
   // Reads what an earlier process left; returns the bytes of a torn tail that were cut.
   std::size_t restore();
 
-  // The fields of a SUBMIT: order key, id, list, body. Throws Malformed with the reason.
+  // The fields of a SUBMIT: order key, id, list, body. Throws ProtocolError with the reason.
   StoredMessage decode(std::string_view key, std::string_view ref, std::string_view list,
                        std::string_view body, Millis wall) const;
   // No value: there is no room in the journal. It is accepted once a commit has kept it.
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -153,7 +153,7 @@
                             outer);
     waits[id] = {type, outer};
   }
-  auto launches = bed.pull(Act::launch);
+  auto launches = bed.pull<SendAttempt>();
   RC_ASSERT(launches.size() == 1u);
   auto urgency = [&](std::uint32_t id) {
     auto [type, outer] = waits.at(id);
@@ -181,11 +181,11 @@
     terms.maxInFlight = 100000;
     Bed bed(terms);
     for (int n = 0; n < held; ++n) bed.take(static_cast<std::uint32_t>(n + 1));
-    bed.pull(Act::launch);
+    bed.pull<SendAttempt>();
     auto began = std::chrono::steady_clock::now();
     for (int n = 0; n < 300; ++n) {
       bed.to(bed.now + 0.01);
-      bed.pull(Act::launch);
+      bed.pull<SendAttempt>();
     }
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   };
@@ -213,7 +213,7 @@
   // But for the alarms: the list has probes asked for anew too.
   auto next = [](Bed& bed) {
     auto d = bed.rules.nextDecision();
-    while (d && d->act == Act::wake) d = bed.rules.nextDecision();
+    while (d && std::holds_alternative<SetTimer>(*d)) d = bed.rules.nextDecision();
     return d;
   };
   for (int round = 0; round < 400; ++round) {
@@ -231,8 +231,9 @@
       RC_ASSERT(other &&
                 std::tie(d->act, d->message, d->endpoint, d->attempt, d->span) ==
                     std::tie(other->act, other->message, other->endpoint, other->attempt, other->span));
-      if (d->act == Act::withdraw) both([&](Bed& bed) { bed.end(*d, AttemptOutcome::cancelled); });
-      if (d->act == Act::probe)
+      if (std::holds_alternative<CancelAttempt>(*d))
+        both([&](Bed& bed) { bed.end(*d, AttemptOutcome::cancelled); });
+      if (std::holds_alternative<SendHealthCheck>(*d))
         due.emplace(now + 30, [e = d->endpoint, ill](Bed& bed) {
           bed.rules.recordHealthCheckOutcome(e, ill ? AttemptOutcome::timeout : AttemptOutcome::completed,
                                              {});
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -70,14 +70,15 @@
     rules.acceptMessage(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
                         now + 10000);
   }
-  void end(const Decision& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
+  void end(const SendAttempt& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
     rules.recordAttemptOutcome(launch.message, launch.attempt, ending, spent,
                                ending == AttemptOutcome::completed, wait, {});
   }
-  std::vector<Decision> pull(Act act) {
-    std::vector<Decision> found;
-    while (auto d = rules.nextDecision()) {
-      if (d->act == act) found.push_back(*d);
+  template <class Kind>
+  std::vector<Kind> pull() {
+    std::vector<Kind> found;
+    while (auto decision = rules.nextDecision()) {
+      if (const Kind* wanted = std::get_if<Kind>(&*decision)) found.push_back(*wanted);
     }
     return found;
   }
@@ -85,15 +86,15 @@
   void warm(int many, std::uint32_t from = 1000) {
     for (int n = 0; n < many; ++n) {
       take(from + static_cast<std::uint32_t>(n));
-      auto launches = pull(Act::launch);
+      auto launches = pull<SendAttempt>();
       to(now + 100);
-      for (const Decision& d : launches) end(d, AttemptOutcome::completed);
+      for (const SendAttempt& d : launches) end(d, AttemptOutcome::completed);
     }
   }
   void breakDown() {
     take(1);
     while (!rules.state().routes.begin()->second.outage) {
-      for (const Decision& d : pull(Act::launch)) end(d, AttemptOutcome::connectFailed);
+      for (const SendAttempt& d : pull<SendAttempt>()) end(d, AttemptOutcome::connectFailed);
       to(now + 50);
     }
   }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -98,8 +98,8 @@
   // Decided, noted and sent, as the dispatcher does it. meanwhile: while the journal is written.
   void decide(const std::function<void()>& meanwhile = [] {}) {
     while (auto d = rules.nextDecision()) {
-      if (d->act == Act::launch) calls.sendAttempt(*d);
-      if (d->act == Act::withdraw && withdraws) calls.cancelAttempt(*d);
+      if (std::holds_alternative<SendAttempt>(*d)) calls.sendAttempt(*d);
+      if (std::holds_alternative<CancelAttempt>(*d) && withdraws) calls.cancelAttempt(*d);
     }
     calls.recordBatches();
     book.commit();
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -94,7 +94,7 @@
       if (!e.good) told[n] = true;
       AttemptOutcome ending = e.good ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
       LoadReport report = e.good && w.reports ? LoadReport{w.capacity, 0.6} : LoadReport{};
-      if (e.d.act == Act::probe)
+      if (e.std::holds_alternative<SendHealthCheck>(d))
         all[n]->recordHealthCheckOutcome(e.d.endpoint, ending, report);
       else
         all[n]->recordAttemptOutcome(e.d.message, e.d.attempt, ending, now - e.sent, e.good, 0, report);
@@ -107,10 +107,10 @@
                               DestinationId{1}, now + 6000);
       int lastCall = -1;
       while (auto d = all[n]->nextDecision()) {
-        if (d->act == Act::withdraw)
+        if (std::holds_alternative<CancelAttempt>(*d))
           all[n]->recordAttemptOutcome(d->message, d->attempt, AttemptOutcome::cancelled, 100, false, 0, {});
         if (d->act != Act::launch && d->act != Act::probe) continue;
-        if (d->act == Act::launch) {
+        if (std::holds_alternative<SendAttempt>(*d)) {
           const auto& launches = all[n]->state().messages.at(d->message).attempts;
           int call = launches.at(static_cast<std::size_t>(d->attempt)).requestId;
           if (std::exchange(lastCall, call) == call) continue;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -45,7 +45,7 @@
   explicit Front(std::size_t most = 64)
       : intake(loop, most, 1 << 20, [this](const auto& words, bool) -> RespServer::CommandReply {
           if (words[0] == "PING") return {kPong};
-          if (words[0] != "SUBMIT") throw Malformed("unknown command");
+          if (words[0] != "SUBMIT") throw ProtocolError("unknown command");
           taken.emplace_back(words[2]);
           return {"+OK\r\n"};
         }) {
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -58,7 +58,7 @@
     try {
       host.batch(1, records, 100, body);
       ADD_FAILURE() << "taken: " << part;
-    } catch (const wire::Malformed& problem) {
+    } catch (const Error& problem) {
       EXPECT_NE(std::string(problem.what()).find(part), std::string::npos) << problem.what();
     }
   };
@@ -82,10 +82,10 @@
   try {
     readDeploymentSettings(text);
     ADD_FAILURE();
-  } catch (const wire::Malformed& problem) {
+  } catch (const Error& problem) {
     EXPECT_NE(std::string(problem.what()).find("open-cap"), std::string::npos);
   }
-  EXPECT_THROW(readDeploymentSettings("nonsense"), wire::Malformed);
+  EXPECT_THROW(readDeploymentSettings("nonsense"), SettingsError);
 }
 
 }  // namespace
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -67,7 +67,7 @@
 std::string complaintOf(const std::string& text) {
   try {
     readPlan(text, "plan.toml");
-  } catch (const Malformed& problem) {
+  } catch (const ConfigError& problem) {
     return problem.what();
   }
   return "";
@@ -99,9 +99,9 @@
   EXPECT_EQ(plan.load.perSecond, 90);
   EXPECT_EQ(plan.fleet.held, 12);
   EXPECT_EQ(plan.name, "other");
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.per_s"}), Malformed);
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"name=other"}), Malformed);
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.pers=90"}), Malformed);
+  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.per_s"}), ConfigError);
+  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"name=other"}), ConfigError);
+  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.pers=90"}), ConfigError);
 }
 
 // ---- the audit ----
@@ -350,7 +350,7 @@
   try {
     loadTrace(folder.path);
     ADD_FAILURE();
-  } catch (const Malformed& problem) {
+  } catch (const ConfigError& problem) {
     EXPECT_NE(std::string(problem.what()).find("'sneezed' is not a kind of event"), std::string::npos);
   }
 }
@@ -534,7 +534,7 @@
   EXPECT_LT(ours.unanswered, playGate(surge, "gradient").unanswered / 20);
   EXPECT_GT(ours.kept, playGate(surge, "none").kept);
   EXPECT_EQ(ours.kept, playGate(surge, "work").kept);
-  EXPECT_THROW(playGate(surge, "hope"), Malformed);
+  EXPECT_THROW(playGate(surge, "hope"), ConfigError);
 }
 
 }  // namespace
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -63,12 +63,13 @@
     return true;
   }
   void judge(const Decision& d, Millis now) {
-    if (d.act == Act::wake) RC_ASSERT(d.span > now);
-    if (d.act == Act::wake || d.act == Act::withdraw || d.act == Act::probe || d.act == Act::closeIdle)
+    if (std::holds_alternative<SetTimer>(d)) RC_ASSERT(d.span > now);
+    if (std::holds_alternative<SetTimer>(d) || std::holds_alternative<CancelAttempt>(d) ||
+        std::holds_alternative<SendHealthCheck>(d) || std::holds_alternative<CloseIdleConnection>(d))
       return;
     Taken& c = all.at(d.message.value);
     RC_ASSERT(c.finals == 0);
-    if (d.act == Act::shed) RC_ASSERT(repeatHarmless(c, nullptr, now));
+    if (std::holds_alternative<ShedMessage>(d)) RC_ASSERT(repeatHarmless(c, nullptr, now));
     if (d.act != Act::launch) {
       ++c.finals;
       return;
@@ -182,7 +183,7 @@
         }
       }
       while (auto d = bed.rules.nextDecision()) {
-        if (d->act == Act::launch) {
+        if (std::holds_alternative<SendAttempt>(*d)) {
           const ZoneFailover& rooms = bed.rules.state().zones;
           RC_ASSERT(!rooms.isLost(ZoneId{model.list.at(d->endpoint).second}));
           int strangers = 0;
@@ -192,7 +193,7 @@
           RC_ASSERT(strangers <= std::max(1, terms.maxConcurrentRequests / 2));
         }
         model.judge(*d, bed.now);
-        if (d->act == Act::probe) probes.push_back(*d);
+        if (std::holds_alternative<SendHealthCheck>(*d)) probes.push_back(*d);
       }
       for (const auto& [id, c] : model.all) RC_ASSERT(bed.now < c.outerLimit || c.finals == 1);
     }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -212,8 +212,8 @@
   EXPECT_EQ(row["event"], "attempt.finished");
   EXPECT_EQ(row["launch"], 2);
   EXPECT_EQ(row["why"], "it said \"no\"\n");
-  EXPECT_THROW(log::open("x", "loud", "text"), Malformed);
-  EXPECT_THROW(log::open("x", "info", "xml"), Malformed);
+  EXPECT_THROW(log::open("x", "loud", "text"), ConfigError);
+  EXPECT_THROW(log::open("x", "info", "xml"), ConfigError);
 }
 
 // Danger: a kill in the middle of a write leaves half a record, and all that comes after would be unreadable.
@@ -433,9 +433,9 @@
                            {"a", ""},
                            {"a\r\nX: y", "c=order,d=1,dest=1"},
                            {"", "c=order,d=1,dest=1"}}) {
-    EXPECT_THROW(bed.book.decode("00", ref, list, "", 0), Malformed) << ref << " " << list;
+    EXPECT_THROW(bed.book.decode("00", ref, list, "", 0), ProtocolError) << ref << " " << list;
   }
-  EXPECT_THROW(bed.book.decode("zz", "a", "c=order,d=1,dest=1", "", 0), Malformed);
+  EXPECT_THROW(bed.book.decode("zz", "a", "c=order,d=1,dest=1", "", 0), ProtocolError);
 }
 
 TEST(Node, DeliversWithAllHeadersAndTellsNothingElse) {
@@ -1006,7 +1006,7 @@
     }
   }
   EXPECT_EQ(descriptorBudget(1024, 200).maxConcurrentRequests, 200);
-  EXPECT_THROW(descriptorBudget(27, 1), Malformed);
+  EXPECT_THROW(descriptorBudget(27, 1), ConfigError);
 }
 
 // Danger: idle clients hold all descriptors while discovery is silent; then nothing can be delivered, told or
@@ -1270,13 +1270,13 @@
     try {
       readDeploymentSettings(with(c.part, c.other));
       ADD_FAILURE() << c.other;
-    } catch (const Malformed& problem) {
+    } catch (const Error& problem) {
       EXPECT_EQ(std::string(problem.what()), c.says);
     }
   }
   auto settings = nlohmann::json::parse(kSettings);
   settings["request-classes"] = nlohmann::json::array();
-  EXPECT_THROW(readDeploymentSettings(settings.dump()), Malformed);
+  EXPECT_THROW(readDeploymentSettings(settings.dump()), SettingsError);
   EXPECT_EQ(readDeploymentSettings(with(R"("aim-s":1)", R"("aim-s":1,"hue":"blue")")).types.size(), 2u);
 }
 
@@ -1290,7 +1290,7 @@
     try {
       readConfig(text, none);
       ADD_FAILURE() << text;
-    } catch (const Malformed& problem) {
+    } catch (const Error& problem) {
       EXPECT_NE(std::string(problem.what()).find(part), std::string::npos) << problem.what();
     }
   }
@@ -1301,7 +1301,7 @@
   Folder folder;
   orders.state = folder.path.string();
   orders.sockets = 100;
-  EXPECT_THROW(Dispatcher{orders}, Malformed);
+  EXPECT_THROW(Dispatcher{orders}, ConfigError);
 }
 
 }  // namespace
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -234,7 +234,7 @@
     while (now < until) {
       for (const Decision& d : pull()) {
         all.push_back(d);
-        if (d.act == Act::probe)
+        if (std::holds_alternative<SendHealthCheck>(d))
           rules.recordHealthCheckOutcome(
               d.endpoint, own(d.endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         if (d.act != Act::launch || silent.contains(d.message.value)) continue;
@@ -263,11 +263,11 @@
   ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int elsewhere = 0, givenUp = 0;
   for (const Decision& d : all) {
-    if (d.message == MessageId{1} && d.act == Act::launch) {
+    if (d.message == MessageId{1} && std::holds_alternative<SendAttempt>(d)) {
       EXPECT_TRUE(RulesBed::own(d.endpoint));
     }
-    if (d.message == MessageId{1} && d.act == Act::giveUp) ++givenUp;
-    elsewhere += d.act == Act::launch && !RulesBed::own(d.endpoint);
+    if (d.message == MessageId{1} && std::holds_alternative<FailMessage>(d)) ++givenUp;
+    elsewhere += std::holds_alternative<SendAttempt>(d) && !RulesBed::own(d.endpoint);
   }
   EXPECT_EQ(givenUp, 1);    // once its window has closed, long before its deadline
   EXPECT_GE(elsewhere, 8);  // it has delivered nothing yet, and goes by what it was asked
@@ -300,10 +300,10 @@
   for (std::uint32_t n = 100; n < 200; ++n) {
     bed.take(n, 0);
     for (const Decision& d : bed.play(bed.now + 100)) {
-      if (d.act == Act::launch) {
+      if (std::holds_alternative<SendAttempt>(d)) {
         EXPECT_FALSE(RulesBed::own(d.endpoint));
       }
-      probes += d.act == Act::probe;
+      probes += std::holds_alternative<SendHealthCheck>(d);
     }
   }
   EXPECT_GE(probes, 2);
@@ -315,7 +315,7 @@
   auto why = [&](const char* text) {
     try {
       readZoneFailoverSettings(text, zones);
-    } catch (const Malformed& problem) {
+    } catch (const SettingsError& problem) {
       return std::string(problem.what());
     }
     return std::string();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -10,11 +10,11 @@
 TEST(Answers, AnAlarmThatComesEarlyIsAskedForAgain) {
   Bed bed;
   bed.take(1);
-  auto first = bed.pull(Act::wake);
+  auto first = bed.pull<SetTimer>();
   ASSERT_FALSE(first.empty());
   bed.to(first.back().span - 1e-7);
   bed.rules.recordTimerFired();
-  EXPECT_FALSE(bed.pull(Act::wake).empty());
+  EXPECT_FALSE(bed.pull<SetTimer>().empty());
 }
 
 TEST(Answers, AnEffectfulCallbackThatMayHaveRunIsGivenUpAtOnce) {
@@ -22,8 +22,8 @@
        {AttemptOutcome::error, AttemptOutcome::timeout, AttemptOutcome::reset, AttemptOutcome::cancelled}) {
     Bed bed(plainTerms(Idempotency::nonIdempotent));
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), ending);
-    EXPECT_EQ(bed.pull(Act::giveUp).size(), 1u);
+    bed.end(bed.pull<SendAttempt>().at(0), ending);
+    EXPECT_EQ(bed.pull<FailMessage>().size(), 1u);
   }
 }
 
@@ -32,9 +32,9 @@
        {AttemptOutcome::rejected, AttemptOutcome::connectFailed, AttemptOutcome::notSent}) {
     Bed bed(plainTerms(Idempotency::nonIdempotent));
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), ending);
+    bed.end(bed.pull<SendAttempt>().at(0), ending);
     bed.to(4000);
-    EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
+    EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);
   }
 }
 
@@ -47,53 +47,53 @@
     Bed bed(plainTerms(effect));
     bed.take(1);
     bed.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), bed.now - 3000, neverRan);
-    EXPECT_EQ(bed.pull(Act::launch).size(), again ? 1u : 0u);
+    EXPECT_EQ(bed.pull<SendAttempt>().size(), again ? 1u : 0u);
   }
   Bed late(plainTerms(Idempotency::idempotentWithKey));
   late.take(1);
   late.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), late.now - 3700, false);
-  EXPECT_EQ(late.pull(Act::giveUp).size(), 1u);
+  EXPECT_EQ(late.pull<FailMessage>().size(), 1u);
   DeploymentSettings terms = plainTerms(Idempotency::nonIdempotent);
   terms.types[0].ordered = true;
   Bed ordered(terms);
   ordered.take(1, 0, 5);
   ordered.take(2, 0, 5);
   ordered.rules.recordEarlierAttempt(MessageId{1}, endpoint(1), ordered.now - 100, false);
-  EXPECT_TRUE(ordered.pull(Act::launch).empty());
+  EXPECT_TRUE(ordered.pull<SendAttempt>().empty());
   ordered.to(ordered.now + terms.orderingPause - 1);
-  EXPECT_TRUE(ordered.pull(Act::launch).empty());
+  EXPECT_TRUE(ordered.pull<SendAttempt>().empty());
   ordered.to(ordered.now + 1);
-  EXPECT_EQ(ordered.pull(Act::launch).size(), 1u);
+  EXPECT_EQ(ordered.pull<SendAttempt>().size(), 1u);
 }
 
 // Danger: what waits in vain passes for failed, as if it had been tried.
 TEST(Answers, WhatCannotBeAnsweredInTimeAnyMoreAndNeverRanIsShed) {
   Bed bed;
   bed.take(1);
-  for (const Decision& d : bed.pull(Act::launch)) bed.end(d, AttemptOutcome::rejected, 100, 9800);
+  for (const SendAttempt& d : bed.pull<SendAttempt>()) bed.end(d, AttemptOutcome::rejected, 100, 9800);
   bed.take(2);
   bed.to(bed.now + 9700);  // it might still be answered, were it attempted now
-  EXPECT_TRUE(bed.pull(Act::shed).empty());
+  EXPECT_TRUE(bed.pull<ShedMessage>().empty());
   bed.to(bed.now + 200);
-  EXPECT_EQ(bed.pull(Act::shed).size(), 2u);
-  EXPECT_TRUE(bed.pull(Act::giveUp).empty());
+  EXPECT_EQ(bed.pull<ShedMessage>().size(), 2u);
+  EXPECT_TRUE(bed.pull<FailMessage>().empty());
 }
 
 TEST(Answers, WhatWasNeverLaunchedIsNotGivenUp) {
   Bed bed(plainTerms(Idempotency::nonIdempotent), 0);
   bed.take(1);
   bed.to(bed.now + 9999);
-  EXPECT_TRUE(bed.pull(Act::shed).empty());  // an endpoint may still be listed
+  EXPECT_TRUE(bed.pull<ShedMessage>().empty());  // an endpoint may still be listed
   bed.to(bed.now + 1);
-  EXPECT_EQ(bed.pull(Act::shed).size(), 1u);
+  EXPECT_EQ(bed.pull<ShedMessage>().size(), 1u);
 }
 
 TEST(Answers, WhatMayHaveRunIsGivenUpAtItsOuterLimit) {
   Bed bed(plainTerms(Idempotency::nonIdempotent));
   bed.take(1);
-  ASSERT_EQ(bed.pull(Act::launch).size(), 1u);
+  ASSERT_EQ(bed.pull<SendAttempt>().size(), 1u);
   bed.to(bed.now + 10000);
-  EXPECT_TRUE(bed.pull(Act::shed).empty());
+  EXPECT_TRUE(bed.pull<ShedMessage>().empty());
 }
 
 // Danger: a connection that comes up late; the endpoint sees the call when its bytes come.
@@ -103,12 +103,12 @@
   Bed bed(terms);
   bed.take(1);
   auto may = [&](int launch) { return bed.rules.mayStartAttempt(MessageId{1}, launch); };
-  Decision first = bed.pull(Act::launch).at(0);
+  SendAttempt first = bed.pull<SendAttempt>().at(0);
   bed.to(bed.now + 3000);
   EXPECT_TRUE(may(0));
   bed.end(first, AttemptOutcome::error);
   bed.to(bed.now + 500);
-  ASSERT_EQ(bed.pull(Act::launch).size(), 1u);
+  ASSERT_EQ(bed.pull<SendAttempt>().size(), 1u);
   bed.to(4599);
   EXPECT_TRUE(may(1));
   bed.to(4600);  // nine tenths of the window after the first, which may have run
@@ -126,23 +126,23 @@
 TEST(Waits, BindWhateverEndingTheyCameWith) {
   Bed bed;
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::completed, 100, 700);
+  bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::completed, 100, 700);
   bed.take(2);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.to(bed.now + 700);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);
 }
 
 TEST(Effects, AReceiptedRepeatStaysInItsWindow) {
   Bed bed(plainTerms(Idempotency::idempotentWithKey));
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::error);
+  bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::error);
   bed.to(2000);
-  auto again = bed.pull(Act::launch);
+  auto again = bed.pull<SendAttempt>();
   ASSERT_EQ(again.size(), 1u);
   bed.end(again[0], AttemptOutcome::error);
   bed.to(4950);  // 3,950 ms after the first attempt that may have run, of 4,000
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
 }
 
 TEST(Effects, ACallbackThatMayHaveRunInAZoneGroupIsNotShed) {
@@ -151,9 +151,9 @@
   terms.maxInFlight = 2;
   Bed bed(terms);
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::error);
+  bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::error);
   for (std::uint32_t id = 2; id <= 4; ++id) bed.take(id);
-  for (const Decision& d : bed.pull(Act::shed)) EXPECT_NE(d.message, MessageId{1});
+  for (const ShedMessage& d : bed.pull<ShedMessage>()) EXPECT_NE(d.message, MessageId{1});
 }
 
 TEST(Holding, ShedsBeforeTheFrontTurnsCallbacksAway) {
@@ -161,7 +161,7 @@
   terms.maxInFlight = 10;
   Bed bed(terms, 0);
   for (std::uint32_t id = 1; id <= 10; ++id) bed.take(id);
-  EXPECT_FALSE(bed.pull(Act::shed).empty());
+  EXPECT_FALSE(bed.pull<ShedMessage>().empty());
   EXPECT_LT(bed.rules.state().messagesInFlight, 10);
 }
 
@@ -169,16 +169,16 @@
   Bed bed;
   bed.breakDown();
   for (std::uint32_t id = 10; id < 40; ++id) bed.take(id);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.to(bed.now + 4000);
-  auto probes = bed.pull(Act::probe);
+  auto probes = bed.pull<SendHealthCheck>();
   ASSERT_EQ(probes.size(), 1u);
   bed.rules.recordHealthCheckOutcome(probes[0].endpoint, AttemptOutcome::completed, {});
-  EXPECT_TRUE(bed.pull(Act::probe).empty());  // of the other endpoint: health checks push too
+  EXPECT_TRUE(bed.pull<SendHealthCheck>().empty());  // of the other endpoint: health checks push too
   int sent = 0;
   Millis until = bed.now + 1500;
   while (bed.now < until) {
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       ++sent;
       bed.end(d, AttemptOutcome::completed);
     }
@@ -199,7 +199,7 @@
   bed.rules.recordHealthCheckOutcome(endpoint(1), AttemptOutcome::completed, {});
   int sent = 0;
   for (int n = 0; n < 40; ++n) {
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       ++sent;
       bed.end(d, AttemptOutcome::completed);
     }
@@ -216,9 +216,10 @@
   bed.breakDown();
   for (std::uint32_t id = 10; id < 40; ++id) bed.take(id);
   bed.to(bed.now + 4000);
-  bed.rules.recordHealthCheckOutcome(bed.pull(Act::probe).at(0).endpoint, AttemptOutcome::completed, {});
+  bed.rules.recordHealthCheckOutcome(bed.pull<SendHealthCheck>().at(0).endpoint, AttemptOutcome::completed,
+                                     {});
   bed.to(bed.now + 1500);
-  EXPECT_LE(bed.pull(Act::launch).size(), 5u);  // of 20
+  EXPECT_LE(bed.pull<SendAttempt>().size(), 5u);  // of 20
 }
 
 TEST(Returns, ASingleFailureAmongCompletionsIsNoOutage) {
@@ -226,7 +227,7 @@
   bed.warm(20);
   for (std::uint32_t id = 1; id <= 3; ++id) {
     bed.take(id);
-    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::reset);
+    bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::reset);
     bed.warm(2, 5000 + 10 * id);
   }
   EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
@@ -241,7 +242,7 @@
     bed.take(id);
     while (auto next = bed.rules.nextDecision()) {
       const Decision& d = *next;
-      if (d.act == Act::probe) {
+      if (std::holds_alternative<SendHealthCheck>(d)) {
         bed.rules.recordHealthCheckOutcome(d.endpoint,
                                            id < 30 ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
         probed.insert(d.endpoint);
@@ -264,12 +265,12 @@
   std::vector<Millis> gaps;
   Millis last = bed.now;
   for (std::uint32_t id = 1; id <= 20; ++id) bed.take(id);
-  auto burst = bed.pull(Act::launch);
+  auto burst = bed.pull<SendAttempt>();
   bed.to(bed.now + 20);
   for (const Decision& d : burst) bed.end(d, AttemptOutcome::rejected, 10, 300);
   for (int n = 0; n < 200; ++n) {
     bed.to(bed.now + 20);
-    auto launches = bed.pull(Act::launch);
+    auto launches = bed.pull<SendAttempt>();
     EXPECT_LE(launches.size(), 1u);
     if (launches.empty()) continue;
     gaps.push_back(bed.now - last);
@@ -287,10 +288,10 @@
   Bed bed(terms);
   bed.warm(60);
   bed.take(1);
-  bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::rejected, 10);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::rejected, 10);
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.to(bed.now + 1000);  // an even part would wait for several seconds
-  EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);
 }
 
 TEST(Connections, AreClosedWhereTheNextCallIsNotExpectedInTime) {
@@ -298,8 +299,8 @@
     Bed bed(plainTerms(), endpoints);
     bed.to(bed.now + 1000);
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::completed);
-    EXPECT_EQ(bed.pull(Act::closeIdle).size(), endpoints == 2 ? 0u : 1u);
+    bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::completed);
+    EXPECT_EQ(bed.pull<CloseIdleConnection>().size(), endpoints == 2 ? 0u : 1u);
   }
 }
 
@@ -307,22 +308,22 @@
   Bed full;
   full.warm(20);
   full.take(1);
-  full.end(full.pull(Act::launch).at(0), AttemptOutcome::connectFailed, 1500);
+  full.end(full.pull<SendAttempt>().at(0), AttemptOutcome::connectFailed, 1500);
   EXPECT_LT(full.rules.state().reusableIdleTime, 10000);
   Bed dead;
   dead.warm(20);
   dead.to(dead.now + 2000);
   dead.take(1);
-  dead.end(dead.pull(Act::launch).at(0), AttemptOutcome::reset);
+  dead.end(dead.pull<SendAttempt>().at(0), AttemptOutcome::reset);
   EXPECT_LE(dead.rules.state().reusableIdleTime, 1000);
   dead.to(dead.now + 1200);
   dead.take(2);
-  EXPECT_FALSE(dead.pull(Act::closeIdle).empty());  // before an attempt would go out on it
+  EXPECT_FALSE(dead.pull<CloseIdleConnection>().empty());  // before an attempt would go out on it
   // Danger: an endpoint that is busy on one connection has others that stand idle, and those die.
   Bed busy;
   busy.warm(20);
   busy.take(1);
-  Decision first = busy.pull(Act::launch).at(0);
+  SendAttempt first = busy.pull<SendAttempt>().at(0);
   busy.rules.recordConnectionIdleTime(first.message, first.attempt, 2000);
   busy.end(first, AttemptOutcome::reset);
   EXPECT_LE(busy.rules.state().reusableIdleTime, 1000);
@@ -332,12 +333,12 @@
   for (std::uint32_t id = 1; id <= 20; ++id) {
     broken.to(broken.now + 50);
     broken.take(id);
-    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::reset, 10);
+    for (const SendAttempt& d : broken.pull<SendAttempt>()) broken.end(d, AttemptOutcome::reset, 10);
   }
   EXPECT_EQ(broken.rules.state().reusableIdleTime, 10000);
   for (std::uint32_t id = 31; id <= 50; ++id) {
     broken.take(id);
-    for (const Decision& d : broken.pull(Act::launch)) broken.end(d, AttemptOutcome::connectFailed, 10);
+    for (const SendAttempt& d : broken.pull<SendAttempt>()) broken.end(d, AttemptOutcome::connectFailed, 10);
   }
   EXPECT_GE(broken.rules.state().reusableIdleTime, 250);
 }
@@ -361,13 +362,13 @@
                         {"the limit, as the report says", true, false, 0, {25, 0}, false}}) {
     Bed bed;
     bed.take(1);
-    Decision first = bed.pull(Act::launch).at(0);
+    SendAttempt first = bed.pull<SendAttempt>().at(0);
     bed.to(bed.now + 100);
     bed.rules.recordAttemptOutcome(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
                                    c.reports ? LoadReport{25, 0.9} : LoadReport{});
     bed.to(bed.now + 1000);
     bed.take(2);
-    Decision second = bed.pull(Act::launch).at(0);
+    SendAttempt second = bed.pull<SendAttempt>().at(0);
     bed.rules.recordConnectionIdleTime(second.message, second.attempt, c.kept ? 1000 : 0);
     bed.rules.recordAttemptOutcome(second.message, second.attempt, AttemptOutcome::rejected, 40, false,
                                    c.wait, c.with);
@@ -386,7 +387,7 @@
       for (std::uint32_t id = 1;
            bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures < 2 && id < 40; ++id) {
         bed.take(id);
-        for (const Decision& d : bed.pull(Act::launch))
+        for (const SendAttempt& d : bed.pull<SendAttempt>())
           bed.end(d, d.endpoint == endpoint(1) ? AttemptOutcome::error : AttemptOutcome::completed);
         bed.to(bed.now + 200);
       }
@@ -407,12 +408,12 @@
   }
   Bed bed(plainTerms(Idempotency::nonIdempotent));
   bed.take(1);
-  Decision first = bed.pull(Act::launch).at(0);
+  SendAttempt first = bed.pull<SendAttempt>().at(0);
   bed.end(first, AttemptOutcome::localResourceExhausted, 0);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).consecutiveFailures, 0);
   bed.to(bed.now + 500);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 1u);  // it never ran
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);  // it never ran
 }
 
 TEST(Slots, LongOverdueLaunchesGiveWayToWaitingCallbacks) {
@@ -430,9 +431,9 @@
     bed.rules.acceptMessage(MessageId{n}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{n},
                             bed.now + 10000);
   }
-  EXPECT_EQ(bed.pull(Act::launch).size(), 2u);
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 2u);
   bed.to(bed.now + 1000);
-  EXPECT_FALSE(bed.pull(Act::withdraw).empty());
+  EXPECT_FALSE(bed.pull<CancelAttempt>().empty());
   EXPECT_LT(bed.rules.state().timeoutScale, 1);  // what stays unanswered now is called off sooner
 }
 
@@ -440,16 +441,16 @@
   Bed bed;
   bed.warm(40);
   bed.take(1);
-  auto first = bed.pull(Act::launch);
+  auto first = bed.pull<SendAttempt>();
   bed.to(bed.now + 350);
-  auto copy = bed.pull(Act::launch);
+  auto copy = bed.pull<SendAttempt>();
   ASSERT_EQ(copy.size(), 1u);
   EXPECT_EQ(copy[0].message, MessageId{1});
   EXPECT_NE(copy[0].endpoint, first[0].endpoint);
   bed.to(bed.now + 20);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.end(copy[0], AttemptOutcome::completed);
-  auto losers = bed.pull(Act::withdraw);
+  auto losers = bed.pull<CancelAttempt>();
   ASSERT_EQ(losers.size(), 1u);
   EXPECT_EQ(losers[0].attempt, 0);
 }
@@ -458,55 +459,55 @@
   Bed bed;
   bed.warm(40);
   bed.take(1);
-  auto first = bed.pull(Act::launch);
+  auto first = bed.pull<SendAttempt>();
   bed.to(bed.now + 350);
-  auto copy = bed.pull(Act::launch);
+  auto copy = bed.pull<SendAttempt>();
   ASSERT_EQ(copy.size(), 1u);
   bed.end(first.at(0), AttemptOutcome::error);
   bed.to(bed.now + 100);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
 }
 
 TEST(Copies, StopWithoutBudgetOrSlotsAndForEffectfulCallbacks) {
   Bed poor;
   poor.take(1);
-  poor.pull(Act::launch);
+  poor.pull<SendAttempt>();
   poor.to(5900);
-  EXPECT_TRUE(poor.pull(Act::launch).empty());
+  EXPECT_TRUE(poor.pull<SendAttempt>().empty());
   Bed busy;  // more than half of its concurrent requests out
   busy.warm(60);
   for (std::uint32_t id = 1; id <= 5; ++id) busy.take(id);
-  EXPECT_EQ(busy.pull(Act::launch).size(), 5u);
+  EXPECT_EQ(busy.pull<SendAttempt>().size(), 5u);
   busy.to(busy.now + 350);
-  EXPECT_TRUE(busy.pull(Act::launch).empty());
+  EXPECT_TRUE(busy.pull<SendAttempt>().empty());
   DeploymentSettings terms = plainTerms();
   terms.types.push_back(trafficType(Idempotency::nonIdempotent));
   Bed bed(terms);
   bed.warm(40);
   bed.take(1, 1);
-  bed.pull(Act::launch);
+  bed.pull<SendAttempt>();
   bed.to(bed.now + 900);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
 }
 
 TEST(Window, HoldsOneDestinationUnderThreeQuartersOfTheSlots) {
   Bed bed;
   for (std::uint32_t id = 1; id <= 20; ++id) bed.take(id);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 4u);  // half of 8 concurrent requests at the start
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 4u);  // half of 8 concurrent requests at the start
   Bed grown;
   grown.warm(60);
   for (std::uint32_t id = 1; id <= 20; ++id) grown.take(id);
-  EXPECT_EQ(grown.pull(Act::launch).size(), 6u);
+  EXPECT_EQ(grown.pull<SendAttempt>().size(), 6u);
 }
 
 TEST(Returns, AHungDestinationIsTakenForOutWithoutAnAnswer) {
   Bed bed;
   bed.warm(60);
   for (std::uint32_t id = 1; id <= 6; ++id) bed.take(id);
-  bed.pull(Act::launch);
+  bed.pull<SendAttempt>();
   for (int n = 0; n < 10; ++n) {
     bed.to(bed.now + 100);
-    bed.pull(Act::launch);
+    bed.pull<SendAttempt>();
   }
   EXPECT_TRUE(bed.rules.state().routes.begin()->second.outage);
 }
@@ -517,7 +518,7 @@
   worn.warm(60);
   for (std::uint32_t id = 1; id <= 12; ++id) {
     worn.take(id);
-    for (const Decision& d : worn.pull(Act::launch)) {
+    for (const SendAttempt& d : worn.pull<SendAttempt>()) {
       worn.rules.recordConnectionIdleTime(d.message, d.attempt, 100);
       worn.end(d, AttemptOutcome::reset, 1);
     }
@@ -528,7 +529,7 @@
     bed.warm(60);
     bed.breakDown();
     bed.to(bed.now + (lasts ? 6000 : 1000));
-    for (const Decision& d : bed.pull(Act::probe))
+    for (const SendHealthCheck& d : bed.pull<SendHealthCheck>())
       bed.rules.recordHealthCheckOutcome(d.endpoint, AttemptOutcome::completed, {});
     EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
     EXPECT_EQ(bed.rules.state().routes.begin()->second.warmingUp, lasts);
@@ -543,7 +544,7 @@
   EndpointId hung{};
   for (std::uint32_t id = 1; id <= 60; ++id) {
     bed.take(id);
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       if (hung == EndpointId{}) hung = d.endpoint;
       if (d.endpoint != hung) bed.end(d, AttemptOutcome::completed);
       late[d.endpoint] += id > 30 ? 1 : 0;
@@ -568,7 +569,7 @@
       for (std::uint32_t n : {1, 2}) bed.take(2 * turn + n);
       bed.to(bed.now + 10);
       while (auto d = bed.rules.nextDecision()) {
-        if (d->act == Act::withdraw) bed.end(*d, AttemptOutcome::cancelled);
+        if (std::holds_alternative<CancelAttempt>(*d)) bed.end(*d, AttemptOutcome::cancelled);
         if (d->act != Act::launch) continue;
         if (hung == EndpointId{}) hung = d->endpoint;
         late[d->endpoint] += turn >= 200 ? 1 : 0;
@@ -589,18 +590,18 @@
   bed.warm(60);
   const Route& path = bed.rules.state().routes.begin()->second;
   bed.take(1);
-  EndpointId hung = bed.pull(Act::launch).at(0).endpoint;
-  for (; !path.outage && bed.now < 20000; bed.to(bed.now + 50)) bed.pull(Act::launch);
+  EndpointId hung = bed.pull<SendAttempt>().at(0).endpoint;
+  for (; !path.outage && bed.now < 20000; bed.to(bed.now + 50)) bed.pull<SendAttempt>();
   ASSERT_TRUE(path.outage);
   for (; path.outage && bed.now < 40000; bed.to(bed.now + 20)) {
-    for (const Decision& d : bed.pull(Act::probe)) {
+    for (const SendHealthCheck& d : bed.pull<SendHealthCheck>()) {
       bed.rules.recordHealthCheckOutcome(
           d.endpoint, d.endpoint == hung ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
     }
   }
   for (std::uint32_t id = 2; id < 40; ++id) {
     bed.take(id);
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       if (d.endpoint != hung) bed.end(d, AttemptOutcome::completed);
     }
     EXPECT_FALSE(path.outage);
@@ -613,7 +614,7 @@
   Bed bed;
   bed.warm(60);
   for (std::uint32_t id = 1; id <= 6; ++id) bed.take(id);
-  auto out = bed.pull(Act::launch);
+  auto out = bed.pull<SendAttempt>();
   bed.to(bed.now + 10);
   EndpointId hung = out.front().endpoint;
   AttemptOutcome ending = AttemptOutcome::completed;
@@ -624,7 +625,7 @@
   std::size_t launches = 0;
   for (int n = 0; n < 12; ++n) {
     bed.to(bed.now + 100);
-    launches += bed.pull(Act::launch).size();
+    launches += bed.pull<SendAttempt>().size();
   }
   EXPECT_GE(launches, 1u);
 }
@@ -635,7 +636,7 @@
     Bed bed;
     bed.warm(60);
     bed.take(1);
-    bed.end(bed.pull(Act::launch).at(0), AttemptOutcome::rejected, 10, wait);
+    bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::rejected, 10, wait);
     EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, wait > 2000);
   }
 }
@@ -646,7 +647,7 @@
   terms.kinds[0].maxBatchSize = 20;
   Bed bed(terms, 1);
   bed.take(1);
-  Decision first = bed.pull(Act::launch).at(0);
+  SendAttempt first = bed.pull<SendAttempt>().at(0);
   bed.rules.recordAttemptOutcome(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
                                  {4});  // 2 of them ours
   bed.to(bed.now + 20);
@@ -654,7 +655,7 @@
   int launches = 0;
   for (std::uint32_t id = 2; id <= 202; ++id) {
     bed.take(id);
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       calls.insert(bed.rules.state().messages.at(d.message).attempts.back().requestId);
       ++launches;
       bed.end(d, AttemptOutcome::completed);
@@ -671,13 +672,13 @@
   for (double left : {1.0, 0.0}) {
     Bed bed;
     bed.take(1);
-    bed.rules.recordAttemptOutcome(bed.pull(Act::launch).at(0).message, 0, AttemptOutcome::completed, 100,
+    bed.rules.recordAttemptOutcome(bed.pull<SendAttempt>().at(0).message, 0, AttemptOutcome::completed, 100,
                                    true, 0, {4, left});
     std::size_t launches = 0;
     for (std::uint32_t id = 2; id <= 200; ++id) {
       bed.to(bed.now + 50);
       bed.take(id);
-      for (const Decision& d : bed.pull(Act::launch)) {
+      for (const SendAttempt& d : bed.pull<SendAttempt>()) {
         ++launches;
         bed.rules.recordAttemptOutcome(d.message, d.attempt, AttemptOutcome::completed, 40, true, 0,
                                        {4, left});
@@ -708,9 +709,9 @@
       rules.acceptMessage(MessageId{id}, TrafficTypeId{0}, TenantId{0}, OrderingKey{0}, DestinationId{1},
                           110000);
     }
-    while (auto d = rules.nextDecision()) launches += d->act == Act::launch ? 1 : 0;
+    while (auto d = rules.nextDecision()) launches += std::holds_alternative<SendAttempt>(*d) ? 1 : 0;
     rules.beginRound(101500);  // half of our gap later
-    while (auto d = rules.nextDecision()) launches += d->act == Act::launch ? 1 : 0;
+    while (auto d = rules.nextDecision()) launches += std::holds_alternative<SendAttempt>(*d) ? 1 : 0;
     (launches == 1 ? single : both) += 1;
   }
   EXPECT_GT(single, 8);
@@ -724,7 +725,7 @@
   std::set<EndpointId> used;
   for (std::uint32_t id = 1; id <= 8; ++id) {
     bed.take(id);
-    for (const Decision& d : bed.pull(Act::launch)) {
+    for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       used.insert(d.endpoint);
       bool first = d.endpoint == *used.begin();
       bed.rules.recordAttemptOutcome(
@@ -743,7 +744,7 @@
   terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   bed.take(1);
-  Decision last = bed.pull(Act::launch).at(0);
+  SendAttempt last = bed.pull<SendAttempt>().at(0);
   bed.rules.beginEndpointList();
   bed.rules.commitEndpointList(true);
   bed.rules.recordAttemptOutcome(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
@@ -756,7 +757,7 @@
   terms.kinds[0].maxBatchSize = 5;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 5; ++id) bed.take(id);
-  auto launches = bed.pull(Act::launch);
+  auto launches = bed.pull<SendAttempt>();
   EXPECT_EQ(launches.size(), 5u);
   EXPECT_EQ(bed.rules.state().requestsInFlight, 1);
   for (const Decision& d : launches) bed.end(d, AttemptOutcome::completed);
@@ -770,18 +771,18 @@
   bed.take(1, 0, 9);
   bed.take(2, 0, 9);
   bed.take(3);
-  auto launches = bed.pull(Act::launch);
+  auto launches = bed.pull<SendAttempt>();
   ASSERT_EQ(launches.size(), 2u);
   EXPECT_EQ(launches[0].message, MessageId{1});
   EXPECT_EQ(launches[1].message, MessageId{3});
   bed.rules.cancelMessage(MessageId{1});
-  EXPECT_TRUE(bed.pull(Act::launch).empty());  // over, but its attempt has no outcome yet
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());  // over, but its attempt has no outcome yet
   bed.end(launches[0], AttemptOutcome::cancelled);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.to(bed.now + 499);
-  EXPECT_TRUE(bed.pull(Act::launch).empty());
+  EXPECT_TRUE(bed.pull<SendAttempt>().empty());
   bed.to(bed.now + 2);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);
 }
 
 // Danger: endpoints and keys are new all day, and what is kept for each fills the memory.
@@ -793,13 +794,13 @@
   bed.list(1000);
   bed.rules.commitEndpointList(true);
   bed.take(1);
-  Decision held = bed.pull(Act::launch).at(0);  // on a connection that is silent all day
+  SendAttempt held = bed.pull<SendAttempt>().at(0);  // on a connection that is silent all day
   for (std::uint64_t n = 1; n <= 200; ++n) {
     bed.rules.beginEndpointList();
     bed.list(n);
     bed.rules.commitEndpointList(true);
     bed.take(static_cast<std::uint32_t>(n) + 1, 0, n);
-    for (const Decision& d : bed.pull(Act::launch))
+    for (const SendAttempt& d : bed.pull<SendAttempt>())
       bed.end(d, n % 2 != 0 ? AttemptOutcome::completed : AttemptOutcome::error);
     bed.to(bed.now + 1000);
   }
@@ -825,11 +826,11 @@
   terms.maxConcurrentRequests = 2;
   Bed bed(terms, 1);
   for (std::uint32_t id = 1; id <= 3; ++id) bed.take(id);
-  auto launches = bed.pull(Act::launch);
+  auto launches = bed.pull<SendAttempt>();
   ASSERT_EQ(launches.size(), 1u);
   bed.end(launches[0], AttemptOutcome::rejected, 10, 0);
   bed.to(bed.now + 2000);
-  EXPECT_EQ(bed.pull(Act::launch).size(), 1u);
+  EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);
 }
 
 }  // namespace
