--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -2,244 +2,160 @@
 
 #include <algorithm>
 #include <cmath>
+#include <exception>
+#include <utility>
+#include <variant>
 
+#include "adapter/wire_reader.h"
+#include "base/errors.h"
 #include "settings/settings_reader.h"
 
 namespace stonewing {
 namespace {
 
-constexpr double kMillisPerSecond = 1000.0;
-constexpr std::size_t kNowhere = static_cast<std::size_t>(-1);
-
-EndpointState phaseOf(std::uint8_t code) {
-  switch (code) {
-    case 0:
-      return EndpointState::removed;
-    case 1:
-      return EndpointState::ready;
-    case 2:
-      return EndpointState::draining;
-  }
-  throw ProtocolError("unknown phase " + std::to_string(code));
-}
-
-AttemptOutcome endingOf(std::uint16_t code) {
-  switch (code) {
-    case 10:
-      return AttemptOutcome::completed;
-    case 20:
-      return AttemptOutcome::error;
-    case 30:
-      return AttemptOutcome::rejected;
-    case 40:
-      return AttemptOutcome::timeout;
-    case 50:
-      return AttemptOutcome::connectFailed;
-    case 60:
-      return AttemptOutcome::reset;
-    case 70:
-      return AttemptOutcome::cancelled;
-    case 80:
-      return AttemptOutcome::notSent;
-  }
-  throw ProtocolError("unknown completion code " + std::to_string(code));
+// The fields of a load report that the policy reads, as the settings name them.
+constexpr const char* kRateLimitField = "x1";
+constexpr const char* kRemainingShareField = "x0";
+
+std::optional<std::size_t> placeOf(const std::vector<std::string>& fields, const char* field) {
+  auto found = std::find(fields.begin(), fields.end(), field);
+  if (found == fields.end()) return std::nullopt;
+  return static_cast<std::size_t>(found - fields.begin());
 }
 
-double finite(double value, const char* field) {
-  if (!std::isfinite(value)) throw ProtocolError(std::string("field ") + field + " is not a finite number");
-  return value;
+// The value at a place; absent where the report has none there or it is no number.
+std::optional<double> valueAt(const wire::LoadReportValues& values, std::optional<std::size_t> place) {
+  if (!place || *place >= values.size() || !std::isfinite(values[*place])) return std::nullopt;
+  return values[*place];
 }
 
 }  // namespace
 
 template <class Step>
-void InstanceHost::guarded(std::uint32_t who, Step step) {
-  Instance& instance = instances_.at(who);
-  if (instance.failed) return;
+void InstanceHost::runGuarded(std::uint32_t number, Step step) {
+  Instance& instance = instances_.at(number);
+  if (instance.hasFailed) return;
   try {
     step(*instance.policy);
   } catch (const std::exception& problem) {
-    instance.failed = true;
-    out_.failure(who, problem.what());
+    instance.hasFailed = true;
+    reply_.writeFailure(number, problem.what());
   }
 }
 
-InstanceHost::Instance* InstanceHost::touch(std::uint32_t who, Millis now) {
-  auto at = instances_.find(who);
-  if (at == instances_.end()) return nullptr;
-  if (std::find(touched_.begin(), touched_.end(), who) == touched_.end()) {
-    touched_.push_back(who);
-    guarded(who, [&](DispatchPolicy& rules) { rules.beginRound(now); });
-  }
-  return &at->second;
-}
-
-void InstanceHost::create(std::uint32_t who, std::uint64_t seed, std::string_view facts, Millis now) {
-  Instance fresh;
-  fresh.policy = std::make_unique<DispatchPolicy>(readDeploymentSettings(facts), seed);
-  const auto reported = readNameTables(facts).loadReportFields;
-  auto placeOf = [&](const char* field) {
-    auto at = std::find(reported.begin(), reported.end(), field);
-    return at == reported.end() ? kNowhere : static_cast<std::size_t>(at - reported.begin());
-  };
-  fresh.limitPlace = placeOf("x1");
-  fresh.leftPlace = placeOf("x0");
-  instances_.insert_or_assign(who, std::move(fresh));
-  std::erase(touched_, who);
-  touch(who, now);
-}
-
-void InstanceHost::rows(wire::Reader& in) {
-  auto page = in.get<std::uint8_t>("page");
-  if (page >= pages_.size()) throw ProtocolError("list number " + std::to_string(page) + " is above 15");
-  auto n = in.get<std::uint32_t>("records");
-  std::vector<Row> list;
-  for (std::uint32_t i = 0; i < n; ++i) {
-    Row row;
-    row.endpoint = in.endpoint();
-    row.kind = KindId{in.get<std::uint8_t>("generation-hw")};
-    row.destination = DestinationId{in.get<std::uint16_t>("dest")};
-    row.zone = ZoneId{in.get<std::uint8_t>("rack-zone")};
-    in.get<double>("boot-time-s");
-    row.weight = finite(in.get<float>("share"), "share");
-    row.phase = phaseOf(in.get<std::uint8_t>("phase"));
-    list.push_back(row);
-  }
-  pages_[page] = std::move(list);
-  paged_[page] = true;
-}
-
-void InstanceHost::view(wire::Reader& in, Millis now) {
-  auto who = in.get<std::uint32_t>("who");
-  in.get<std::uint32_t>("epoch");
-  auto form = in.get<std::uint8_t>("form");
-  auto page = in.get<std::uint8_t>("page");
-  if (form > 3) throw ProtocolError("unknown form of list " + std::to_string(form));
-  Instance* instance = touch(who, now);
-  if (form == 2) return;
-  if (page >= pages_.size() || !paged_[page]) {
-    throw ProtocolError("list " + std::to_string(page) + " was never sent");
+template <class Input>
+void InstanceHost::apply(std::uint32_t number, Input input) {
+  if (beginRound(number) != nullptr) runGuarded(number, input);
+}
+
+InstanceHost::Instance* InstanceHost::beginRound(std::uint32_t number) {
+  auto found = instances_.find(number);
+  if (found == instances_.end()) return nullptr;
+  if (std::find(instancesInBatch_.begin(), instancesInBatch_.end(), number) == instancesInBatch_.end()) {
+    instancesInBatch_.push_back(number);
+    runGuarded(number, [this](DispatchPolicy& policy) { policy.beginRound(now_); });
   }
+  return &found->second;
+}
+
+LoadReport InstanceHost::loadReportOf(const Instance& instance, const wire::LoadReportValues& values) {
+  LoadReport report;
+  if (auto rateLimit = valueAt(values, instance.rateLimitPlace)) report.rateLimit = *rateLimit;
+  if (auto remaining = valueAt(values, instance.remainingSharePlace)) report.remainingShare = *remaining;
+  return report;
+}
+
+void InstanceHost::handle(const wire::InstanceCreated& event) {
+  Instance created;
+  created.policy = std::make_unique<DispatchPolicy>(readDeploymentSettings(event.settings), event.seed);
+  const auto fields = readNameTables(event.settings).loadReportFields;
+  created.rateLimitPlace = placeOf(fields, kRateLimitField);
+  created.remainingSharePlace = placeOf(fields, kRemainingShareField);
+  instances_.insert_or_assign(event.instance, std::move(created));
+  std::erase(instancesInBatch_, event.instance);
+  beginRound(event.instance);
+}
+
+void InstanceHost::handle(const wire::InstanceStopped& event) {
+  instances_.erase(event.instance);
+  std::erase(instancesInBatch_, event.instance);
+}
+
+void InstanceHost::handle(const wire::TimerFired& event) {
+  apply(event.instance, [](DispatchPolicy& policy) { policy.recordTimerFired(); });
+}
+
+void InstanceHost::handle(const wire::ClientDisconnected& event) {
+  apply(event.instance, [&](DispatchPolicy& policy) { policy.cancelMessage(event.message); });
+}
+
+void InstanceHost::handle(const wire::ResponseStarted& event) {
+  apply(event.instance,
+        [&](DispatchPolicy& policy) { policy.recordResponseStarted(event.message, event.attempt); });
+}
+
+void InstanceHost::handle(const wire::PeerNote& event) { beginRound(event.instance); }
+
+void InstanceHost::handle(const wire::MessageSubmitted& event) {
+  apply(event.instance, [&](DispatchPolicy& policy) {
+    policy.acceptMessage(event.message, event.trafficType, event.tenant, event.orderingKey, event.destination,
+                         event.deadline);
+  });
+}
+
+void InstanceHost::handle(const wire::AttemptCompleted& event) {
+  const Instance* instance = beginRound(event.instance);
   if (instance == nullptr) return;
-  guarded(who, [&](DispatchPolicy& rules) {
-    rules.beginEndpointList();
-    for (const Row& r : pages_[page]) {
-      rules.addEndpoint(r.endpoint, r.destination, r.kind, r.zone, r.weight, r.phase);
-    }
-    rules.commitEndpointList(form != 3);
+  const LoadReport report = loadReportOf(*instance, event.loadReport);
+  runGuarded(event.instance, [&](DispatchPolicy& policy) {
+    policy.recordAttemptOutcome(event.message, event.attempt, event.outcome, event.elapsed, event.isFinal,
+                                event.retryAfter, report);
   });
 }
 
-LoadReport InstanceHost::report(wire::Reader& in, const Instance* instance) {
-  LoadReport told;
-  auto n = in.get<std::uint8_t>("load");
-  for (std::size_t place = 0; place < n; ++place) {
-    double value = in.get<float>("load");
-    if (instance == nullptr || !std::isfinite(value)) continue;
-    if (place == instance->limitPlace) told.rateLimit = value;
-    if (place == instance->leftPlace) told.remainingShare = value;
-  }
-  return told;
+void InstanceHost::handle(const wire::HealthCheckCompleted& event) {
+  const Instance* instance = beginRound(event.instance);
+  if (instance == nullptr) return;
+  const LoadReport report = loadReportOf(*instance, event.loadReport);
+  runGuarded(event.instance, [&](DispatchPolicy& policy) {
+    policy.recordHealthCheckOutcome(event.endpoint, event.outcome, report);
+  });
 }
 
-void InstanceHost::record(wire::Reader& in, Millis now) {
-  auto code = in.get<std::uint16_t>("code");
-  if (code == wire::kSnapshotRows) return rows(in);
-  if (code == wire::kView) return view(in, now);
-  if (code < wire::kAlarm || code > wire::kSnapshotRows) {
-    throw ProtocolError("unknown record code " + std::to_string(code));
-  }
-  auto who = in.get<std::uint32_t>("who");
-  if (code == wire::kCreate) {
-    auto seed = in.get<std::uint64_t>("init-seed");
-    auto n = in.get<std::uint32_t>("facts");
-    return create(who, seed, in.text(n, "facts"), now);
-  }
-  if (code == wire::kStop) {
-    instances_.erase(who);
-    std::erase(touched_, who);
-    return;
+void InstanceHost::handle(const wire::EndpointListPage& event) { endpointLists_[event.page] = event.rows; }
+
+void InstanceHost::handle(const wire::EndpointListShown& event) {
+  const Instance* instance = beginRound(event.instance);
+  if (event.form == wire::EndpointListForm::failed) return;
+  if (event.page >= endpointLists_.size() || !endpointLists_[event.page]) {
+    throw ProtocolError("list " + std::to_string(event.page) + " was never sent");
   }
-  Instance* instance = touch(who, now);
-  auto tell = [&](auto step) {
-    if (instance != nullptr) guarded(who, step);
-  };
-  switch (code) {
-    case wire::kAlarm:
-      in.get<std::uint64_t>("label");
-      tell([](DispatchPolicy& rules) { rules.recordTimerFired(); });
-      break;
-    case wire::kVanished: {
-      MessageId id{in.get<std::uint32_t>("rid")};
-      tell([&](DispatchPolicy& rules) { rules.cancelMessage(id); });
-      break;
-    }
-    case wire::kUnderWay: {
-      MessageId id{in.get<std::uint32_t>("rid")};
-      int launch = in.get<std::uint8_t>("round-no");
-      in.endpoint();
-      in.get<double>("spent-s");
-      tell([&](DispatchPolicy& rules) { rules.recordResponseStarted(id, launch); });
-      break;
-    }
-    case wire::kMail: {
-      in.get<std::uint32_t>("src");
-      in.text(in.get<std::uint16_t>("payload"), "payload");
-      break;
-    }
-    case wire::kDemand: {
-      MessageId id{in.get<std::uint32_t>("rid")};
-      TrafficTypeId type{in.get<std::uint16_t>("lane")};
-      TenantId tenant{in.get<std::uint16_t>("customer")};
-      OrderingKey key{in.get<std::uint64_t>("entity")};
-      Millis outerLimit = finite(in.get<double>("client-deadline-s"), "client-deadline-s") * kMillisPerSecond;
-      in.get<double>("expected-s");
-      double destination = finite(in.get<float>("dest"), "dest");
-      in.get<std::uint8_t>("bits");
-      if (destination < 0 || destination > 0xffff) throw ProtocolError("dest is out of range");
-      DestinationId to{static_cast<std::uint16_t>(destination)};
-      tell([&](DispatchPolicy& rules) { rules.acceptMessage(id, type, tenant, key, to, outerLimit); });
-      break;
-    }
-    case wire::kCompleted: {
-      MessageId id{in.get<std::uint32_t>("rid")};
-      int launch = in.get<std::uint8_t>("round-no");
-      in.endpoint();
-      AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
-      Millis spent = finite(in.get<double>("spent-s"), "spent-s") * kMillisPerSecond;
-      bool over = in.get<std::uint8_t>("terminal") != 0;
-      Millis wait = in.get<std::uint32_t>("hold-ms");
-      if (ending != AttemptOutcome::rejected) wait = 0;  // with others it is no time
-      LoadReport told = report(in, instance);
-      tell([&](DispatchPolicy& rules) {
-        rules.recordAttemptOutcome(id, launch, ending, spent, over, wait, told);
-      });
-      break;
-    }
-    case wire::kProbeResult: {
-      EndpointId endpoint = in.endpoint();
-      AttemptOutcome ending = endingOf(in.get<std::uint16_t>("ending"));
-      in.get<double>("spent-s");
-      LoadReport told = report(in, instance);
-      tell([&](DispatchPolicy& rules) { rules.recordHealthCheckOutcome(endpoint, ending, told); });
-      break;
+  if (instance == nullptr) return;
+  const bool isWhole = event.form != wire::EndpointListForm::changes;
+  runGuarded(event.instance, [&](DispatchPolicy& policy) {
+    policy.beginEndpointList();
+    for (const wire::EndpointListRow& row : *endpointLists_[event.page]) {
+      policy.addEndpoint(row.endpoint, row.destination, row.kind, row.zone, row.weight, row.state);
     }
-  }
+    policy.commitEndpointList(isWhole);
+  });
 }
 
-std::string InstanceHost::batch(std::uint32_t number, std::uint32_t records, double clockSeconds,
-                                std::string_view body) {
-  Millis now = finite(clockSeconds, "clock") * kMillisPerSecond;
-  touched_.clear();
-  wire::Reader in(body);
-  for (std::uint32_t i = 0; i < records; ++i) record(in, now);
-  if (!in.atEnd()) throw ProtocolError("bytes are left over behind the last record");
-  for (std::uint32_t who : touched_) {
-    guarded(who, [&](DispatchPolicy& rules) {
-      while (auto decision = rules.nextDecision()) out_.write(who, *decision);
+std::string InstanceHost::handleBatch(std::uint32_t batchNumber, std::uint32_t recordCount,
+                                      double clockSeconds, std::string_view body) {
+  now_ = wire::requireFinite(clockSeconds, "clock") * wire::kMillisPerSecond;
+  instancesInBatch_.clear();
+  wire::Reader reader(body);
+  for (std::uint32_t record = 0; record < recordCount; ++record) {
+    std::visit([this](const auto& event) { handle(event); }, reader.next());
+  }
+  if (!reader.isAtEnd()) throw ProtocolError("bytes are left over behind the last record");
+  for (std::uint32_t number : instancesInBatch_) {
+    runGuarded(number, [&](DispatchPolicy& policy) {
+      while (auto decision = policy.nextDecision()) reply_.write(number, *decision);
     });
   }
-  return out_.frame(number);
+  return reply_.takeFrame(batchNumber);
 }
 
 }  // namespace stonewing
--- /dev/null
+++ b/src/adapter/wire_writer.cpp
@@ -0,0 +1,86 @@
+#include "adapter/wire_writer.h"
+
+#include <bit>
+#include <utility>
+#include <variant>
+
+#include "base/overloaded.h"
+
+namespace stonewing::wire {
+
+static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+
+namespace {
+
+constexpr std::size_t kMaxFailureBytes = 0xffff;  // the length is a 16-bit number
+constexpr std::uint64_t kTimerLabel = 0;          // there is one timer an instance
+
+}  // namespace
+
+void Writer::beginRecord(ActionCode code, std::uint32_t instance) {
+  put(static_cast<std::uint16_t>(code));
+  put(instance);
+  ++recordCount_;
+}
+
+void Writer::putEndpoint(EndpointId endpoint) {
+  body_.append(reinterpret_cast<const char*>(&endpoint.value), kEndpointBytes);
+}
+
+void Writer::write(std::uint32_t instance, const Decision& decision) {
+  std::visit(Overloaded{
+                 [&](const SendAttempt& attempt) {
+                   beginRecord(ActionCode::attempt, instance);
+                   put(attempt.message.value);
+                   putEndpoint(attempt.endpoint);
+                   putSeconds(attempt.timeout);
+                 },
+                 [&](const CancelAttempt& cancellation) {
+                   beginRecord(ActionCode::withdraw, instance);
+                   put(cancellation.message.value);
+                   put(static_cast<std::uint8_t>(cancellation.attempt));
+                 },
+                 [&](const ShedMessage& shed) {
+                   beginRecord(ActionCode::turnAway, instance);
+                   put(shed.message.value);
+                   putSeconds(shed.retryAfter);
+                 },
+                 [&](const FailMessage& failure) {
+                   beginRecord(ActionCode::respondError, instance);
+                   put(failure.message.value);
+                 },
+                 [&](const SendHealthCheck& check) {
+                   beginRecord(ActionCode::test, instance);
+                   putEndpoint(check.endpoint);
+                 },
+                 [&](const CloseIdleConnection& idle) {
+                   beginRecord(ActionCode::dropConnections, instance);
+                   putEndpoint(idle.endpoint);
+                 },
+                 [&](const SetTimer& timer) {
+                   beginRecord(ActionCode::after, instance);
+                   put(kTimerLabel);
+                   putSeconds(timer.at);
+                 },
+             },
+             decision);
+}
+
+void Writer::writeFailure(std::uint32_t instance, std::string_view text) {
+  text = text.substr(0, kMaxFailureBytes);
+  beginRecord(ActionCode::exception, instance);
+  put(static_cast<std::uint16_t>(text.size()));
+  body_.append(text);
+}
+
+std::string Writer::takeFrame(std::uint32_t batchNumber) {
+  const std::string records = std::exchange(body_, {});
+  put(batchNumber);
+  put(std::exchange(recordCount_, 0));
+  put(static_cast<std::uint32_t>(records.size()));
+  std::string frame = std::exchange(body_, {});
+  frame += records;
+  return frame;
+}
+
+}  // namespace stonewing::wire
