--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -194,6 +194,27 @@
   EXPECT_LT(many, 20 * few + 0.01);  // a walk costs a hundred times as much
 }
 
+// Every field of one decision, to compare it by.
+auto fields(const SendAttempt& d) { return std::tuple(d.message, d.endpoint, d.attempt, d.timeout); }
+auto fields(const CancelAttempt& d) { return std::tuple(d.message, d.attempt); }
+auto fields(const ShedMessage& d) { return std::tuple(d.message, d.retryAfter); }
+auto fields(const FailMessage& d) { return std::tuple(d.message); }
+auto fields(const SendHealthCheck& d) { return std::tuple(d.endpoint); }
+auto fields(const CloseIdleConnection& d) { return std::tuple(d.endpoint); }
+auto fields(const SetTimer& d) { return std::tuple(d.at); }
+
+bool sameDecision(const Decision& one, const Decision& other) {
+  return std::visit(
+      []<class One, class Other>(const One& left, const Other& right) {
+        if constexpr (std::is_same_v<One, Other>) {
+          return fields(left) == fields(right);
+        } else {
+          return false;
+        }
+      },
+      one, other);
+}
+
 // Danger: an attempt that is out and passed over is hedged or called off too late, or its silence never seen.
 // The same day is played beside it with an empty part of a list in each round, which has all walked anew.
 RC_GTEST_PROP(Passes, DecideTheSameWhereNothingIsWalked, (std::uint32_t seed)) {
@@ -228,19 +249,18 @@
     }
     for (auto d = next(quiet); d; d = next(quiet)) {
       auto other = next(walked);
-      RC_ASSERT(other &&
-                std::tie(d->act, d->message, d->endpoint, d->attempt, d->span) ==
-                    std::tie(other->act, other->message, other->endpoint, other->attempt, other->span));
-      if (std::holds_alternative<CancelAttempt>(*d))
-        both([&](Bed& bed) { bed.end(*d, AttemptOutcome::cancelled); });
-      if (std::holds_alternative<SendHealthCheck>(*d))
-        due.emplace(now + 30, [e = d->endpoint, ill](Bed& bed) {
+      RC_ASSERT(other && sameDecision(*d, *other));
+      if (const auto* cancel = std::get_if<CancelAttempt>(&*d))
+        both([&](Bed& bed) { bed.end(*cancel, AttemptOutcome::cancelled); });
+      if (const auto* check = std::get_if<SendHealthCheck>(&*d))
+        due.emplace(now + 30, [e = check->endpoint, ill](Bed& bed) {
           bed.rules.recordHealthCheckOutcome(e, ill ? AttemptOutcome::timeout : AttemptOutcome::completed,
                                              {});
         });
-      if (d->act != Act::launch || (ill && chance() % 8 != 0)) continue;
+      const auto* send = std::get_if<SendAttempt>(&*d);
+      if (send == nullptr || (ill && chance() % 8 != 0)) continue;
       AttemptOutcome ending = chance() % 10 == 0 ? AttemptOutcome::error : AttemptOutcome::completed;
-      due.emplace(now + 20 + chance() % 200, [l = *d, ending](Bed& bed) { bed.end(l, ending); });
+      due.emplace(now + 20 + chance() % 200, [l = *send, ending](Bed& bed) { bed.end(l, ending); });
     }
     RC_ASSERT(!next(walked).has_value());
   }
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -70,7 +70,9 @@
     rules.acceptMessage(MessageId{id}, TrafficTypeId{type}, TenantId{0}, OrderingKey{key}, DestinationId{1},
                         now + 10000);
   }
-  void end(const SendAttempt& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
+  // The end of an attempt that was sent, or is to be cancelled.
+  template <class AttemptDecision>
+  void end(const AttemptDecision& launch, AttemptOutcome ending, Millis spent = 100, Millis wait = 0) {
     rules.recordAttemptOutcome(launch.message, launch.attempt, ending, spent,
                                ending == AttemptOutcome::completed, wait, {});
   }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -98,8 +98,10 @@
   // Decided, noted and sent, as the dispatcher does it. meanwhile: while the journal is written.
   void decide(const std::function<void()>& meanwhile = [] {}) {
     while (auto d = rules.nextDecision()) {
-      if (std::holds_alternative<SendAttempt>(*d)) calls.sendAttempt(*d);
-      if (std::holds_alternative<CancelAttempt>(*d) && withdraws) calls.cancelAttempt(*d);
+      if (const auto* send = std::get_if<SendAttempt>(&*d)) calls.sendAttempt(*send);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&*d); cancel && withdraws) {
+        calls.cancelAttempt(*cancel);
+      }
     }
     calls.recordBatches();
     book.commit();
@@ -119,7 +121,7 @@
       return got.ends_with(lastBytes) || got.size() >= many;
     });
   }
-  void callOff(const std::string& ref) { calls.cancelAttempt({Act::withdraw, ids[ref], {}, 0, 0}); }
+  void callOff(const std::string& ref) { calls.cancelAttempt({ids[ref], 0}); }
   bool out(const std::string& ref) const {
     const auto& held = rules.state().messages;
     auto at = held.find(ids.at(ref));
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -47,7 +47,8 @@
   struct End {
     Millis at;
     int who;
-    Decision d;
+    int born;  // by which process of that dispatcher
+    std::variant<SendAttempt, SendHealthCheck> what;
     Millis sent;
     bool good;
     bool operator<(const End& o) const { return at > o.at; }
@@ -90,14 +91,16 @@
     for (; !ends.empty() && ends.top().at <= now; ends.pop()) {
       const End& e = ends.top();
       auto n = static_cast<std::size_t>(e.who);
-      if (e.d.span != born[n]) continue;  // of a process that is no more
+      if (e.born != born[n]) continue;  // of a process that is no more
       if (!e.good) told[n] = true;
       AttemptOutcome ending = e.good ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
       LoadReport report = e.good && w.reports ? LoadReport{w.capacity, 0.6} : LoadReport{};
-      if (e.std::holds_alternative<SendHealthCheck>(d))
-        all[n]->recordHealthCheckOutcome(e.d.endpoint, ending, report);
-      else
-        all[n]->recordAttemptOutcome(e.d.message, e.d.attempt, ending, now - e.sent, e.good, 0, report);
+      if (const auto* check = std::get_if<SendHealthCheck>(&e.what)) {
+        all[n]->recordHealthCheckOutcome(check->endpoint, ending, report);
+      } else {
+        const auto& send = std::get<SendAttempt>(e.what);
+        all[n]->recordAttemptOutcome(send.message, send.attempt, ending, now - e.sent, e.good, 0, report);
+      }
     }
     for (std::size_t n = 0; n < all.size(); ++n) {
       double rate = w.capacity * w.load * shares[n] / sum * kStep / 1000;
@@ -107,20 +110,28 @@
                               DestinationId{1}, now + 6000);
       int lastCall = -1;
       while (auto d = all[n]->nextDecision()) {
-        if (std::holds_alternative<CancelAttempt>(*d))
-          all[n]->recordAttemptOutcome(d->message, d->attempt, AttemptOutcome::cancelled, 100, false, 0, {});
-        if (d->act != Act::launch && d->act != Act::probe) continue;
-        if (std::holds_alternative<SendAttempt>(*d)) {
-          const auto& launches = all[n]->state().messages.at(d->message).attempts;
-          int call = launches.at(static_cast<std::size_t>(d->attempt)).requestId;
+        if (const auto* cancel = std::get_if<CancelAttempt>(&*d)) {
+          all[n]->recordAttemptOutcome(cancel->message, cancel->attempt, AttemptOutcome::cancelled, 100,
+                                       false, 0, {});
+        }
+        const auto* send = std::get_if<SendAttempt>(&*d);
+        const auto* check = std::get_if<SendHealthCheck>(&*d);
+        if (send == nullptr && check == nullptr) continue;
+        if (send != nullptr) {
+          const auto& launches = all[n]->state().messages.at(send->message).attempts;
+          int call = launches.at(static_cast<std::size_t>(send->attempt)).requestId;
           if (std::exchange(lastCall, call) == call) continue;
         }
         Millis arrives = now + 40 + (w.late && draw() < 0.3 ? 1000 * draw() : 0);
         bool out = arrives >= kOutFrom && arrives < kBack;
         if (arrives >= kBack) arrivals.emplace_back(arrives, told[n]);
-        Decision kept = *d;
-        kept.span = born[n];
-        ends.push({out ? arrives + 200 : arrives + 40, static_cast<int>(n), kept, now, !out});
+        End end{out ? arrives + 200 : arrives + 40, static_cast<int>(n), born[n], {}, now, !out};
+        if (send != nullptr) {
+          end.what = *send;
+        } else {
+          end.what = *check;
+        }
+        ends.push(end);
       }
     }
   }
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -44,9 +44,9 @@
   InstanceHost host;
   host.batch(1, 5, 100, createRecord(1) + createRecord(2) + pageRecord() + viewRecord(1) + viewRecord(2));
   std::string reply = host.batch(2, 1, 100.005, demandRecord(1, 7));
-  Decision launch{Act::launch, MessageId{7}, EndpointId{0x0a0b0c0dull | 8000ull << 32}, 0, 4995};
+  SendAttempt launch{MessageId{7}, EndpointId{0x0a0b0c0dull | 8000ull << 32}, 0, 4995};
   wire::Writer expected;
-  expected.act(1, launch);
+  expected.write(1, launch);
   EXPECT_NE(reply.find(expected.frame(2).substr(12, 16)), std::string::npos);
   EXPECT_EQ(host.batch(3, 1, 100.01, packed(std::uint16_t{1}, std::uint32_t{2}, std::uint64_t{0})).size(),
             12u);
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -15,7 +15,7 @@
 const bool seeded = setenv("RC_PARAMS", "seed=4711 max_success=150", 1) == 0;
 
 struct Sent {
-  Decision what;
+  SendAttempt what;
   Millis at;
   bool out = true;
   bool proven = false;  // known not to have run
@@ -63,17 +63,22 @@
     return true;
   }
   void judge(const Decision& d, Millis now) {
-    if (std::holds_alternative<SetTimer>(d)) RC_ASSERT(d.span > now);
-    if (std::holds_alternative<SetTimer>(d) || std::holds_alternative<CancelAttempt>(d) ||
-        std::holds_alternative<SendHealthCheck>(d) || std::holds_alternative<CloseIdleConnection>(d))
-      return;
+    if (const auto* timer = std::get_if<SetTimer>(&d)) RC_ASSERT(timer->at > now);
+    if (const auto* shed = std::get_if<ShedMessage>(&d)) {
+      RC_ASSERT(repeatHarmless(all.at(shed->message.value), nullptr, now));
+      judgeFinal(shed->message);
+    }
+    if (const auto* fail = std::get_if<FailMessage>(&d)) judgeFinal(fail->message);
+    if (const auto* send = std::get_if<SendAttempt>(&d)) judgeAttempt(*send, now);
+  }
+  void judgeFinal(MessageId message) {
+    Taken& c = all.at(message.value);
+    RC_ASSERT(c.finals == 0);
+    ++c.finals;
+  }
+  void judgeAttempt(const SendAttempt& d, Millis now) {
     Taken& c = all.at(d.message.value);
     RC_ASSERT(c.finals == 0);
-    if (std::holds_alternative<ShedMessage>(d)) RC_ASSERT(repeatHarmless(c, nullptr, now));
-    if (d.act != Act::launch) {
-      ++c.finals;
-      return;
-    }
     RC_ASSERT(now < c.outerLimit);
     RC_ASSERT(list.at(d.endpoint).first == EndpointState::ready);
     RC_ASSERT(now >= waitUntil[path(d.endpoint)]);
@@ -132,7 +137,7 @@
       bed.rules.commitEndpointList(whole);
     };
     relist(true);
-    std::vector<Decision> probes;
+    std::vector<SendHealthCheck> probes;
     std::uint32_t nextId = 1;
     int steps = *rc::gen::inRange(20, 250);
     for (int step = 0; step < steps; ++step) {
@@ -151,7 +156,7 @@
           bool proven = *rc::gen::arbitrary<bool>();
           bed.rules.recordEarlierAttempt(MessageId{nextId}, to, sent, proven);
           model.all[nextId].sent.push_back(
-              {{Act::launch, MessageId{nextId}, to, 0, 0}, sent, false, proven, !proven, bed.now});
+              {{MessageId{nextId}, to, 0, 0}, sent, false, proven, !proven, bed.now});
         }
         ++nextId;
       }
@@ -183,9 +188,9 @@
         }
       }
       while (auto d = bed.rules.nextDecision()) {
-        if (std::holds_alternative<SendAttempt>(*d)) {
+        if (const auto* send = std::get_if<SendAttempt>(&*d)) {
           const ZoneFailover& rooms = bed.rules.state().zones;
-          RC_ASSERT(!rooms.isLost(ZoneId{model.list.at(d->endpoint).second}));
+          RC_ASSERT(!rooms.isLost(ZoneId{model.list.at(send->endpoint).second}));
           int strangers = 0;
           for (const auto& [id, c] : bed.rules.state().messages) {
             for (const Attempt& l : c.attempts) strangers += l.pending && l.isSpillover;
@@ -193,7 +198,7 @@
           RC_ASSERT(strangers <= std::max(1, terms.maxConcurrentRequests / 2));
         }
         model.judge(*d, bed.now);
-        if (std::holds_alternative<SendHealthCheck>(*d)) probes.push_back(*d);
+        if (const auto* check = std::get_if<SendHealthCheck>(&*d)) probes.push_back(*check);
       }
       for (const auto& [id, c] : model.all) RC_ASSERT(bed.now < c.outerLimit || c.finals == 1);
     }
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -234,13 +234,16 @@
     while (now < until) {
       for (const Decision& d : pull()) {
         all.push_back(d);
-        if (std::holds_alternative<SendHealthCheck>(d))
+        if (const auto* check = std::get_if<SendHealthCheck>(&d))
           rules.recordHealthCheckOutcome(
-              d.endpoint, own(d.endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
-        if (d.act != Act::launch || silent.contains(d.message.value)) continue;
-        AttemptOutcome ending = own(d.endpoint) ? AttemptOutcome::connectFailed : AttemptOutcome::completed;
-        rules.recordAttemptOutcome(d.message, d.attempt, ending, 10, ending == AttemptOutcome::completed, 0,
-                                   {});
+              check->endpoint, own(check->endpoint) ? AttemptOutcome::timeout : AttemptOutcome::completed,
+              {});
+        const auto* send = std::get_if<SendAttempt>(&d);
+        if (send == nullptr || silent.contains(send->message.value)) continue;
+        AttemptOutcome ending =
+            own(send->endpoint) ? AttemptOutcome::connectFailed : AttemptOutcome::completed;
+        rules.recordAttemptOutcome(send->message, send->attempt, ending, 10,
+                                   ending == AttemptOutcome::completed, 0, {});
       }
       to(now + 20);
     }
@@ -253,8 +256,8 @@
   RulesBed bed;
   bed.take(1, 1);  // idempotent-with-key in its zone
   std::vector<Decision> first = bed.pull();
-  ASSERT_EQ(first.front().act, Act::launch);
-  ASSERT_TRUE(RulesBed::own(first.front().endpoint));
+  ASSERT_TRUE(std::holds_alternative<SendAttempt>(first.front()));
+  ASSERT_TRUE(RulesBed::own(std::get<SendAttempt>(first.front()).endpoint));
   bed.to(1500);
   bed.rules.recordAttemptOutcome(MessageId{1}, 0, AttemptOutcome::timeout, 500, false, 0,
                                  {});  // it may have run
@@ -263,11 +266,13 @@
   ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int elsewhere = 0, givenUp = 0;
   for (const Decision& d : all) {
-    if (d.message == MessageId{1} && std::holds_alternative<SendAttempt>(d)) {
-      EXPECT_TRUE(RulesBed::own(d.endpoint));
+    const auto* send = std::get_if<SendAttempt>(&d);
+    const auto* fail = std::get_if<FailMessage>(&d);
+    if (send != nullptr && send->message == MessageId{1}) {
+      EXPECT_TRUE(RulesBed::own(send->endpoint));
     }
-    if (d.message == MessageId{1} && std::holds_alternative<FailMessage>(d)) ++givenUp;
-    elsewhere += std::holds_alternative<SendAttempt>(d) && !RulesBed::own(d.endpoint);
+    if (fail != nullptr && fail->message == MessageId{1}) ++givenUp;
+    elsewhere += send != nullptr && !RulesBed::own(send->endpoint);
   }
   EXPECT_EQ(givenUp, 1);    // once its window has closed, long before its deadline
   EXPECT_GE(elsewhere, 8);  // it has delivered nothing yet, and goes by what it was asked
@@ -283,9 +288,10 @@
   ASSERT_TRUE(bed.rules.state().zones.isLost(kOwn));
   int shed = 0;
   for (const Decision& d : all) {
-    if (d.act != Act::shed) continue;
+    const auto* decision = std::get_if<ShedMessage>(&d);
+    if (decision == nullptr) continue;
     ++shed;
-    EXPECT_GT(d.span, 0);
+    EXPECT_GT(decision->retryAfter, 0);
   }
   EXPECT_GT(shed, 5);
   EXPECT_LT(shed, 29);
@@ -300,8 +306,8 @@
   for (std::uint32_t n = 100; n < 200; ++n) {
     bed.take(n, 0);
     for (const Decision& d : bed.play(bed.now + 100)) {
-      if (std::holds_alternative<SendAttempt>(d)) {
-        EXPECT_FALSE(RulesBed::own(d.endpoint));
+      if (const auto* send = std::get_if<SendAttempt>(&d)) {
+        EXPECT_FALSE(RulesBed::own(send->endpoint));
       }
       probes += std::holds_alternative<SendHealthCheck>(d);
     }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -12,7 +12,7 @@
   bed.take(1);
   auto first = bed.pull<SetTimer>();
   ASSERT_FALSE(first.empty());
-  bed.to(first.back().span - 1e-7);
+  bed.to(first.back().at - 1e-7);
   bed.rules.recordTimerFired();
   EXPECT_FALSE(bed.pull<SetTimer>().empty());
 }
@@ -241,16 +241,16 @@
   for (std::uint32_t id = 1; id <= 90; ++id) {
     bed.take(id);
     while (auto next = bed.rules.nextDecision()) {
-      const Decision& d = *next;
-      if (std::holds_alternative<SendHealthCheck>(d)) {
-        bed.rules.recordHealthCheckOutcome(d.endpoint,
+      if (const auto* check = std::get_if<SendHealthCheck>(&*next)) {
+        bed.rules.recordHealthCheckOutcome(check->endpoint,
                                            id < 30 ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
-        probed.insert(d.endpoint);
+        probed.insert(check->endpoint);
       }
-      if (d.act != Act::launch) continue;
-      bed.end(d, d.endpoint == bad && id < 10 ? AttemptOutcome::error : AttemptOutcome::completed);
-      if (id > 2 && id < 10) early.insert(d.endpoint);
-      if (id > 60) later.insert(d.endpoint);
+      const auto* send = std::get_if<SendAttempt>(&*next);
+      if (send == nullptr) continue;
+      bed.end(*send, send->endpoint == bad && id < 10 ? AttemptOutcome::error : AttemptOutcome::completed);
+      if (id > 2 && id < 10) early.insert(send->endpoint);
+      if (id > 60) later.insert(send->endpoint);
     }
     bed.to(bed.now + 200);
   }
@@ -267,7 +267,7 @@
   for (std::uint32_t id = 1; id <= 20; ++id) bed.take(id);
   auto burst = bed.pull<SendAttempt>();
   bed.to(bed.now + 20);
-  for (const Decision& d : burst) bed.end(d, AttemptOutcome::rejected, 10, 300);
+  for (const SendAttempt& d : burst) bed.end(d, AttemptOutcome::rejected, 10, 300);
   for (int n = 0; n < 200; ++n) {
     bed.to(bed.now + 20);
     auto launches = bed.pull<SendAttempt>();
@@ -399,9 +399,10 @@
     for (int n = 0; n < 500; ++n) {
       auto d = bed.rules.nextDecision();
       if (!d) break;
-      if (d->act != Act::probe) continue;
+      const auto* check = std::get_if<SendHealthCheck>(&*d);
+      if (check == nullptr) continue;
       ++probes;
-      bed.rules.recordHealthCheckOutcome(d->endpoint, AttemptOutcome::localResourceExhausted, {});
+      bed.rules.recordHealthCheckOutcome(check->endpoint, AttemptOutcome::localResourceExhausted, {});
     }
     EXPECT_EQ(probes, 1) << out;
     EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, failures);
@@ -569,11 +570,14 @@
       for (std::uint32_t n : {1, 2}) bed.take(2 * turn + n);
       bed.to(bed.now + 10);
       while (auto d = bed.rules.nextDecision()) {
-        if (std::holds_alternative<CancelAttempt>(*d)) bed.end(*d, AttemptOutcome::cancelled);
-        if (d->act != Act::launch) continue;
-        if (hung == EndpointId{}) hung = d->endpoint;
-        late[d->endpoint] += turn >= 200 ? 1 : 0;
-        if (one && d->endpoint != hung) bed.end(*d, AttemptOutcome::completed, 5);
+        if (const auto* cancel = std::get_if<CancelAttempt>(&*d)) {
+          bed.end(*cancel, AttemptOutcome::cancelled);
+        }
+        const auto* send = std::get_if<SendAttempt>(&*d);
+        if (send == nullptr) continue;
+        if (hung == EndpointId{}) hung = send->endpoint;
+        late[send->endpoint] += turn >= 200 ? 1 : 0;
+        if (one && send->endpoint != hung) bed.end(*send, AttemptOutcome::completed, 5);
       }
     }
     EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, !one);
@@ -618,7 +622,7 @@
   bed.to(bed.now + 10);
   EndpointId hung = out.front().endpoint;
   AttemptOutcome ending = AttemptOutcome::completed;
-  for (const Decision& d : out) {
+  for (const SendAttempt& d : out) {
     if (d.endpoint != hung) bed.end(d, std::exchange(ending, AttemptOutcome::rejected), 10);
   }
   EXPECT_GT(bed.rules.state().routes.begin()->second.consecutiveRejections, 0);
@@ -760,7 +764,7 @@
   auto launches = bed.pull<SendAttempt>();
   EXPECT_EQ(launches.size(), 5u);
   EXPECT_EQ(bed.rules.state().requestsInFlight, 1);
-  for (const Decision& d : launches) bed.end(d, AttemptOutcome::completed);
+  for (const SendAttempt& d : launches) bed.end(d, AttemptOutcome::completed);
   EXPECT_EQ(bed.rules.state().requestsInFlight, 0);
 }
 
