--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -42,21 +42,23 @@
 
 TEST(Host, LaunchesWhatIsTakenAndKeepsInstancesApart) {
   InstanceHost host;
-  host.batch(1, 5, 100, createRecord(1) + createRecord(2) + pageRecord() + viewRecord(1) + viewRecord(2));
-  std::string reply = host.batch(2, 1, 100.005, demandRecord(1, 7));
+  host.handleBatch(1, 5, 100,
+                   createRecord(1) + createRecord(2) + pageRecord() + viewRecord(1) + viewRecord(2));
+  std::string reply = host.handleBatch(2, 1, 100.005, demandRecord(1, 7));
   SendAttempt launch{MessageId{7}, EndpointId{0x0a0b0c0dull | 8000ull << 32}, 0, 4995};
   wire::Writer expected;
   expected.write(1, launch);
-  EXPECT_NE(reply.find(expected.frame(2).substr(12, 16)), std::string::npos);
-  EXPECT_EQ(host.batch(3, 1, 100.01, packed(std::uint16_t{1}, std::uint32_t{2}, std::uint64_t{0})).size(),
-            12u);
+  EXPECT_NE(reply.find(expected.takeFrame(2).substr(12, 16)), std::string::npos);
+  EXPECT_EQ(
+      host.handleBatch(3, 1, 100.01, packed(std::uint16_t{1}, std::uint32_t{2}, std::uint64_t{0})).size(),
+      12u);
 }
 
 TEST(Host, NamesWhatIsWrongInAFrame) {
   auto throws = [](std::uint32_t records, const std::string& body, const std::string& part) {
     InstanceHost host;
     try {
-      host.batch(1, records, 100, body);
+      host.handleBatch(1, records, 100, body);
       ADD_FAILURE() << "taken: " << part;
     } catch (const Error& problem) {
       EXPECT_NE(std::string(problem.what()).find(part), std::string::npos) << problem.what();
@@ -71,7 +73,7 @@
 
 TEST(Host, ReportsAFailureOfTheModule) {
   InstanceHost host;
-  std::string reply = host.batch(1, 2, 100, createRecord(1) + demandRecord(1, 7, 42));
+  std::string reply = host.handleBatch(1, 2, 100, createRecord(1) + demandRecord(1, 7, 42));
   EXPECT_NE(reply.find("unknown traffic type"), std::string::npos);
 }
 
