--- /dev/null
+++ b/src/dispatcher/command_handler.cpp
@@ -0,0 +1,92 @@
+#include "dispatcher/command_handler.h"
+
+#include <cmath>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <utility>
+
+#include "base/errors.h"
+#include "logging/log.h"
+
+namespace stonewing {
+namespace {
+
+constexpr const char* kOkReply = "+OK\r\n";
+constexpr const char* kPongReply = "+PONG\r\n";
+constexpr Millis kNoRetryAfter = 0;
+constexpr std::size_t kPingWords = 1;
+constexpr std::size_t kSubmitWords = 5;  // SUBMIT, ordering key, id, list of fields, body
+
+}  // namespace
+
+std::string busyReply(Millis retryAfter) {
+  if (retryAfter <= 0) return "-BUSY\r\n";
+  return "-BUSY " + std::to_string(static_cast<std::int64_t>(std::ceil(retryAfter))) + "\r\n";
+}
+
+CommandHandler::CommandHandler(const Dependencies& dependencies)
+    : loop_(dependencies.loop),
+      lifecycle_(dependencies.lifecycle),
+      turnMonitor_(dependencies.turnMonitor),
+      journalWrites_(dependencies.journalWrites),
+      discovery_(dependencies.discovery),
+      settings_(dependencies.settings),
+      names_(dependencies.names),
+      admission_(dependencies.admission),
+      store_(dependencies.store),
+      policy_(dependencies.policy) {}
+
+RespServer::CommandReply CommandHandler::handle(const std::vector<std::string_view>& words,
+                                                ClientSide clientSide) {
+  if (words[0] == "PING") {
+    if (words.size() != kPingWords) throw ProtocolError("PING takes no more words");
+    return {kPongReply};
+  }
+  if (words[0] == "SUBMIT") return submit(words, clientSide);
+  throw ProtocolError("unknown command");
+}
+
+RespServer::CommandReply CommandHandler::submit(const std::vector<std::string_view>& words,
+                                                ClientSide clientSide) {
+  if (words.size() != kSubmitWords) throw ProtocolError("SUBMIT takes key, id, list and body");
+  const Millis receivedWall = std::floor(wallNow());  // whole, so that equal spans stay equal
+  StoredMessage message = store_.decode(words[1], words[2], words[3], words[4], receivedWall);
+  // Submitted again, because the first reply was lost.
+  if (store_.contains(message.reference)) return {kOkReply, store_.idOf(message.reference)};
+  if (!discovery_.knows(message.destination)) {
+    // Until discovery has answered, the endpoint list may just be an old one.
+    if (!discovery_.hasAnswered()) return {busyReply(kNoRetryAfter)};
+    throw ProtocolError("unknown dest");
+  }
+  // A client that has not waited for the reply submits the message elsewhere; accepted here too, it would be
+  // delivered for nothing.
+  if (clientSide == ClientSide::closed || !lifecycle_.mayAcceptMessages()) return {busyReply(kNoRetryAfter)};
+  const AdmissionDecision admission = decideAdmission(message);
+  if (!admission.accepted) return {busyReply(admission.retryAfter)};
+  return accept(std::move(message), receivedWall);
+}
+
+AdmissionDecision CommandHandler::decideAdmission(const StoredMessage& message) {
+  const Millis now = loop_.now();
+  const AdmissionInputs inputs{now, policy_.state().messagesInFlight, store_.fillShare(),
+                               journalWrites_.hangingFor(now), turnMonitor_.workThisTurn()};
+  const double priorityWeight = settings_.types.at(message.type.value).priorityWeight;
+  return admission_.decide(inputs, priorityWeight, policy_.isOverQuota(message.tenant));
+}
+
+RespServer::CommandReply CommandHandler::accept(StoredMessage message, Millis receivedWall) {
+  message.deadlineWall -= loop_.heldUpFor();  // its time counts from when the client sent it
+  const Millis deadline = loop_.now() + (message.deadlineWall - receivedWall);
+  const std::optional<MessageId> id = store_.accept(std::move(message));
+  if (!id) return {busyReply(admission_.recordRejection(loop_.now()))};
+  const StoredMessage& stored = *store_.find(*id);  // stays while the message is in flight
+  policy_.acceptMessage(*id, stored.type, stored.tenant, stored.orderingKey, stored.destination, deadline);
+  log::debug("message.accepted", {{"message", stored.reference},
+                                  {"type", names_.trafficTypes[stored.type.value]},
+                                  {"destination", stored.destination.value},
+                                  {"left_ms", deadline - loop_.now()}});
+  return {kOkReply, *id};
+}
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/dispatcher/command_handler.h
@@ -0,0 +1,69 @@
+#pragma once
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "admission/admission_controller.h"
+#include "discovery/discovery_client.h"
+#include "dispatcher/journal_write_monitor.h"
+#include "dispatcher/lifecycle.h"
+#include "dispatcher/turn_monitor.h"
+#include "net/event_loop.h"
+#include "policy/dispatch_policy.h"
+#include "server/resp_server.h"
+#include "settings/settings_reader.h"
+#include "storage/message_store.h"
+
+namespace stonewing {
+
+// The reply to a message that was not accepted and may be submitted again. `retryAfter`: milliseconds to
+// wait before that; 0 or less: no time is stated.
+std::string busyReply(Millis retryAfter);
+
+// Executes the commands of clients, PING and SUBMIT: decodes a message, decides on its admission, stores it
+// and hands it to the policy. The RESP server calls it for each command, on the event loop's thread.
+class CommandHandler {
+ public:
+  // Whether the client may still send, or has closed its side of the connection.
+  enum class ClientSide { open, closed };
+
+  // What a command needs to know and to change. All must outlive the handler.
+  struct Dependencies {
+    const EventLoop& loop;
+    const Lifecycle& lifecycle;
+    const TurnMonitor& turnMonitor;
+    const JournalWriteMonitor& journalWrites;
+    const DiscoveryClient& discovery;
+    const DeploymentSettings& settings;
+    const NameTables& names;
+    AdmissionController& admission;
+    MessageStore& store;
+    DispatchPolicy& policy;
+  };
+
+  explicit CommandHandler(const Dependencies& dependencies);
+
+  // Executes the command whose name is `words[0]`, in capitals; `words` is not empty. The reply to an
+  // accepted message holds only once the journal has its record. Throws Error for a command that is to be
+  // answered by an error and the end of the connection.
+  RespServer::CommandReply handle(const std::vector<std::string_view>& words, ClientSide clientSide);
+
+ private:
+  RespServer::CommandReply submit(const std::vector<std::string_view>& words, ClientSide clientSide);
+  AdmissionDecision decideAdmission(const StoredMessage& message);
+  RespServer::CommandReply accept(StoredMessage message, Millis receivedWall);
+
+  const EventLoop& loop_;
+  const Lifecycle& lifecycle_;
+  const TurnMonitor& turnMonitor_;
+  const JournalWriteMonitor& journalWrites_;
+  const DiscoveryClient& discovery_;
+  const DeploymentSettings& settings_;
+  const NameTables& names_;
+  AdmissionController& admission_;
+  MessageStore& store_;
+  DispatchPolicy& policy_;
+};
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/dispatcher/decision_executor.cpp
@@ -0,0 +1,75 @@
+#include "dispatcher/decision_executor.h"
+
+#include <variant>
+
+#include "base/overloaded.h"
+#include "logging/log.h"
+#include "net/event_loop.h"
+
+namespace stonewing {
+namespace {
+
+// Thousands of messages finish at once where a destination is removed or a restart finds many in flight.
+// Decided in one turn they would keep clients and endpoints waiting that have nothing to do with them; so a
+// turn decides for this long, and the rest follows in the next, after its events and replies.
+constexpr Millis kDecisionTimePerTurn = 20;
+constexpr int kDecisionsPerClockRead = 64;  // a clock read for each decision would cost more than it saves
+constexpr Millis kNoRetryAfter = 0;
+
+}  // namespace
+
+void DecisionExecutor::executeDecisions() {
+  const Millis until = steadyNow() + kDecisionTimePerTurn;
+  hasMore_ = false;
+  int executed = 0;
+  while (const std::optional<Decision> decision = policy_.nextDecision()) {
+    execute(*decision);
+    ++executed;
+    if (executed % kDecisionsPerClockRead != 0 || steadyNow() < until) continue;
+    hasMore_ = true;
+    break;
+  }
+  sender_.recordBatches();
+}
+
+bool DecisionExecutor::takeDueTimer(Millis now) {
+  if (!timerDue_ || now < *timerDue_) return false;
+  timerDue_.reset();
+  return true;
+}
+
+void DecisionExecutor::execute(const Decision& decision) {
+  std::visit(
+      Overloaded{
+          [this](const SendAttempt& send) { sender_.sendAttempt(send); },
+          [this](const CancelAttempt& cancel) { sender_.cancelAttempt(cancel); },
+          [this](const ShedMessage& decided) { shed(decided); },
+          [this](const FailMessage& decided) { fail(decided); },
+          [this](const SendHealthCheck& healthCheck) { sender_.sendHealthCheck(healthCheck.endpoint); },
+          [this](const CloseIdleConnection& close) { sender_.closeIdleConnection(close.endpoint); },
+          [this](const SetTimer& timer) { timerDue_ = timer.at; },
+      },
+      decision);
+}
+
+void DecisionExecutor::shed(const ShedMessage& decision) {
+  logFinished(decision.message, "shed", decision.retryAfter);
+  store_.addPendingNotification(decision.message, FinalOutcome::shed, decision.retryAfter);
+}
+
+void DecisionExecutor::fail(const FailMessage& decision) {
+  logFinished(decision.message, "failed", kNoRetryAfter);
+  store_.addPendingNotification(decision.message, FinalOutcome::failed, kNoRetryAfter);
+}
+
+void DecisionExecutor::logFinished(MessageId id, const char* result, Millis retryAfter) const {
+  const StoredMessage* message = store_.find(id);
+  if (message == nullptr) return;
+  log::debug("message.finished", {{"message", message->reference},
+                                  {"result", result},
+                                  {"destination", message->destination.value},
+                                  {"attempts", message->attempts.size()},
+                                  {"retry_after_ms", retryAfter}});
+}
+
+}  // namespace stonewing
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -1,15 +1,24 @@
 #pragma once
 
-#include <cstdint>
-#include <functional>
-#include <map>
-#include <memory>
-#include <string>
+#include <cstddef>
+#include <string_view>
+#include <vector>
 
 #include "admission/admission_controller.h"
 #include "delivery/attempt_sender.h"
 #include "delivery/outcome_notifier.h"
 #include "discovery/discovery_client.h"
+#include "dispatcher/command_handler.h"
+#include "dispatcher/config.h"
+#include "dispatcher/config_reloader.h"
+#include "dispatcher/decision_executor.h"
+#include "dispatcher/descriptor_budget.h"
+#include "dispatcher/journal_committer.h"
+#include "dispatcher/journal_write_monitor.h"
+#include "dispatcher/lifecycle.h"
+#include "dispatcher/signal_handler.h"
+#include "dispatcher/turn_monitor.h"
+#include "dispatcher/zone_health_log.h"
 #include "net/event_loop.h"
 #include "policy/dispatch_policy.h"
 #include "server/resp_server.h"
@@ -18,100 +27,39 @@
 
 namespace stonewing {
 
-// What a dispatcher is told at its start.
-struct DispatcherConfig {
-  std::string name;
-  std::string listen;
-  std::string discovery;
-  std::string state;
-  std::uint64_t seed{};
-  std::size_t sockets{};
-  std::size_t diskBytes{};
-  std::size_t memoryBytes{};
-  std::string settings;
-  std::string known;             // a list of endpoints, in discovery's form
-  std::string zoneFailover;      // what the operator says of rooms (docs/rooms.md); empty for nothing
-  bool usesWriterThread{false};  // a thread of its own writes the journal
-};
-
-// Reads the start file; `get` gives the variables of the environment, empty for none. Throws ConfigError.
-// operatorText: what the operator adds; its keys go before the first text's. Empty for nothing.
-DispatcherConfig readConfig(std::string_view text, const std::function<std::string(const char*)>& get,
-                            std::string_view operatorText = {});
-
-// How the descriptors that the dispatcher may hold are dealt out, so that none can take those of another.
-struct DescriptorBudget {
-  std::size_t own{};                  // for the journal, discovery, the platform, the log and the loop
-  std::size_t endpointConnections{};  // connections to endpoints
-  std::size_t healthChecks{};         // of these, beside the concurrent requests
-  std::size_t clients{};
-  int maxConcurrentRequests{};  // attempts at once: the deployment's, or what the connections bear
-};
-// Throws ConfigError where there are too few for any work.
-DescriptorBudget descriptorBudget(std::size_t sockets, int slots);
-
-// What the deployment and the operator state together. Throws ConfigError.
-DeploymentSettings deploymentSettings(const DispatcherConfig& orders);
-
-// Holds back the signals that a dispatcher takes as events, from now until there is one. A reload asked for
-// earlier would end the process.
-void blockSignals();
-
-// One dispatcher from its start to its exit.
+// One dispatcher from its start to its exit: owns all parts and runs the turns of the event loop. Everything
+// in it happens on the thread that calls run(), except for what the background writer of the journal does.
 class Dispatcher {
  public:
-  // reread: what it is told now; throws ConfigError where that cannot be used.
-  explicit Dispatcher(const DispatcherConfig& orders, std::function<DispatcherConfig()> reread = {});
-  ~Dispatcher();
+  // `source`: what a reload reads; empty where the configuration never changes. Opens the journal and raises
+  // the process's descriptor limit. Throws ConfigError or SettingsError where the configuration cannot be
+  // used, std::system_error where the system has no descriptor left, and what MessageStore throws for the
+  // folder.
+  explicit Dispatcher(const DispatcherConfig& config, ConfigSource source = {});
+  Dispatcher(const Dispatcher&) = delete;
+  Dispatcher& operator=(const Dispatcher&) = delete;
+
+  // Recovers, serves and returns once a signal has requested the end and the work is done or out of time. To
+  // be called once. Throws std::system_error where the address for clients cannot be used.
   void run();
 
  private:
-  // In this order; none is gone back to.
-  enum class State {
-    recovering,  // what an earlier process left is accepted again
-    serving,
-    draining,           // told to end: clients are still taken, and on their way elsewhere
-    finishing,          // no clients; what is held is attempted
-    awaitingResponses,  // nothing new goes out; answers that are out may still come
-    ended,
-  };
-  class SignalHandler;
-  class JournalCompletion;
-
-  void enter(State state);
-  void recover();
-  void reloadConfig();
+  void start();
+  void runTurn();
+  void tickConnections();
   void advanceLifecycle();
-  RespServer::CommandReply answer(const std::vector<std::string_view>& words, bool left);
-  RespServer::CommandReply submit(const std::vector<std::string_view>& words, bool left);
-  std::string busyReply(Millis wait);
-  Millis ownWork() const;
-  Millis workedThisTurn() const;
-  void logZoneHealth();
-  void logSlowTurn(Millis dispatched, Millis decided, Millis whole);
-  void decide();
-  void commitJournal();
-  void executeDecisions();
-  void reportHungWrite();
-  void logFinished(MessageId id, const char* result, Millis wait);
-  void execute(const Decision& decision);
-  Millis due() const;
+  void enterState(LifecycleState state);
+  UnfinishedWork unfinishedWork() const;
+  void commitAndDecide();
+  void recordTurn();
+  bool mayDecideNow() const;
+  Millis nextTurnDue() const;
 
-  DispatcherConfig config_;
-  std::function<DispatcherConfig()> reread_;
-  DeploymentSettings settings_;
-  DescriptorBudget descriptors_;
-  NameTables names_;
-  State state_{State::recovering};
-  Millis toldToEnd_{0};
-  Millis wakeAt_{-1};
-  std::size_t overBefore_{0};
-  Millis began_{0};   // of this turn
-  Millis worked_{0};  // up to the last turn's end
-  Millis slowTold_{-1e15};
-  int slowTurns_{0};
-  bool endWanted_{false};
-  bool rereadWanted_{false};
+  // The order matters: each member refers to members above it only.
+  const DispatcherConfig config_;
+  const DeploymentSettings settings_;
+  const DescriptorBudget descriptors_;
+  const NameTables names_;
   EventLoop loop_;
   DispatchPolicy policy_;
   AdmissionController admission_;
@@ -119,13 +67,17 @@
   DiscoveryClient discovery_;
   AttemptSender sender_;
   OutcomeNotifier notifier_;
+  Lifecycle lifecycle_;
+  TurnMonitor turnMonitor_;
+  JournalWriteMonitor journalWrites_;
+  CommandHandler commandHandler_;
   RespServer server_;
-  std::unique_ptr<SignalHandler> signals_;
-  std::unique_ptr<JournalCompletion> journalCompletion_;  // where a thread writes the journal
-  Millis hangsSince_{-1};  // the write under way was begun then; -1 for none that took long
-  bool hangTold_{false};
-  std::vector<int> roomsTold_;  // of each room: 0 in order, 1 lost, 2 fed as it returns
-  bool moreToDecide_{false};    // the last turn's part of deciding was used up
+  SignalHandler signals_;
+  JournalCommitter committer_;
+  DecisionExecutor decisions_;
+  ConfigReloader reloader_;
+  ZoneHealthLog zoneHealthLog_;
+  std::size_t finishedMessagesRecorded_{0};  // how many of those finished admission knows of
 };
 
 }  // namespace stonewing
--- /dev/null
+++ b/src/dispatcher/signal_handler.cpp
@@ -0,0 +1,51 @@
+#include "dispatcher/signal_handler.h"
+
+#include <signal.h>
+#include <sys/signalfd.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <system_error>
+#include <utility>
+
+namespace stonewing {
+namespace {
+
+sigset_t handledSignals() {
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, signal);
+  return signals;
+}
+
+}  // namespace
+
+void blockSignals() {
+  ::signal(SIGPIPE, SIG_IGN);  // the reader of the log may go away
+  ::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error to handle
+  sigset_t signals = handledSignals();
+  ::sigprocmask(SIG_BLOCK, &signals, nullptr);
+}
+
+SignalHandler::SignalDescriptor::SignalDescriptor() {
+  blockSignals();
+  sigset_t signals = handledSignals();
+  descriptor_ = ::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
+  if (descriptor_ < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
+}
+
+SignalHandler::SignalDescriptor::~SignalDescriptor() { ::close(descriptor_); }
+
+SignalHandler::SignalHandler(EventLoop& loop) : registration_(loop, descriptor_.get(), *this) {}
+
+bool SignalHandler::takeReloadRequest() { return std::exchange(reloadRequested_, false); }
+
+void SignalHandler::onEvents(std::uint32_t) {
+  signalfd_siginfo info;
+  while (::read(descriptor_.get(), &info, sizeof info) == sizeof info) {
+    const bool isReload = info.ssi_signo == static_cast<std::uint32_t>(SIGHUP);
+    (isReload ? reloadRequested_ : endRequested_) = true;
+  }
+}
+
+}  // namespace stonewing
