--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -77,7 +77,7 @@
   DecisionExecutor decisions_;
   ConfigReloader reloader_;
   ZoneHealthLog zoneHealthLog_;
-  std::size_t finishedMessagesRecorded_{0};  // how many of those finished admission knows of
+  std::size_t finishedMessagesRecorded_{0};  // of the finished messages, how many admission has been given
 };
 
 }  // namespace stonewing
--- a/src/dispatcher/signal_handler.cpp
+++ b/src/dispatcher/signal_handler.cpp
@@ -43,8 +43,11 @@
 void SignalHandler::onEvents(std::uint32_t) {
   signalfd_siginfo info;
   while (::read(descriptor_.get(), &info, sizeof info) == sizeof info) {
-    const bool isReload = info.ssi_signo == static_cast<std::uint32_t>(SIGHUP);
-    (isReload ? reloadRequested_ : endRequested_) = true;
+    if (info.ssi_signo == static_cast<std::uint32_t>(SIGHUP)) {
+      reloadRequested_ = true;
+    } else {
+      endRequested_ = true;
+    }
   }
 }
 
