--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -1,40 +1,49 @@
 #pragma once
 
+#include <cstddef>
 #include <cstring>
 #include <string>
 #include <string_view>
 
 #include "base/errors.h"
 
+// Packed binary records, as the journal and the simulator's wire have them. Numbers are copied in the host's
+// byte order, which must be little-endian.
 namespace stonewing {
 
-// Reads packed little-endian fields; past the end it throws ParseError.
+// Reads the fields of a record one after another. The bytes must outlive the reader and the views it returns.
+// `field` names the field for the error text: a read past the end throws ParseError.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
 
+  // The next field, a trivially copyable value.
   template <class T>
   T get(const char* field) {
     T value;
     std::memcpy(&value, text(sizeof value, field).data(), sizeof value);
     return value;
   }
-  std::string_view text(std::size_t n, const char* field) {
-    if (bytes_.size() - at_ < n) throw ParseError(std::string("record ends inside field ") + field);
-    std::string_view part = bytes_.substr(at_, n);
-    at_ += n;
+  // The next `length` bytes as they are.
+  std::string_view text(std::size_t length, const char* field) {
+    if (bytes_.size() - position_ < length) {
+      throw ParseError(std::string("record ends inside field ") + field);
+    }
+    std::string_view part = bytes_.substr(position_, length);
+    position_ += length;
     return part;
   }
-  bool atEnd() const { return at_ == bytes_.size(); }
+  bool atEnd() const { return position_ == bytes_.size(); }
 
  private:
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_{0};
 };
 
+// Appends the bytes of a trivially copyable value.
 template <class T>
-void putBytes(std::string& to, T value) {
-  to.append(reinterpret_cast<const char*>(&value), sizeof value);
+void putBytes(std::string& buffer, T value) {
+  buffer.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
 }  // namespace stonewing
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -3,8 +3,10 @@
 #include <compare>
 #include <cstdint>
 
+// The ids of the domain, and the type of times. All are plain values.
 namespace stonewing {
 
+// A number that identifies something of one sort; `Tag` keeps ids of different sorts apart.
 template <class Tag, class Rep>
 struct Id {
   Rep value{};
@@ -20,7 +22,7 @@
 using TrafficTypeId = Id<struct TrafficTypeTag, std::uint16_t>;
 using OrderingKey = Id<struct OrderingKeyTag, std::uint64_t>;
 
-// Times and spans are milliseconds with fractions.
+// A time or a span in milliseconds, with fractions. Which clock a time is of, its user says.
 using Millis = double;
 
 }  // namespace stonewing
--- a/src/base/overloaded.h
+++ b/src/base/overloaded.h
@@ -2,7 +2,7 @@
 
 namespace stonewing {
 
-// One visitor for std::visit out of several lambdas, one an alternative.
+// Makes one visitor for std::visit out of several lambdas, one for each alternative of the variant.
 template <class... Handlers>
 struct Overloaded : Handlers... {
   using Handlers::operator()...;
