--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,114 +1,100 @@
 #pragma once
 
-#include <netinet/in.h>
-
-#include <chrono>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
-#include <optional>
-#include <string>
-#include <string_view>
 #include <unordered_map>
 #include <utility>
 #include <vector>
 
 #include "base/ids.h"
+#include "net/address.h"
+#include "net/buffers.h"
+#include "net/clock.h"
 
+// The event loop: edge-triggered epoll on one thread. Handlers are called on the thread that calls
+// dispatch(), and no part of the loop may be used from another.
 namespace stonewing {
 
-// Time that never steps back; decisions are made on it.
-inline Millis steadyNow() {
-  return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
-      .count();
-}
-// Unix time; what outlives the process is noted in it.
-inline Millis wallNow() {
-  return std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
-// Something with a descriptor in the loop. Events come once an edge: read and write until there is no more,
-// or ask for another turn.
+// Receives the events of a descriptor that it has registered with EventLoop::watch.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
+  // `events` are epoll's (EPOLLIN and so on). They come once for each change, not for as long as a state
+  // lasts: read and write until there is no more, or ask for another call with EventLoop::reschedule.
   virtual void onEvents(std::uint32_t events) = 0;
 };
 
-// Edge-triggered epoll. Events of a turn are gathered first and handed out after, so that all of a turn carry
-// one time.
+// A turn is one wait() and one dispatch(): the events of a turn are collected first and handed to their
+// handlers after, so that all of them carry the same time.
 class EventLoop {
  public:
+  // Throws std::system_error where the kernel grants no epoll descriptor.
   EventLoop();
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // False: the kernel has no room for one more.
-  [[nodiscard]] bool watch(int fd, EventHandler& source);
+  // Registers `fd` for input, output and the end of the peer's side. The handler must live until unwatch, and
+  // the descriptor is still its own to close. False where the kernel cannot register one more.
+  [[nodiscard]] bool watch(int fd, EventHandler& handler);
+  // Ends the registration, before the descriptor is closed. No event reaches the handler after it, those of
+  // the current turn included. Nothing happens where there is no registration.
   void unwatch(int fd);
-  // The source has more to do than one turn's part.
+  // The handler has more to do than one turn's share: it is called again in the next turn.
   void reschedule(int fd);
-  // Keeps a closed source until the turn is over: it may be in the middle of its own event.
-  void deferDeletion(std::unique_ptr<EventHandler> source) { buried_.push_back(std::move(source)); }
-
-  // Asked where no descriptor is left; true: one was made free.
-  void onDescriptorExhaustion(std::function<bool()> makeRoom) { makeRoom_ = std::move(makeRoom); }
-  bool freeDescriptor() { return makeRoom_ && makeRoom_(); }
-
-  void wait(Millis until);  // of the steady clock
-  // The turn has taken long: its time is taken anew. Whether it was so is returned.
-  bool refreshTime(Millis more);
+  // Keeps a closed handler alive until the turn is over, since it may be in the middle of its own event.
+  void deferDeletion(std::unique_ptr<EventHandler> handler) {
+    deferredDeletions_.push_back(std::move(handler));
+  }
+
+  // Installs what is to be called where no descriptor is left; it returns true where it has closed one.
+  void onDescriptorExhaustion(std::function<bool()> freeOne) { freeOneDescriptor_ = std::move(freeOne); }
+  // Tries to free a descriptor. True: one was closed, and the caller may try again.
+  bool freeDescriptor() { return freeOneDescriptor_ && freeOneDescriptor_(); }
+
+  // Begins a turn: sleeps until `until` (of the steady clock), an event, or 50 ms have passed, collects all
+  // events that have come, and sets now(). Throws std::system_error where epoll itself fails.
+  void wait(Millis until);
+  // Sets now() anew where more than `tolerance` has passed since it was set; returns whether it did. For
+  // turns that take long.
+  bool refreshTime(Millis tolerance);
+  // Hands the collected events to their handlers.
   void dispatch();
+  // The time of this turn, of the steady clock.
   Millis now() const { return now_; }
-  // How long what came in this turn may have waited for us, where the process was held up; else 0.
-  Millis heldUpFor() const { return heldUp_; }
+  // How long this turn's events may have waited because the process itself was stopped or starved; 0 where it
+  // was not.
+  Millis heldUpFor() const { return stalledFor_; }
 
  private:
-  struct Watched {
-    EventHandler* source{};
+  // A descriptor and the serial number of its registration, in one word as epoll stores it. The kernel reuses
+  // descriptors at once; without the serial, an old event would reach the new owner.
+  using EventTag = std::uint64_t;
+  struct Registration {
+    EventHandler* handler{};
     std::uint32_t serial{};
   };
-  void gather(int timeout);
-  void handOut(std::uint64_t tag, std::uint32_t events);
-
-  int epoll_;
-  Millis now_;
-  Millis waited_;  // when the turn began
-  Millis heldUp_{0};
-  std::function<bool()> makeRoom_;
-  std::uint32_t serial_{0};
-  std::unordered_map<int, Watched> watched_;
-  std::vector<std::uint64_t> again_;
-  std::vector<std::pair<std::uint64_t, std::uint32_t>> events_;
-  std::vector<std::unique_ptr<EventHandler>> buried_;
-};
-
-// "10.0.0.4:6379"; there are no names to look up.
-std::optional<sockaddr_in> parseAddress(std::string_view text);
-
-enum class ReadResult { wouldBlock, more, endOfStream, broken };
+  struct PendingEvent {
+    EventTag tag{};
+    std::uint32_t events{};
+  };
 
-// Reads until there is no more, a turn's part is used, or `into` holds `most` bytes. mayHaveEnded: false
-// where the event that brought us here said nothing of an end; a read that is not full then was the last.
-ReadResult readAvailable(int fd, std::string& into, std::size_t most, bool mayHaveEnded = true);
+  static EventTag makeTag(int fd, std::uint32_t serial);
+  void collectEvents(int timeoutMs);
+  void deliver(EventTag tag, std::uint32_t events);
 
-// Bytes on their way out, written with gathered writes. Pieces may be shared with whoever made them.
-class WriteBuffer {
- public:
-  enum class WriteResult { all, part, broken };
-  void add(std::string piece) { add(std::make_shared<const std::string>(std::move(piece))); }
-  void add(std::shared_ptr<const std::string> piece);
-  WriteResult write(int fd);
-  bool empty() const { return pieces_.empty(); }
-  std::size_t size() const { return size_; }
-
- private:
-  std::deque<std::shared_ptr<const std::string>> pieces_;
-  std::size_t done_{0};  // of the first piece
-  std::size_t size_{0};
+  int epoll_;  // owned
+  Millis now_;
+  Millis turnBegan_;
+  Millis stalledFor_{0};
+  std::function<bool()> freeOneDescriptor_;
+  std::uint32_t lastSerial_{0};
+  std::unordered_map<int, Registration> registrations_;  // by descriptor
+  std::vector<EventTag> rescheduled_;
+  std::vector<PendingEvent> pendingEvents_;
+  // Last, so that it is destroyed first: a handler's destructor may still call unwatch.
+  std::vector<std::unique_ptr<EventHandler>> deferredDeletions_;
 };
 
 }  // namespace stonewing
--- a/src/net/http_client_connection.h
+++ b/src/net/http_client_connection.h
@@ -1,117 +1,109 @@
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
+#include <memory>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "net/event_loop.h"
+#include "net/http_response_parser.h"
+#include "net/number_parsing.h"
+#include "net/watched_descriptor.h"
 
 namespace stonewing {
 
-// Reads one HTTP/1.1 answer in place: it keeps positions, the bytes stay with the connection.
-class HttpResponseParser {
- public:
-  enum class Progress { needsMore, complete, malformed };
-  // bytes: all that has come for this answer. ended: nothing more will.
-  Progress parse(std::string_view bytes, bool ended);
-  int status() const { return status_; }      // 0 until the first line is whole
-  bool keepsAlive() const { return keeps_; }  // the connection may be used again
-  std::string_view header(std::string_view bytes, std::string_view name) const;
-  std::string_view body(std::string_view bytes) const;
-  std::size_t length() const { return end_; }
-  // How long the answer will be at the least, as far as it says so.
-  std::size_t announcedLength() const { return bodyAt_ + (untilEnd_ ? 0 : bodyLength_); }
-
- private:
-  Progress firstLine(std::string_view bytes);
-  Progress head(std::string_view bytes);
-  Progress chunks(std::string_view bytes);
-
-  std::size_t begin_{0};      // of the first line; moves past interim answers
-  std::size_t headersAt_{0};  // 0: the first line is not whole
-  std::size_t bodyAt_{0};     // 0: the head is not whole
-  std::size_t end_{0};
-  std::size_t chunkAt_{0};
-  std::size_t bodyLength_{0};
-  std::string decoded_;
-  int status_{0};
-  bool keeps_{true};
-  bool chunked_{false};
-  bool untilEnd_{false};
-};
-
-// A number in decimal digits alone.
-std::optional<std::uint64_t> parseWholeNumber(std::string_view digits);
-
-// A connection to a server, for one exchange at a time. Its owner hears of each end exactly once.
+// A connection to an HTTP server that carries one exchange (a request and its response) at a time, and may be
+// used again after it. It lives on the event loop's thread; its owner tells it apart by its address.
+//
+// The observer hears of the end of each exchange exactly once, by onResponse or onBroken, and only from the
+// event loop or from readPending: never from within startExchange or close.
 class HttpClientConnection : public EventHandler {
  public:
+  // The owner's side. A method may close the connection, but must not destroy it (see closeLater).
   struct Observer {
     virtual ~Observer() = default;
-    // A connection is up. False: its exchange must not begin any more, and the owner has closed it.
+    // The connection is established. False: its exchange must not begin any more, and the observer has closed
+    // it.
     virtual bool mayStartExchange(HttpClientConnection&) { return true; }
-    // More of an exchange that is half written may go out. False: it must not, and the owner has closed it.
+    // The rest of a request that is partly written may go out. False: it must not, and the observer has
+    // closed the connection.
     virtual bool mayContinueExchange(HttpClientConnection&) { return true; }
-    // Some of the answer has come; the rest has yet to come, if it ever does.
+    // Bytes of the response have come, but not all.
     virtual void onResponseStarted(HttpClientConnection&) {}
-    virtual void onResponse(
-        HttpClientConnection& link) = 0;  // the answer is whole; the link may be used again if open()
-    virtual void onBroken(HttpClientConnection& link) = 0;  // with an exchange or without one; it is closed
+    // The response is complete. The connection may be used again where it is still open.
+    virtual void onResponse(HttpClientConnection& connection) = 0;
+    // The connection ended, with an exchange or without one; it is closed.
+    virtual void onBroken(HttpClientConnection& connection) = 0;
   };
-  HttpClientConnection(EventLoop& loop, Observer& owner, std::size_t mostAnswer)
-      : loop_(loop), observer_(owner), most_(mostAnswer) {}
-  ~HttpClientConnection() override { close(); }
 
-  // Closes a link, which may be in the middle of its own event, and lets go of it.
-  static void closeLater(EventLoop& loop, std::unique_ptr<HttpClientConnection>& link) {
-    if (!link) return;
-    link->close();
-    loop.deferDeletion(std::move(link));
+  // The loop and the observer must outlive the connection. A response longer than `maxResponseBytes` breaks
+  // it.
+  HttpClientConnection(EventLoop& loop, Observer& observer, std::size_t maxResponseBytes)
+      : loop_(loop), observer_(observer), maxResponseBytes_(maxResponseBytes), socket_(loop) {}
+
+  // Closes the connection, which may be in the middle of its own event, and destroys it after this turn. An
+  // empty pointer is left alone.
+  static void closeLater(EventLoop& loop, std::unique_ptr<HttpClientConnection>& connection) {
+    if (!connection) return;
+    connection->close();
+    loop.deferDeletion(std::move(connection));
   }
 
-  // Opens a connection. False: it could not even begin, for want of something of our own (lacking) or since
-  // it was refused.
-  bool open(const sockaddr_in& to);
-  bool isOutOfResources() const { return lacking_; }
-  void add(std::string piece) { out_.add(std::move(piece)); }
-  void add(std::shared_ptr<const std::string> piece) { out_.add(std::move(piece)); }
-  // What was added goes out as one exchange; errors are told in a later turn.
+  // Begins to connect. False: it could not, either since resources of our own are exhausted
+  // (isOutOfResources) or since the address was refused at once.
+  bool open(const sockaddr_in& address);
+  // Whether the last open failed for want of a descriptor or of room in the event loop.
+  bool isOutOfResources() const { return isOutOfResources_; }
+  // Adds bytes of the next request.
+  void add(std::string piece) { unsent_.add(std::move(piece)); }
+  void add(std::shared_ptr<const std::string> piece) { unsent_.add(std::move(piece)); }
+  // Sends what was added as one request, or does so once the connection is established. Errors are reported
+  // in a later turn.
   void startExchange();
+  // Closes at once. The observer is not called.
   void close();
-  // Takes what has come and was not handed out yet. Its owner may hear of the end by it, and release it.
-  void readPending() {
-    if (fd_ >= 0 && up_ && busy_) read(true);
-  }
-  // Nothing is lost on it yet: no end and no stray byte has come while it stood idle.
+  // Reads what has arrived and was not handled yet. It may end the exchange, and call the observer.
+  void readPending();
+  // Whether an idle connection can be used again: neither its end nor a stray byte has come.
   bool isReusable() const;
 
-  bool isOpen() const { return fd_ >= 0; }
-  bool isConnected() const { return up_; }
-  bool isBusy() const { return busy_; }
-  // Something came back. An answer that began and has no good end was spoilt: the call has run.
-  bool hasReceived() const { return !in_.empty(); }
-  bool isRequestWritten() const { return busy_ && up_ && out_.empty(); }
-  int status() const { return answer_.status(); }
-  std::string_view header(std::string_view name) const { return answer_.header(in_, name); }
-  std::string_view body() const { return answer_.body(in_); }
+  bool isOpen() const { return socket_.isOpen(); }
+  bool isConnected() const { return isConnected_; }
+  // An exchange is in progress.
+  bool isBusy() const { return isBusy_; }
+  // Bytes of a response have come. Where no complete response follows, the server has still executed the
+  // request.
+  bool hasReceived() const { return !received_.empty(); }
+  // The request is written whole, and its exchange is in progress.
+  bool isRequestWritten() const { return isBusy_ && isConnected_ && unsent_.empty(); }
+  // The response's status code, header and body, valid until the next exchange; see HttpResponseParser.
+  int status() const { return parser_.status(); }
+  std::string_view header(std::string_view name) const { return parser_.header(received_, name); }
+  std::string_view body() const { return parser_.body(received_); }
 
   void onEvents(std::uint32_t events) override;
 
  private:
+  bool finishConnecting(std::uint32_t events);
   void write();
-  void read(bool mayHaveEnded);
+  void read(StreamEnd streamEnd);
+  void readIdle(ReadResult result);
+  HttpResponseParser::Progress parseReceived(ReadResult result);
+  void finishExchange(ReadResult result);
   void fail();
 
   EventLoop& loop_;
   Observer& observer_;
-  std::size_t most_;
-  int fd_{-1};
-  bool up_{false};
-  bool busy_{false};
-  bool lacking_{false};
-  std::string in_;
-  WriteBuffer out_;
-  HttpResponseParser answer_;
+  std::size_t maxResponseBytes_;
+  WatchedDescriptor socket_;
+  bool isConnected_{false};
+  bool isBusy_{false};
+  bool isOutOfResources_{false};
+  std::string received_;
+  WriteBuffer unsent_;
+  HttpResponseParser parser_;
 };
 
 }  // namespace stonewing
--- a/src/server/resp_server.h
+++ b/src/server/resp_server.h
@@ -1,85 +1,99 @@
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <list>
 #include <memory>
 #include <optional>
 #include <set>
-#include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "net/event_loop.h"
+#include "net/resp_parser.h"
+#include "net/watched_descriptor.h"
+#include "server/client_connection.h"
+#include "server/command_reply.h"
 
 namespace stonewing {
 
-enum class RespParseResult { needsMore, complete, malformed };
-
-// Reads one RESP2 command, an array of bulk strings, in place. used: its bytes, once whole.
-RespParseResult parseRespCommand(std::string_view bytes, std::vector<std::string_view>& words,
-                                 std::size_t& used);
-
-inline constexpr std::size_t kBodyMost = 64 * 1024;
-
-// The clients' side: takes connections, reads commands, answers each in order, once a turn.
-class RespServer : EventHandler {
+// The server for the clients, who speak RESP2: accepts connections, limits their number and memory, closes
+// those that stall, and sends replies once a turn. Used on the event loop's thread alone.
+class RespServer : EventHandler, ClientConnection::Owner {
  public:
-  // An answer that holds only if its message is kept.
-  struct CommandReply {
-    std::string text;
-    std::optional<MessageId> ifAccepted{};
-  };
-  // Answers one command. Throws Error for one that is answered by an error and a close. left: its client
-  // has ended its side of the connection.
-  using CommandHandler = std::function<CommandReply(const std::vector<std::string_view>& words, bool left)>;
-  // In place of the answer of a message that was not kept; no value where it was.
-  using ReplacementReply = std::function<std::optional<std::string>(MessageId)>;
+  using CommandReply = stonewing::CommandReply;
+  using IsDecided = stonewing::IsDecided;
+  using ReplacementReply = stonewing::ReplacementReply;
+  // Executes one command. Throws Error for one whose reply is an error and the end of its connection.
+  // `clientHasLeft`: the client has ended its side of the connection.
+  using CommandHandler =
+      std::function<CommandReply(const std::vector<std::string_view>& words, bool clientHasLeft)>;
 
-  // mostBytes: of commands that have come in part, from all clients together.
-  RespServer(EventLoop& loop, std::size_t mostClients, std::size_t mostBytes, CommandHandler answer);
+  // `maxClients`: connections at a time, at least 1. `maxBufferedBytes`: of incomplete commands, from all
+  // clients together, but no less than one command. The loop must outlive the server.
+  RespServer(EventLoop& loop, std::size_t maxClients, std::size_t maxBufferedBytes, CommandHandler handler);
   ~RespServer() override;
 
-  void listen(const sockaddr_in& at);  // throws where the address cannot be had
-  void stopListening();                // who has connected by now is still a client
-  // Tells each client that stands between commands of the end; the rest as soon as they do.
+  // Listens on `address`. Throws std::system_error where it cannot be had.
+  void listen(const sockaddr_in& address);
+  // Accepts no more. Who has connected by now is still served.
+  void stopListening();
+  // Closes each client as soon as it is between commands, from now on.
   void drain();
-  // Whether it is known what became of a message that was taken.
-  using IsDecided = std::function<bool(MessageId)>;
-  // Sends what was answered since the last time; where an answer waits for its message to be decided, all of
-  // its client's wait with it.
-  void sendReplies(const IsDecided& decided, const ReplacementReply& instead);
-  std::size_t clientsWithReplies() const {
-    return answering_.size();
-  }  // clients whose answers were not sent yet
+  // Sends the replies made since the last call. Where a reply waits for its message to be decided, all of its
+  // client's wait with it.
+  void sendReplies(const IsDecided& isDecided, const ReplacementReply& replacement);
+  // How many clients have replies that are not sent yet.
+  std::size_t clientsWithReplies() const { return clientsWithReplies_.size(); }
   std::size_t clientCount() const { return clients_.size(); }
-  // A descriptor is needed elsewhere: the client that has stood between commands for longest gives up its
-  // own.
+  // Frees a descriptor for others: closes the client that has been between commands for longest. False where
+  // there is none.
   bool closeIdlestClient();
+  // To be called once a turn: closes clients whose time is up, and accepts again after a failure.
   void onTick();
+  // When onTick is needed next (steady clock), at the latest.
   Millis due() const;
 
  private:
-  class ClientConnection;
+  class Client;
+  enum class Lingering { included, excluded };
+  enum class AcceptProgress { done, mayHaveMore };
+
   void onEvents(std::uint32_t events) override;
-  bool accept();
+
+  CommandReply execute(const std::vector<std::string_view>& words, bool clientHasLeft) override;
+  bool isDraining() const override { return isDraining_; }
+  void onRepliesPending(ClientConnection& client) override;
+  void onBufferedBytesChanged(std::size_t before, std::size_t after) override;
+  void onDeadlineChanged(ClientConnection& client) override;
+  void onClosed(ClientConnection& client) override;
+
+  AcceptProgress acceptPending();
+  bool makeRoomForClient();
+  void addClient(int fd);
+  void onAcceptFailure(int error);
   void closeListener();
-  ClientConnection* idlest(bool lingering);
+
+  Client* findIdlest(Lingering lingering);
   void retireIdlest();
-  void gone(ClientConnection& client);
-  void settle(ClientConnection& client);  // its patience may have changed
-  void shedHalfDone();
+  void evictIncompleteCommands();
+  void endStalledClients();
 
   EventLoop& loop_;
-  std::size_t most_;
-  std::size_t mostBytes_;
-  std::size_t bytes_{0};
-  CommandHandler answer_;
-  int fd_{-1};
-  bool leaving_{false};
-  Millis acceptAgain_{-1};  // after a lack of descriptors
-  std::list<std::unique_ptr<ClientConnection>> clients_;
-  std::vector<ClientConnection*> answering_;
-  std::set<std::pair<Millis, ClientConnection*>> patience_;  // by when each is to be looked at
+  std::size_t maxClients_;
+  std::size_t maxBufferedBytes_;
+  std::size_t bufferedBytes_{0};  // of all clients
+  CommandHandler handler_;
+  WatchedDescriptor listener_;
+  bool isDraining_{false};
+  std::optional<Millis> retryAcceptAt_;         // after a failure whose event will not come again
+  std::list<std::unique_ptr<Client>> clients_;  // in the order they came
+  // Clients, all of them in clients_; one that is closed is set to null at once.
+  std::vector<ClientConnection*> clientsWithReplies_;
+  // When each client is to be looked at; each client of clients_ is here once, under its scheduledDeadline.
+  std::set<std::pair<Millis, Client*>> deadlines_;
 };
 
 }  // namespace stonewing
