--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -87,7 +87,7 @@
 }
 
 void EventLoop::dispatch() {
-  // Both lists are taken first: a handler may reschedule itself for the next turn.
+  // Both lists are emptied first: a handler may reschedule itself for the next turn.
   for (EventTag tag : std::exchange(rescheduled_, {})) deliver(tag, EPOLLIN | EPOLLOUT | EPOLLRDHUP);
   for (auto [tag, events] : std::exchange(pendingEvents_, {})) deliver(tag, events);
 }
--- a/src/net/http_client_connection.cpp
+++ b/src/net/http_client_connection.cpp
@@ -71,8 +71,8 @@
   read(mayHaveEnded ? StreamEnd::possible : StreamEnd::notReported);
 }
 
-// Whether the connection is established and its exchange may begin. Where connecting failed, the observer has
-// been told.
+// Whether the connection is established and its exchange may begin. Where connecting failed, reports it to
+// the observer and returns false.
 bool HttpClientConnection::finishConnecting(std::uint32_t events) {
   if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return false;
   int error = 0;
--- a/src/net/http_client_connection.h
+++ b/src/net/http_client_connection.h
@@ -54,7 +54,7 @@
   // Begins to connect. False: it could not, either since resources of our own are exhausted
   // (isOutOfResources) or since the address was refused at once.
   bool open(const sockaddr_in& address);
-  // Whether the last open failed for want of a descriptor or of room in the event loop.
+  // Whether the last open failed for want of a descriptor or of capacity in the event loop.
   bool isOutOfResources() const { return isOutOfResources_; }
   // Adds bytes of the next request.
   void add(std::string piece) { unsent_.add(std::move(piece)); }
--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -153,7 +153,7 @@
 
 void ClientConnection::drainIfIdle() {
   bool isNew = !hasSentCommand_ && idleFor(loop_.now()) < kClientTimeoutMs;
-  if (isBetweenCommands() && !isNew && !noticeUnreadBytes()) closeGracefully();
+  if (isBetweenCommands() && !isNew && !checkForUnreadBytes()) closeGracefully();
 }
 
 void ClientConnection::closeGracefully() {
@@ -179,7 +179,7 @@
 void ClientConnection::endStalled() {
   if (isClosing_ || !unsent_.empty()) return closeNow();
   if (isBetweenCommands()) {
-    if (!noticeUnreadBytes()) closeGracefully();
+    if (!checkForUnreadBytes()) closeGracefully();
     return;
   }
   rejectAndClose("-ERR half a command and no more\r\n");
@@ -188,7 +188,7 @@
   owner_.onDeadlineChanged(*this);
 }
 
-bool ClientConnection::noticeUnreadBytes() {
+bool ClientConnection::checkForUnreadBytes() {
   char byte;
   if (::recv(socket_.get(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) <= 0) return false;
   lastActiveAt_ = loop_.now();
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -17,14 +17,12 @@
 // of the commands. It closes itself where the client is done, breaks the protocol or stalls. It lives on the
 // event loop's thread.
 //
-// It has three ways to end:
-//  - closeNow: the descriptor is closed at once.
-//  - closeGracefully, between commands: only our side is shut down, and the connection lingers. A command may
-//  arrive
-//    in that very moment, and a close over unread bytes would reset the connection, with the last reply if
-//    the client has not read it yet. What still comes is dropped; since it gets no reply, the client sends it
-//    again elsewhere.
-//  - after an error reply, which ends what we say: as above, once all replies are written.
+// It ends in one of three ways. closeNow closes the descriptor at once. closeGracefully, between commands,
+// shuts down our side alone, and the connection lingers: a command may arrive in that very moment, and a
+// close over unread bytes would reset the connection, with the last reply if the client has not read it yet.
+// What still comes is dropped; since it gets no reply, the client sends it again elsewhere. An error reply is
+// the last that a client gets: no further command is read, and once all replies are written the connection
+// lingers as well.
 class ClientConnection : public EventHandler {
  public:
   // The server's side. It must outlive the connection, and is called on the loop's thread.
@@ -65,6 +63,7 @@
   void drainIfIdle();
   // Shuts down our side; see above. To be called between commands.
   void closeGracefully();
+  // Closes the descriptor and reports it to the owner. Nothing happens where it is closed already.
   void closeNow();
   // To be called once inactivityDeadline has passed, or where the bytes of its incomplete command are needed
   // for others: closes the connection, or ends it with an error reply where it stands amid a command.
@@ -74,8 +73,9 @@
   Millis inactivityDeadline() const { return lastActiveAt_ + allowedInactivity(); }
   // When the client last began a command, or had one executed (steady clock).
   Millis lastActiveAt() const { return lastActiveAt_; }
+  // How long that was before `now`, in ms.
   Millis idleFor(Millis now) const { return now - lastActiveAt_; }
-  // Bytes held of incomplete commands.
+  // Bytes in memory of incomplete commands.
   std::size_t bufferedBytes() const { return bufferedBytes_; }
 
   // Nothing that was read waits for its reply, and no reply is left to send.
@@ -90,7 +90,7 @@
   // connection drive out those that have just come.
   bool isPreferredForEviction(Millis now) const;
   // Whether bytes have arrived whose event is still to come. If so, the client counts as active now.
-  bool noticeUnreadBytes();
+  bool checkForUnreadBytes();
 
  private:
   void serve(StreamEnd streamEnd);
--- a/src/server/resp_server.cpp
+++ b/src/server/resp_server.cpp
@@ -145,7 +145,7 @@
   for (;;) {
     Client* client = findIdlest(Lingering::included);
     if (client == nullptr || client == previous) return false;
-    if (client->isLingering() || !client->noticeUnreadBytes()) {
+    if (client->isLingering() || !client->checkForUnreadBytes()) {
       client->closeNow();
       return true;
     }
@@ -162,7 +162,7 @@
   auto lingering = static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(), isLingering));
   if (clients_.size() - lingering + reserved <= maxClients_) return;
   Client* client = findIdlest(Lingering::excluded);
-  if (client != nullptr && !client->noticeUnreadBytes()) client->closeGracefully();
+  if (client != nullptr && !client->checkForUnreadBytes()) client->closeGracefully();
 }
 
 void RespServer::onEvents(std::uint32_t) {
