--- a/src/delivery/outcome_notifier.cpp
+++ b/src/delivery/outcome_notifier.cpp
@@ -2,106 +2,129 @@
 
 #include <algorithm>
 #include <cmath>
+#include <iterator>
 #include <nlohmann/json.hpp>
+#include <utility>
 
 #include "logging/log.h"
 
 namespace stonewing {
 namespace {
 
-// A body holds 64 KiB at most. Thousands of ends in a moment are overdue before many small bodies are
-// confirmed one after the other.
-constexpr std::size_t kBodyFull = 60 * 1024;
-constexpr std::size_t kAnswerMost = 64 * 1024;
-// The platform answers at once. A connection that died unseen says nothing, and an end is overdue soon.
-constexpr Millis kUnanswered = 100;
-constexpr Millis kPauseFirst = 25;
-constexpr Millis kPauseMost = 400;
-
-std::string lineOf(const OutcomeNotification& notice) {
-  nlohmann::json line{{"ref", notice.reference},
-                      {"result", notice.result == FinalOutcome::failed ? "dead" : "bounced"}};
-  if (notice.result == FinalOutcome::shed && notice.retryAfter > 0)
-    line["wait_ms"] = static_cast<std::int64_t>(std::ceil(notice.retryAfter));
+// The platform reads bodies of up to 64 KiB; no notification is added from here on, in bytes. With many small
+// bodies, one after the other, thousands of messages that end at once would be notified too late.
+constexpr std::size_t kFullBodyBytes = std::size_t{60} * 1024;
+constexpr std::size_t kMaxResponseBytes = std::size_t{64} * 1024;
+// The platform answers at once. A connection that died unnoticed stays silent, and the notification is soon
+// overdue.
+constexpr Millis kResponseTimeoutMs = 100;
+// Between requests that were not confirmed: short, since notifications have a deadline, and growing, so that
+// a platform that is down is not flooded.
+constexpr Millis kInitialBackoffMs = 25;
+constexpr Millis kMaxBackoffMs = 400;
+
+constexpr int kNoContent = 204;  // the platform confirms all notifications of the request
+
+std::string jsonLineOf(const OutcomeNotification& notification) {
+  bool isFailed = notification.result == FinalOutcome::failed;
+  nlohmann::json line{{"ref", notification.reference}, {"result", isFailed ? "dead" : "bounced"}};
+  if (notification.result == FinalOutcome::shed && notification.retryAfter > 0) {
+    line["wait_ms"] = static_cast<std::int64_t>(std::ceil(notification.retryAfter));
+  }
   return line.dump() + "\n";
 }
 
 }  // namespace
 
-OutcomeNotifier::OutcomeNotifier(EventLoop& loop, MessageStore& book, sockaddr_in platform, std::string host)
-    : loop_(loop), store_(book), platform_(platform), host_(std::move(host)) {}
+OutcomeNotifier::OutcomeNotifier(EventLoop& loop, MessageStore& store, sockaddr_in platform, std::string host)
+    : loop_(loop), store_(store), platform_(platform), host_(std::move(host)) {}
 
 Millis OutcomeNotifier::due() const {
-  if (!out_.empty()) return since_ + kUnanswered;
-  return store_.pendingNotifications().empty() ? loop_.now() + kPauseMost : notBefore_;
+  if (isAwaitingResponse()) return sentAt_ + kResponseTimeoutMs;
+  return idle() ? loop_.now() + kMaxBackoffMs : notBefore_;
 }
 
 void OutcomeNotifier::onTick() {
-  if (!out_.empty() && loop_.now() >= since_ + kUnanswered) onBroken(*link_);
-  if (out_.empty() && !store_.pendingNotifications().empty() && loop_.now() >= notBefore_) send();
+  if (isAwaitingResponse() && loop_.now() >= sentAt_ + kResponseTimeoutMs) onBroken(*connection_);
+  if (!isAwaitingResponse() && !idle() && loop_.now() >= notBefore_) send();
 }
 
 void OutcomeNotifier::changeAddress(sockaddr_in platform, std::string host) {
   platform_ = platform;
   host_ = std::move(host);
-  HttpClientConnection::closeLater(loop_, link_);
-  out_.clear();
-  pause_ = 0;
+  HttpClientConnection::closeLater(loop_, connection_);
+  awaitingConfirmation_.clear();
+  backoff_ = 0;
   notBefore_ = loop_.now();
 }
 
-void OutcomeNotifier::send() {
-  if (!link_ || !link_->isOpen() || !link_->isReusable()) {
-    HttpClientConnection::closeLater(loop_, link_);
-    link_ = std::make_unique<HttpClientConnection>(loop_, *this, kAnswerMost);
-    if (!link_->open(platform_)) return scheduleRetry();
-  }
-  std::string lines;
-  auto at = store_.pendingNotifications().begin();
-  // One by one, each in turn, so that one that cannot be read holds up no other.
-  if (oneByOne_) std::advance(at, turn_++ % store_.pendingNotifications().size());
-  for (; at != store_.pendingNotifications().end() && lines.size() < kBodyFull; ++at) {
-    lines += lineOf(at->second);
-    out_.push_back(at->first);
+// False: no connection could even begin.
+bool OutcomeNotifier::ensureConnection() {
+  if (connection_ && connection_->isOpen() && connection_->isReusable()) return true;
+  HttpClientConnection::closeLater(loop_, connection_);
+  connection_ = std::make_unique<HttpClientConnection>(loop_, *this, kMaxResponseBytes);
+  return connection_->open(platform_);
+}
+
+// One line for each notification, as many as fit, or the one whose turn it is; they await confirmation then.
+std::string OutcomeNotifier::composeBody() {
+  const auto& pending = store_.pendingNotifications();
+  auto next = pending.begin();
+  if (mode_ == Mode::oneByOne) std::advance(next, nextSingle_++ % pending.size());
+  std::string body;
+  for (; next != pending.end() && body.size() < kFullBodyBytes; ++next) {
+    const auto& [message, notification] = *next;
+    body += jsonLineOf(notification);
+    awaitingConfirmation_.push_back(message);
     log::debug("notification.sent",
-               {{"message", at->second.reference}, {"new_connection", !link_->isConnected()}});
-    if (oneByOne_) break;
+               {{"message", notification.reference}, {"new_connection", !connection_->isConnected()}});
+    if (mode_ == Mode::oneByOne) break;
   }
-  link_->add("POST /reports HTTP/1.1\r\nHost: " + host_ + "\r\nContent-Type: application/x-ndjson\r\n" +
-             "Content-Length: " + std::to_string(lines.size()) + "\r\n\r\n");
-  link_->add(std::move(lines));
-  link_->startExchange();
-  since_ = loop_.now();
+  return body;
+}
+
+void OutcomeNotifier::send() {
+  if (!ensureConnection()) return scheduleRetry();
+  std::string body = composeBody();
+  connection_->add("POST /reports HTTP/1.1\r\nHost: " + host_ + "\r\nContent-Type: application/x-ndjson\r\n" +
+                   "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n");
+  connection_->add(std::move(body));
+  connection_->startExchange();
+  sentAt_ = loop_.now();
 }
 
-void OutcomeNotifier::onResponse(HttpClientConnection& link) {
-  if (link.status() == 204) {
-    for (MessageId id : std::exchange(out_, {})) {
-      auto at = store_.pendingNotifications().find(id);
-      if (at != store_.pendingNotifications().end())
-        log::debug("notification.confirmed", {{"message", at->second.reference}});
-      store_.confirmNotification(id);
+void OutcomeNotifier::confirmSent() {
+  for (MessageId message : std::exchange(awaitingConfirmation_, {})) {
+    auto found = store_.pendingNotifications().find(message);
+    if (found != store_.pendingNotifications().end()) {
+      log::debug("notification.confirmed", {{"message", found->second.reference}});
     }
-    pause_ = 0;
-    if (store_.pendingNotifications().empty()) oneByOne_ = false;
-    return;
+    store_.confirmNotification(message);
   }
-  log::warn("notification.rejected", {{"status", link.status()}, {"notifications", out_.size()}});
-  oneByOne_ = true;
+  backoff_ = 0;
+  if (idle()) mode_ = Mode::batched;
+}
+
+void OutcomeNotifier::onResponse(HttpClientConnection& connection) {
+  if (connection.status() == kNoContent) return confirmSent();
+  log::warn("notification.rejected",
+            {{"status", connection.status()}, {"notifications", awaitingConfirmation_.size()}});
+  mode_ = Mode::oneByOne;
   scheduleRetry();
 }
 
-void OutcomeNotifier::onBroken(HttpClientConnection& link) {
-  link.close();
-  if (out_.empty()) return;
-  log::debug("notification.unanswered", {{"notifications", out_.size()}, {"after_ms", loop_.now() - since_}});
+void OutcomeNotifier::onBroken(HttpClientConnection& connection) {
+  connection.close();
+  if (!isAwaitingResponse()) return;
+  log::debug("notification.unanswered",
+             {{"notifications", awaitingConfirmation_.size()}, {"after_ms", loop_.now() - sentAt_}});
   scheduleRetry();
 }
 
 void OutcomeNotifier::scheduleRetry() {
-  out_.clear();
-  pause_ = std::clamp(2 * pause_, kPauseFirst, kPauseMost);
-  notBefore_ = loop_.now() + pause_;
+  awaitingConfirmation_.clear();
+  backoff_ = std::clamp(2 * backoff_, kInitialBackoffMs, kMaxBackoffMs);
+  notBefore_ = loop_.now() + backoff_;
 }
 
 }  // namespace stonewing
