--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -1,12 +1,17 @@
 #pragma once
 
-#include <list>
 #include <map>
-#include <set>
+#include <string>
 #include <string_view>
-#include <tuple>
+#include <utility>
 #include <vector>
 
+#include "delivery/connection_pool.h"
+#include "delivery/delivery_log.h"
+#include "delivery/endpoint_connection.h"
+#include "delivery/load_report.h"
+#include "delivery/outcome_recorder.h"
+#include "delivery/response_reader.h"
 #include "discovery/discovery_client.h"
 #include "net/http_client_connection.h"
 #include "policy/dispatch_policy.h"
@@ -15,105 +20,98 @@
 
 namespace stonewing {
 
-// What a load report tells of the limit; one that cannot be read tells nothing.
-LoadReport reportIn(std::string_view report, const std::vector<std::string>& fields);
+// The earlier name of parseLoadReport, which tests still use.
+inline LoadReport reportIn(std::string_view header, const std::vector<std::string>& knownFields) {
+  return parseLoadReport(header, knownFields);
+}
 
-// Carries attempts and probes to endpoints over HTTP/1.1 and tells the rules how each ended.
+// Sends attempts and health checks to endpoints over HTTP/1.1, and records how each ended with the policy and
+// the message store.
+//
+// The way of an attempt: sendAttempt() gathers the attempts of one request, recordBatches() gives the request
+// a connection and records it in the store, and sendBatches() sends it once the journal holds the record. The
+// bytes are composed when the connection is established, and the policy is asked again before the first and
+// before every later part leaves. The outcome is recorded exactly once.
+//
+// To be used on the event loop's thread alone. Times are milliseconds of the event loop's clock.
 class AttemptSender : public HttpClientConnection::Observer {
  public:
-  // mostProbes: of them at once, so that with the concurrent requests they stay within mostLinks, connections
-  // to endpoints.
-  AttemptSender(EventLoop& loop, DispatchPolicy& rules, MessageStore& book, const DiscoveryClient& catalog,
-                const DeploymentSettings& terms, const NameTables& facts, std::size_t mostLinks,
-                std::size_t mostProbes);
+  // All references must outlive the sender. maxHealthChecks is how many health checks may be in flight at
+  // once, so that together with the concurrent requests they stay within maxConnections.
+  AttemptSender(EventLoop& loop, DispatchPolicy& policy, MessageStore& store,
+                const DiscoveryClient& discovery, const DeploymentSettings& settings, const NameTables& names,
+                std::size_t maxConnections, std::size_t maxHealthChecks);
+  AttemptSender(const AttemptSender&) = delete;
+  AttemptSender& operator=(const AttemptSender&) = delete;
 
-  // Attempts of one pass that belong to one call go out together: noted with flush, sent once the book has
-  // kept them.
+  // Gathers an attempt that was just decided, for recordBatches(). Attempts of one request go out together.
   void sendAttempt(const SendAttempt& decision);
+  // Ends an attempt. Within a batch this may have to wait for the rest; the policy hears of it when it is
+  // done. Does nothing if the outcome was recorded already, or arrives by now.
   void cancelAttempt(const CancelAttempt& decision);
+  // Sends a health check; the policy hears of its outcome, at once if there is no capacity for it.
   void sendHealthCheck(EndpointId endpoint);
+  // Closes all idle connections to an endpoint.
   void closeIdleConnection(EndpointId endpoint);
+  // Assigns the gathered requests to connections and records their attempts in the store. To be called before
+  // the store's commit begins.
   void recordBatches();
+  // Sends what was recorded. To be called once that commit is done.
   void sendBatches();
 
-  void onTick();  // time-outs, and connections that never come up
-  Millis due() const;
-  bool idle() const;
+  // Handles time-outs, and connections that cannot be established.
+  void onTick();
+  // When onTick() is to be called next.
+  Millis due() const { return pool_.nextDueAt(); }
+  // Whether no attempt is on a connection.
+  bool idle() const { return !pool_.hasAttempts(); }
 
  private:
-  struct BatchedAttempt {
-    MessageId message{};
-    int attempt{};
-    Millis due{};
-    std::string ref;
-    bool told{false};  // its end was told; the call may go on for others
-    bool off{false};   // called off, and told once the whole call can be
-  };
-  struct EndpointConnection : HttpClientConnection {
-    using HttpClientConnection::HttpClientConnection;
+  struct Batch {
     EndpointId endpoint{};
-    sockaddr_in address{};
-    std::vector<BatchedAttempt> members;
-    bool probing{false};
-    bool failed{false};    // could not even begin
-    bool withheld{false};  // that is for want of something of our own, which tells nothing of the endpoint
-    Millis wholeBy{-1};    // an answer that has begun is to be whole by then; -1 while none has
-    Millis sent{0};
-    Millis usedAt{0};
-    Millis due{-1};     // its place in dues_
-    Millis idleAt{-1};  // its place in idle_
-    std::list<std::unique_ptr<EndpointConnection>>::iterator self{};
+    std::vector<BatchedAttempt> attempts;
   };
 
-  bool mayStartExchange(HttpClientConnection& link) override;
-  bool mayContinueExchange(HttpClientConnection& link) override;
-  void onResponseStarted(HttpClientConnection& link) override;
-  void onResponse(HttpClientConnection& link) override;
-  void onBroken(HttpClientConnection& link) override;
-  std::string_view nameAt(EndpointId endpoint) const;
-  EndpointConnection& lineTo(EndpointId endpoint);
-  void write(EndpointConnection& line);
-  bool stillWanted(EndpointConnection& line);
-  static void withhold(EndpointConnection& line);
-  void letGo(EndpointConnection& line, AttemptOutcome ending);
-  void probeEnded(EndpointConnection& line, AttemptOutcome ending, LoadReport report = {});
-  void tell(EndpointConnection& line, BatchedAttempt& member, AttemptOutcome ending, bool over, Millis wait);
-  void tellAll(EndpointConnection& line, AttemptOutcome ending, bool over = false, Millis wait = 0);
-  void readMany(EndpointConnection& line, Millis wait);
-  bool calledOff(EndpointConnection& line);
-  bool keepsCall(const EndpointConnection& line, const BatchedAttempt& member) const;
-  Millis timeUp(const BatchedAttempt& member) const;
-  void release(EndpointConnection& line);
-  // A line has changed: when it is to be looked at, and whether it stands idle, is noted anew.
-  void settle(EndpointConnection& line);
-  Millis dueOf(const EndpointConnection& line) const;
-  void unsettle(EndpointConnection& line);
-  void look(EndpointConnection& line);
-  AttemptOutcome unanswered(const EndpointConnection& line, AttemptOutcome otherwise) const;
-  Millis connectBy(const EndpointConnection& line) const;
+  bool mayStartExchange(HttpClientConnection& httpConnection) override;
+  bool mayContinueExchange(HttpClientConnection& httpConnection) override;
+  void onResponseStarted(HttpClientConnection& httpConnection) override;
+  void onResponse(HttpClientConnection& httpConnection) override;
+  void onBroken(HttpClientConnection& httpConnection) override;
+
+  void recordBatch(Batch batch);
+  void recordInStore(EndpointConnection& connection);
+  void sendBatch(EndpointConnection& connection);
+  bool isStillSendable(const EndpointConnection& connection) const;
+  void recordDelayedSend(EndpointConnection& connection);
+  void writeRequest(EndpointConnection& connection);
+
+  bool mustDeferCancel(const EndpointConnection& connection, const BatchedAttempt& attempt) const;
+  void cancelOnConnection(EndpointConnection& connection, BatchedAttempt& attempt);
+  void finishUselessAttempts(EndpointConnection& connection);
+
+  void handleDue(EndpointConnection& connection);
+  void timeOutAttempts(EndpointConnection& connection);
+
+  void finishAttempt(EndpointConnection& connection, BatchedAttempt& attempt, const AttemptResult& result);
+  void finishAllAndRelease(EndpointConnection& connection, AttemptOutcome outcome);
+  void finishHealthCheck(EndpointConnection& connection, AttemptOutcome outcome, LoadReport report = {});
+  void release(EndpointConnection& connection);
 
   EventLoop& loop_;
   DispatchPolicy& policy_;
   MessageStore& store_;
   const DiscoveryClient& discovery_;
-  const NameTables& names_;
-  Millis connectWithin_;
-  bool mayCopy_;
-  Millis idleMost() const;
-
-  Millis idleMost_{1e15};
-  std::size_t mostLinks_;
-  std::size_t mostProbes_;
-  std::size_t probesOut_{0};
-  std::list<std::unique_ptr<EndpointConnection>> connections_;
-  std::set<std::pair<Millis, EndpointConnection*>> dues_;
-  std::set<std::tuple<EndpointId, Millis, EndpointConnection*>> idle_;  // by endpoint, then when last used
-  std::set<std::pair<Millis, EndpointConnection*>> oldest_;             // the idle ones by when last used
-  std::map<std::pair<MessageId, int>, EndpointConnection*>
-      carries_;  // the line of an attempt that was not told yet
-  Millis idleMostSeen_{1e15};
-  std::map<int, std::pair<EndpointId, std::vector<BatchedAttempt>>> gathered_;  // by the number of the call
-  std::vector<EndpointConnection*> noted_;                                      // to be sent
+  bool mayHedge_;
+  DeliveryLog log_;
+  OutcomeRecorder recorder_;
+  ConnectionPool pool_;
+  // The pointers below are into the pool; release() removes them.
+  // The connection of each attempt whose outcome was not recorded yet.
+  std::map<std::pair<MessageId, int>, EndpointConnection*> connectionOfAttempt_;
+  // Requests that were recorded in the store and wait for its commit, in the order of sending.
+  std::vector<EndpointConnection*> awaitingCommit_;
+  // Attempts that were decided since the last recordBatches(), by the number of their request.
+  std::map<int, Batch> gathered_;
 };
 
 }  // namespace stonewing
--- /dev/null
+++ b/src/delivery/connection_pool.cpp
@@ -0,0 +1,181 @@
+#include "delivery/connection_pool.h"
+
+#include <algorithm>
+#include <cstring>
+#include <iterator>
+#include <utility>
+#include <vector>
+
+namespace stonewing {
+namespace {
+
+// A response that claims or sends more than this is malformed. Without a bound, one endpoint could take all
+// memory.
+constexpr std::size_t kMaxResponseBytes = std::size_t{128} * 1024;
+
+// Before and after all times, to search an index by endpoint alone.
+constexpr Millis kBeforeAllTimes = -1e300;
+constexpr Millis kAfterAllTimes = 1e300;
+
+}  // namespace
+
+ConnectionPool::ConnectionPool(EventLoop& loop, HttpClientConnection::Observer& observer,
+                               const DispatchPolicy& policy, const DeploymentSettings& settings,
+                               const NameTables& names, ConnectionLimits limits)
+    : loop_(loop),
+      observer_(observer),
+      policy_(policy),
+      connectTimeout_(names.connectTimeout > 0 ? names.connectTimeout : kNever),
+      limits_(limits) {
+  if (settings.connectionIdleTimeout > 0) maxIdleTime_ = settings.connectionIdleTimeout;
+  // A request that is written near the end of the idle time may cross the other side's close, and would end
+  // as a reset that proves nothing. So the connection is not used for as long before as a new one may take.
+  if (maxIdleTime_ > connectTimeout_) maxIdleTime_ -= connectTimeout_;
+}
+
+// The policy knows the endpoint alone, and states for how long an idle connection to any is to be trusted. Of
+// several connections to an endpoint the less used ones stay idle for long while others are busy, so each
+// connection is limited to that time here.
+Millis ConnectionPool::reusableIdleTime() const {
+  return maxIdleTime_ < kNever ? std::min(maxIdleTime_, policy_.state().reusableIdleTime) : maxIdleTime_;
+}
+
+EndpointConnection* ConnectionPool::lastUsedIdle(EndpointId endpoint) const {
+  auto next = idleByEndpoint_.lower_bound({endpoint, kAfterAllTimes, nullptr});
+  if (next == idleByEndpoint_.begin()) return nullptr;
+  const IdleConnection& last = *std::prev(next);
+  return last.endpoint == endpoint ? last.connection : nullptr;
+}
+
+bool ConnectionPool::canReuse(const EndpointConnection& connection, const DiscoveredEndpoint* target) const {
+  bool hasMoved = target != nullptr &&
+                  std::memcmp(&connection.address_, &target->address, sizeof connection.address_) != 0;
+  return loop_.now() < idleDeadline(connection) && !hasMoved && connection.isReusable();
+}
+
+EndpointConnection& ConnectionPool::acquire(EndpointId endpoint, const DiscoveredEndpoint* target) {
+  if (EndpointConnection* idle = lastUsedIdle(endpoint); idle != nullptr) {
+    if (canReuse(*idle, target)) {
+      removeFromIndexes(*idle);
+      return *idle;
+    }
+    closeIdle(endpoint);
+  }
+  if (connections_.size() >= limits_.maxConnections && !leastRecentlyUsed_.empty()) {
+    release(*leastRecentlyUsed_.begin()->connection);
+  }
+  return open(endpoint, target);
+}
+
+EndpointConnection& ConnectionPool::open(EndpointId endpoint, const DiscoveredEndpoint* target) {
+  connections_.push_back(std::make_unique<EndpointConnection>(loop_, observer_, kMaxResponseBytes, endpoint));
+  EndpointConnection& connection = *connections_.back();
+  connection.position_ = std::prev(connections_.end());
+  if (target == nullptr) {
+    connection.setStartFailure(EndpointConnection::StartFailure::localResources);
+    return connection;
+  }
+  connection.address_ = target->address;
+  if (!connection.open(target->address)) {
+    connection.setStartFailure(connection.isOutOfResources()
+                                   ? EndpointConnection::StartFailure::localResources
+                                   : EndpointConnection::StartFailure::refused);
+  }
+  return connection;
+}
+
+void ConnectionPool::release(EndpointConnection& connection) {
+  removeFromIndexes(connection);
+  if (connection.isHealthCheck()) endHealthCheck(connection);
+  auto position = connection.position_;
+  connection.close();
+  loop_.deferDeletion(std::move(*position));
+  connections_.erase(position);
+}
+
+void ConnectionPool::closeIdle(EndpointId endpoint) {
+  for (;;) {
+    auto first = idleByEndpoint_.lower_bound({endpoint, kBeforeAllTimes, nullptr});
+    if (first == idleByEndpoint_.end() || first->endpoint != endpoint) return;
+    release(*first->connection);
+  }
+}
+
+void ConnectionPool::removeFromIndexes(EndpointConnection& connection) {
+  dueTimes_.erase({connection.indexedDueAt_, &connection});
+  if (!std::exchange(connection.isIndexedAsIdle_, false)) return;
+  idleByEndpoint_.erase({connection.endpoint(), connection.lastUsedAt_, &connection});
+  leastRecentlyUsed_.erase({connection.lastUsedAt_, &connection});
+}
+
+void ConnectionPool::update(EndpointConnection& connection) {
+  removeFromIndexes(connection);
+  connection.indexedDueAt_ = dueAt(connection);
+  dueTimes_.insert({connection.indexedDueAt_, &connection});
+  if (connection.isBusy() || connection.hasFailedToStart() || !connection.isConnected()) return;
+  connection.isIndexedAsIdle_ = true;
+  idleByEndpoint_.insert({connection.endpoint(), connection.lastUsedAt_, &connection});
+  leastRecentlyUsed_.insert({connection.lastUsedAt_, &connection});
+}
+
+void ConnectionPool::recordUse(EndpointConnection& connection) {
+  removeFromIndexes(connection);  // under the old time
+  connection.lastUsedAt_ = loop_.now();
+}
+
+void ConnectionPool::beginHealthCheck(EndpointConnection& connection) {
+  connection.isHealthCheck_ = true;
+  ++healthChecksInFlight_;
+}
+
+void ConnectionPool::endHealthCheck(EndpointConnection& connection) {
+  connection.isHealthCheck_ = false;
+  --healthChecksInFlight_;
+}
+
+void ConnectionPool::followReusableIdleTime() {
+  if (reusableIdleTime() < lastReusableIdleTime_) {
+    std::vector<EndpointConnection*> idle;  // apart, since update() changes the index
+    for (const TimedConnection& entry : leastRecentlyUsed_) idle.push_back(entry.connection);
+    for (EndpointConnection* connection : idle) update(*connection);
+  }
+  lastReusableIdleTime_ = reusableIdleTime();
+}
+
+EndpointConnection* ConnectionPool::firstDue() const {
+  if (dueTimes_.empty() || dueTimes_.begin()->at > loop_.now()) return nullptr;
+  return dueTimes_.begin()->connection;
+}
+
+Millis ConnectionPool::nextDueAt() const { return dueTimes_.empty() ? kNever : dueTimes_.begin()->at; }
+
+Millis ConnectionPool::dueAt(const EndpointConnection& connection) const {
+  if (connection.hasFailedToStart()) return 0;
+  if (!connection.isBusy()) return idleDeadline(connection);
+  Millis due = connectDeadline(connection);
+  if (connection.isHealthCheck()) due = std::min(due, healthCheckDeadline(connection));
+  if (connection.responseDueAt()) due = std::min(due, *connection.responseDueAt());
+  for (const BatchedAttempt& attempt : connection.attempts()) {
+    if (!attempt.isFinished()) due = std::min(due, attempt.timeoutAt);
+  }
+  return due;
+}
+
+Millis ConnectionPool::connectDeadline(const EndpointConnection& connection) const {
+  return connection.isBusy() && !connection.isConnected() ? connection.sentAt() + connectTimeout_ : kNever;
+}
+
+Millis ConnectionPool::healthCheckDeadline(const EndpointConnection& connection) const {
+  return connection.sentAt() + connectTimeout_;
+}
+
+Millis ConnectionPool::idleDeadline(const EndpointConnection& connection) const {
+  return connection.lastUsedAt() + reusableIdleTime();
+}
+
+bool ConnectionPool::hasAttempts() const {
+  return std::any_of(connections_.begin(), connections_.end(),
+                     [](const auto& connection) { return !connection->attempts().empty(); });
+}
+
+}  // namespace stonewing
