--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -85,6 +85,7 @@
   void recordDelayedSend(EndpointConnection& connection);
   void writeRequest(EndpointConnection& connection);
 
+  // Whether an attempt can only end together with its request.
   bool mustDeferCancel(const EndpointConnection& connection, const BatchedAttempt& attempt) const;
   void cancelOnConnection(EndpointConnection& connection, BatchedAttempt& attempt);
   void finishUselessAttempts(EndpointConnection& connection);
@@ -105,7 +106,7 @@
   DeliveryLog log_;
   OutcomeRecorder recorder_;
   ConnectionPool pool_;
-  // The pointers below are into the pool; release() removes them.
+  // The pointers in the next two are to connections of the pool; release() removes them.
   // The connection of each attempt whose outcome was not recorded yet.
   std::map<std::pair<MessageId, int>, EndpointConnection*> connectionOfAttempt_;
   // Requests that were recorded in the store and wait for its commit, in the order of sending.
--- a/src/delivery/connection_pool.h
+++ b/src/delivery/connection_pool.h
@@ -44,10 +44,11 @@
 
   // A connection for the next request to an endpoint: the idle one that was used last if it is still good, or
   // a new one. `target` is what discovery knows of the endpoint, or nullptr. If the connection could not even
-  // begin, its startFailure() says why.
+  // begin, its startFailure() says why. It is in the pool all the same, until release().
   EndpointConnection& acquire(EndpointId endpoint, const DiscoveredEndpoint* target);
   // Closes a connection and takes it out of the pool; it is deleted at the end of the turn.
   void release(EndpointConnection& connection);
+  // Releases all idle connections to an endpoint.
   void closeIdle(EndpointId endpoint);
 
   // Puts a connection into the indexes anew, after something changed that its due time depends on.
@@ -55,7 +56,10 @@
   // Notes that a response ended just now. The connection is in no index until update() or release().
   void recordUse(EndpointConnection& connection);
 
+  // Whether another health check stays within the limit.
   bool mayStartHealthCheck() const { return healthChecksInFlight_ < limits_.maxHealthChecks; }
+  // An acquired connection carries a health check from now on, which counts towards the limit until
+  // endHealthCheck() or release().
   void beginHealthCheck(EndpointConnection& connection);
   void endHealthCheck(EndpointConnection& connection);
 
@@ -71,10 +75,12 @@
   Millis dueAt(const EndpointConnection& connection) const;
   // Until when a connection with a request must be established; kNever if it is, or without a request.
   Millis connectDeadline(const EndpointConnection& connection) const;
+  // Until when a health check must be answered.
   Millis healthCheckDeadline(const EndpointConnection& connection) const;
   // Until when an idle connection may be used again.
   Millis idleDeadline(const EndpointConnection& connection) const;
 
+  // How many connections there are, whatever their state.
   std::size_t size() const { return connections_.size(); }
   // Whether a connection carries an attempt.
   bool hasAttempts() const;
--- a/src/delivery/delivery_log.h
+++ b/src/delivery/delivery_log.h
@@ -9,7 +9,8 @@
 // The log events of delivery (docs/log.md lists them). `now` is the event loop's time.
 namespace stonewing {
 
-// Writes the events of attempts and of their requests, with the endpoints by name.
+// Writes the events of attempts and of their requests, with the endpoints by name. Each function writes one
+// event of nearly its own name, from the state that its arguments have at the call. Nothing is changed.
 class DeliveryLog {
  public:
   // `discovery` must outlive the log.
--- a/src/delivery/endpoint_connection.h
+++ b/src/delivery/endpoint_connection.h
@@ -48,7 +48,8 @@
 
   EndpointId endpoint() const { return endpoint_; }
 
-  // The attempts of the current request; none for a health check, or while the connection is idle.
+  // The attempts of the current request, in its order; none for a health check, or while the connection is
+  // idle. References into it stay valid until the request ends or finished attempts are removed.
   std::vector<BatchedAttempt>& attempts() { return attempts_; }
   const std::vector<BatchedAttempt>& attempts() const { return attempts_; }
   void removeFinishedAttempts() {
@@ -60,6 +61,7 @@
                                              [](const BatchedAttempt& each) { return each.isFinished(); });
   }
 
+  // A connection with a start failure is due at once, and then reported as broken.
   StartFailure startFailure() const { return startFailure_; }
   bool hasFailedToStart() const { return startFailure_ != StartFailure::none; }
   void setStartFailure(StartFailure failure) { startFailure_ = failure; }
--- a/src/delivery/request_writer.h
+++ b/src/delivery/request_writer.h
@@ -16,6 +16,7 @@
 void addMessageRequest(HttpClientConnection& connection, const std::string& authority, Millis timeLeft,
                        const std::vector<const StoredMessage*>& messages);
 
+// Adds the request of a health check. `authority` is the Host header.
 void addHealthCheckRequest(HttpClientConnection& connection, const std::string& authority);
 
 }  // namespace stonewing
