--- a/tests/host_test.cpp
+++ b/tests/adapter/instance_host_test.cpp
@@ -1,8 +1,9 @@
+#include "adapter/instance_host.h"
+
 #include <gtest/gtest.h>
 
 #include <cstring>
 
-#include "adapter/instance_host.h"
 #include "settings/settings_reader.h"
 
 namespace stonewing {
--- a/tests/calls_test.cpp
+++ b/tests/delivery/attempt_sender_test.cpp
@@ -1,17 +1,18 @@
 // Calls of several messages, with the rules, the book and the loop of a dispatcher around them and an
 // endpoint that the test answers for. Withdrawals are handed in as decisions, so that the outcome does not
 // hang on the clock.
+#include "delivery/attempt_sender.h"
+
 #include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/resource.h>
 
 #include <nlohmann/json.hpp>
 
-#include "bench_free.h"
-#include "delivery/attempt_sender.h"
 #include "discovery/discovery_client.h"
 #include "settings/settings_reader.h"
 #include "storage/message_store.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/net_test.cpp
+++ b/tests/delivery/delivery_test.cpp
@@ -7,12 +7,12 @@
 #include <sstream>
 
 #include "base/bytes.h"
-#include "bench_free.h"
 #include "dispatcher/dispatcher.h"
 #include "logging/log.h"
 #include "net/http_client_connection.h"
 #include "server/resp_server.h"
 #include "storage/message_store.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/crossings_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,14 +1,15 @@
 // Two events that meet at the wrong instant, forced: the parts of the dispatcher are driven on a loop that
 // the test turns, so that the order of the two is set. docs/sockets.md has the table.
+#include "discovery/discovery_client.h"
+
 #include <gtest/gtest.h>
 #include <poll.h>
 
 #include <nlohmann/json.hpp>
 
 #include "base/bytes.h"
-#include "bench_free.h"
-#include "discovery/discovery_client.h"
 #include "server/resp_server.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 
 #include "base/bytes.h"
-#include "bench_free.h"
+#include "support/policy_harness.h"
 #include "lab/audit.h"
 #include "lab/clients.h"
 #include "lab/compare.h"
--- a/tests/rules_test.cpp
+++ b/tests/policy/rate_pacer_test.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "bench_free.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/model_test.cpp
+++ b/tests/policy/reference_model_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <set>
 
-#include "bench_free.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/cold_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -7,7 +7,7 @@
 #include <queue>
 #include <random>
 
-#include "bench_free.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/admission_test.cpp
+++ b/tests/policy/wait_queue_test.cpp
@@ -1,12 +1,13 @@
 // Our own overload: what is turned away and when, and the lines in which messages wait.
+#include "policy/wait_queue.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <set>
 
 #include "admission/admission_controller.h"
-#include "bench_free.h"
-#include "policy/wait_queue.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
--- a/tests/rooms_test.cpp
+++ b/tests/policy/zone_failover_test.cpp
@@ -1,11 +1,12 @@
 // Zones: which is believed lost, what strangers may take of another, and how one that returns is fed.
+#include "policy/zone_failover.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include "base/bytes.h"
-#include "bench_free.h"
-#include "policy/zone_failover.h"
 #include "settings/settings_reader.h"
+#include "support/policy_harness.h"
 
 namespace stonewing::testing {
 namespace {
