--- /dev/null
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -0,0 +1,214 @@
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <string>
+#include <string_view>
+
+#include "settings/settings_reader.h"
+#include "storage/message_store.h"
+#include "support/temporary_directory.h"
+
+// Journals that the program of commit 4dcfc7e wrote, byte for byte, are read by the present one: a dispatcher
+// that is upgraded goes on with what its predecessor left. The bytes were written by that program's message
+// store, with the messages that recordMessages() below records; the file of version 1 began with a record
+// with that version's CRC-32, so that the program went on in version 1.
+namespace stonewing::testing {
+namespace {
+
+// A head ("SWJ" and the version), then records with an XXH3 checksum.
+constexpr std::string_view kVersionTwoHex =
+    "53574a02580000004ad0646d01010000000004e41205ae79420200000032610b000000696e2d666c696768742d312400"
+    "0000633d6f726465722c743d736f7574682c643d383030302c6b3d356330662c646573743d370a0000006c616d702037"
+    "0d0a00ff4000000045ffc8bb010200000000500f1105ae79420200000030300b00000064656c6976657265642d321500"
+    "0000633d7374617475732c643d3530302c646573743d3901000000783b000000ec78f629010300000000600f1105ae79"
+    "4202000000303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c"
+    "00000028071acf010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f726465"
+    "722c643d3530302c646573743d3901000000783f0000009e1a96ec010500000000800f1105ae79420200000030300b00"
+    "0000636f6e6669726d65642d3514000000633d6f726465722c643d3530302c646573743d390100000078510000007920"
+    "79b301060000000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c69676874"
+    "2d3619000000633d7374617475732c643d312e352c646573743d36353533350000000019000000986a601a0201000000"
+    "03000000732d31070001010048f61005ae79420019000000e2b1911e020100000003000000732d3207000000008cfc10"
+    "05ae79420019000000e7ec51d7020200000003000000732d330900000000c0021105ae79420009000000019ab0650301"
+    "0000000000000005000000bd6c7ff80502000000180000005d051f2d040300000006000000736865642d330200000000"
+    "00506f401a000000fa301e120404000000080000006661696c65642d340100000000000000001d000000f2ad8a4d0405"
+    "0000000b000000636f6e6669726d65642d3501000000000000000005000000976d90230505000000";
+
+// No head, and records with a CRC-32 checksum.
+constexpr std::string_view kVersionOneHex =
+    "58000000c15bc4e001010000000004e41205ae79420200000032610b000000696e2d666c696768742d3124000000633d"
+    "6f726465722c743d736f7574682c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d0a00ff"
+    "400000005fbf52dd010200000000500f1105ae79420200000030300b00000064656c6976657265642d3215000000633d"
+    "7374617475732c643d3530302c646573743d3901000000783b00000064bcd223010300000000600f1105ae7942020000"
+    "00303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c000000f7"
+    "b6fac6010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f726465722c643d"
+    "3530302c646573743d3901000000783f000000249f9a3a010500000000800f1105ae79420200000030300b000000636f"
+    "6e6669726d65642d3514000000633d6f726465722c643d3530302c646573743d39010000007851000000054011210106"
+    "0000000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c696768742d361900"
+    "0000633d7374617475732c643d312e352c646573743d363535333500000000190000001c179db2020100000003000000"
+    "732d31070001010048f61005ae79420019000000ba902cba020100000003000000732d3207000000008cfc1005ae7942"
+    "0019000000d791f404020200000003000000732d330900000000c0021105ae79420009000000f5282e13030100000000"
+    "00000005000000e6b0cba405020000001800000084b2eca9040300000006000000736865642d33020000000000506f40"
+    "1a000000121148890404000000080000006661696c65642d340100000000000000001d000000310624ce04050000000b"
+    "000000636f6e6669726d65642d35010000000000000000050000005f881c390505000000";
+
+constexpr const char* kSettings = R"({"request-classes":[
+    {"name":"status","aim-s":1,"deadline-s":10,"effect":"safe"},
+    {"name":"order","aim-s":1,"deadline-s":10,"effect":"unsafe"}],
+  "orgs":[{"name":"north","quota-per-s":5},{"name":"south","quota-per-s":5}],
+  "family-info":{"call-slots":6,"per-call":[1,20]},"kinds":["plain","many"],"zones":["a","b"],
+  "limits":{"open-cap":50,"max-attempts":5,"cancel":true,"conn-idle-s":10,"connect-timeout-s":1.5},
+  "rules":{"cold-from":0.2,"cold-s":10,"fall-multiple":2,"fall-s":1.5}})";
+
+constexpr std::size_t kMaxBytes = 60000;
+
+std::string bytesOf(std::string_view hex) {
+  std::string bytes;
+  for (std::size_t at = 0; at < hex.size(); at += 2) {
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(at, 2)), nullptr, 16)));
+  }
+  return bytes;
+}
+
+std::string readFile(const std::filesystem::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  return std::string(std::istreambuf_iterator<char>(file), {});
+}
+
+// What the journals hold: six messages, each record type, and every field with a value of its own.
+void recordMessages(MessageStore& store) {
+  auto accept = [&](const char* orderingKey, const char* reference, const char* fields,
+                    const std::string& body, Millis wall) {
+    return *store.accept(store.decode(orderingKey, reference, fields, body, wall));
+  };
+  MessageId attempted = accept("2a", "in-flight-1", "c=order,t=south,d=8000,k=5c0f,dest=7",
+                               std::string("lamp 7\r\n\0\xff", 10), 1764700000000.25);
+  MessageId delivered = accept("00", "delivered-2", "c=status,d=500,dest=9", "x", 1764700000001);
+  MessageId shed = accept("00", "shed-3", "c=status,d=500,dest=9", "x", 1764700000002);
+  MessageId failed = accept("00", "failed-4", "c=order,d=500,dest=9", "x", 1764700000003);
+  MessageId confirmed = accept("00", "confirmed-5", "c=order,d=500,dest=9", "x", 1764700000004);
+  accept("ffffffffffffffff", "in-flight-6", "c=status,d=1.5,dest=65535", "", 1764700000005);
+  store.commit();
+  store.recordAttempt(attempted, {"s-1", DestinationId{7}, KindId{1}, ZoneId{1}}, 1764700000100.5);
+  store.recordAttempt(attempted, {"s-2", DestinationId{7}, KindId{0}, ZoneId{0}}, 1764700000200.75);
+  store.recordAttempt(delivered, {"s-3", DestinationId{9}, KindId{0}, ZoneId{0}}, 1764700000300);
+  store.recordNotExecuted(attempted, 0);
+  store.commit();
+  store.recordDelivered(delivered);
+  store.addPendingNotification(shed, FinalOutcome::shed, 250.5);
+  store.addPendingNotification(failed, FinalOutcome::failed, 0);
+  store.addPendingNotification(confirmed, FinalOutcome::failed, 0);
+  store.confirmNotification(confirmed);
+  store.commit();
+}
+
+void expectAttempt(const AttemptRecord& attempt, const EndpointRecord& endpoint, Millis sentWall,
+                   bool provablyNotExecuted) {
+  EXPECT_EQ(attempt.endpoint.name, endpoint.name);
+  EXPECT_EQ(attempt.endpoint.destination, endpoint.destination);
+  EXPECT_EQ(attempt.endpoint.kind, endpoint.kind);
+  EXPECT_EQ(attempt.endpoint.zone, endpoint.zone);
+  EXPECT_EQ(attempt.sentWall, sentWall);
+  EXPECT_EQ(attempt.provablyNotExecuted, provablyNotExecuted);
+  EXPECT_TRUE(attempt.journaled);
+}
+
+void expectAttemptedMessage(const StoredMessage& message) {
+  EXPECT_EQ(message.reference, "in-flight-1");
+  EXPECT_EQ(message.idempotencyKey, "5c0f");
+  EXPECT_EQ(*message.body, std::string("lamp 7\r\n\0\xff", 10));
+  EXPECT_EQ(message.type, TrafficTypeId{1});
+  EXPECT_EQ(message.tenant, TenantId{1});
+  EXPECT_EQ(message.orderingKey, OrderingKey{0x2a});
+  EXPECT_EQ(message.destination, DestinationId{7});
+  EXPECT_EQ(message.deadlineWall, 1764700008000.25);
+  ASSERT_EQ(message.attempts.size(), 2u);
+  expectAttempt(message.attempts[0], {"s-1", DestinationId{7}, KindId{1}, ZoneId{1}}, 1764700000100.5, true);
+  expectAttempt(message.attempts[1], {"s-2", DestinationId{7}, KindId{0}, ZoneId{0}}, 1764700000200.75,
+                false);
+}
+
+void expectMinimalMessage(const StoredMessage& message) {
+  EXPECT_EQ(message.reference, "in-flight-6");
+  EXPECT_EQ(message.idempotencyKey, "");
+  EXPECT_EQ(*message.body, "");
+  EXPECT_EQ(message.type, TrafficTypeId{0});
+  EXPECT_EQ(message.tenant, TenantId{0});
+  EXPECT_EQ(message.orderingKey, OrderingKey{0xffffffffffffffff});
+  EXPECT_EQ(message.destination, DestinationId{65535});
+  EXPECT_EQ(message.deadlineWall, 1764700000006.5);
+  EXPECT_TRUE(message.attempts.empty());
+}
+
+void expectNotification(const OutcomeNotification& notification, const char* reference, FinalOutcome result,
+                        Millis retryAfter) {
+  EXPECT_EQ(notification.reference, reference);
+  EXPECT_EQ(notification.result, result);
+  EXPECT_EQ(notification.retryAfter, retryAfter);
+}
+
+void expectRecordedMessages(const MessageStore& store) {
+  ASSERT_EQ(store.inFlight().size(), 2u);
+  ASSERT_TRUE(store.inFlight().contains(MessageId{1}));
+  ASSERT_TRUE(store.inFlight().contains(MessageId{6}));
+  expectAttemptedMessage(store.inFlight().at(MessageId{1}));
+  expectMinimalMessage(store.inFlight().at(MessageId{6}));
+  ASSERT_EQ(store.pendingNotifications().size(), 2u);
+  ASSERT_TRUE(store.pendingNotifications().contains(MessageId{3}));
+  ASSERT_TRUE(store.pendingNotifications().contains(MessageId{4}));
+  expectNotification(store.pendingNotifications().at(MessageId{3}), "shed-3", FinalOutcome::shed, 250.5);
+  expectNotification(store.pendingNotifications().at(MessageId{4}), "failed-4", FinalOutcome::failed, 0);
+  EXPECT_EQ(store.idOf("in-flight-1"), MessageId{1});
+  EXPECT_EQ(store.idOf("in-flight-6"), MessageId{6});
+}
+
+class JournalCompatibility : public ::testing::TestWithParam<std::string_view> {};
+INSTANTIATE_TEST_SUITE_P(Versions, JournalCompatibility, ::testing::Values(kVersionOneHex, kVersionTwoHex));
+
+TEST_P(JournalCompatibility, RestoresEveryFieldOfAnEarlierJournal) {
+  TemporaryDirectory directory;
+  const std::string bytes = bytesOf(GetParam());
+  std::ofstream(directory.path / "journal", std::ios::binary) << bytes;
+  NameTables names = readNameTables(kSettings);
+  MessageStore store(names, directory.path.string(), kMaxBytes);
+  EXPECT_EQ(store.restore(), 0u);
+  expectRecordedMessages(store);
+  EXPECT_EQ(readFile(directory.path / "journal"), bytes);  // reading alone changes nothing
+  // The ids of the earlier process are not used again.
+  EXPECT_EQ(store.accept(store.decode("0", "next", "c=status,d=1,dest=1", "", 0)), MessageId{7});
+}
+
+// What an earlier process left is read after this one has appended to it, too.
+TEST_P(JournalCompatibility, RestoresAnEarlierJournalThatThisProgramAppendedTo) {
+  TemporaryDirectory directory;
+  std::ofstream(directory.path / "journal", std::ios::binary) << bytesOf(GetParam());
+  NameTables names = readNameTables(kSettings);
+  {
+    MessageStore store(names, directory.path.string(), kMaxBytes);
+    store.restore();
+    auto added = store.accept(store.decode("0", "added-7", "c=status,d=1,dest=1", "new", 0));
+    ASSERT_TRUE(added.has_value());
+    store.commit();
+    store.recordDelivered(*added);
+    store.commit();
+  }
+  EXPECT_GT(readFile(directory.path / "journal").size(), bytesOf(GetParam()).size());
+  MessageStore restored(names, directory.path.string(), kMaxBytes);
+  EXPECT_EQ(restored.restore(), 0u);
+  expectRecordedMessages(restored);
+}
+
+// A program that goes back to the earlier build must be able to read what this one writes.
+TEST(JournalFormat, IsTheSameByteForByteAsThatOfTheEarlierProgram) {
+  TemporaryDirectory directory;
+  NameTables names = readNameTables(kSettings);
+  MessageStore store(names, directory.path.string(), kMaxBytes);
+  store.restore();
+  recordMessages(store);
+  EXPECT_EQ(readFile(directory.path / "journal"), bytesOf(kVersionTwoHex));
+}
+
+}  // namespace
+}  // namespace stonewing::testing
