--- a/tests/dispatcher/config_test.cpp
+++ b/tests/dispatcher/config_test.cpp
@@ -8,6 +8,7 @@
 #include "support/dispatcher_settings.h"
 #include "support/temporary_directory.h"
 
+// Configurations that cannot be used.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/dispatcher/descriptor_budget_test.cpp
+++ b/tests/dispatcher/descriptor_budget_test.cpp
@@ -14,6 +14,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
+// How the descriptors of a process are shared out, and that no purpose takes those of another.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/dispatcher/lifecycle_test.cpp
+++ b/tests/dispatcher/lifecycle_test.cpp
@@ -1,6 +1,5 @@
 #include <gtest/gtest.h>
 
-#include <atomic>
 #include <chrono>
 #include <string>
 #include <thread>
@@ -10,6 +9,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
+// The end of a dispatcher on SIGTERM: it drains, finishes and keeps the rest in its journal.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/dispatcher/reload_test.cpp
+++ b/tests/dispatcher/reload_test.cpp
@@ -1,6 +1,5 @@
 #include <gtest/gtest.h>
 
-#include <atomic>
 #include <chrono>
 #include <string>
 #include <thread>
--- a/tests/dispatcher/repeated_kills_test.cpp
+++ b/tests/dispatcher/repeated_kills_test.cpp
@@ -1,6 +1,5 @@
 #include <gtest/gtest.h>
 
-#include <atomic>
 #include <chrono>
 #include <random>
 #include <set>
@@ -15,6 +14,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
+// A dispatcher that is killed twenty times while it delivers.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/dispatcher/restart_test.cpp
+++ b/tests/dispatcher/restart_test.cpp
@@ -7,7 +7,6 @@
 #include <iostream>
 #include <string>
 #include <thread>
-#include <vector>
 
 #include "net/event_loop.h"
 #include "settings/settings_reader.h"
--- a/tests/logging/log_test.cpp
+++ b/tests/logging/log_test.cpp
@@ -8,6 +8,7 @@
 
 #include "base/errors.h"
 
+// Lines of the log in the text and the JSON format.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/server/client_connections_test.cpp
+++ b/tests/server/client_connections_test.cpp
@@ -1,7 +1,6 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <atomic>
 #include <chrono>
 #include <string>
 #include <thread>
@@ -40,21 +39,20 @@
   ::close(silent);
 }
 
-TEST(ClientConnections, GetOneErrorForMalformedInputAndOthersAreServed) {
-  HttpServerStub platform(confirmNotifications);
-  platform.start();
-  DispatcherProcess dispatcher(kDispatcherSettings, endpointList(platform, "plain", "terminating"),
-                               platform.address(), R"({"sockets":60,"disk_mb":0.2})");
-  ASSERT_TRUE(dispatcher.start());
-  std::string list = "c=status,d=900,dest=7";
+const std::string kFields = "c=status,d=900,dest=7";
+
+void expectOneErrorForMalformedInput(const DispatcherProcess& dispatcher) {
   for (const std::string& malformed :
        {std::string("GET / HTTP/1.1\r\n\r\n"), respCommand({"FLUSHALL"}),
-        submitCommand("a", "c=status,d=x,dest=7"), submitCommand("a b", list),
-        std::string("*5\r\n$70000\r\n"), submitCommand("a", list, std::string(65537, 'x'))}) {
+        submitCommand("a", "c=status,d=x,dest=7"), submitCommand("a b", kFields),
+        std::string("*5\r\n$70000\r\n"), submitCommand("a", kFields, std::string(65537, 'x'))}) {
     std::string answer = dispatcher.request(malformed + respCommand({"PING"}), 9);
     EXPECT_TRUE(answer.starts_with("-ERR ") && std::count(answer.begin(), answer.end(), '\n') == 1) << answer;
   }
-  // Clients that submit once and keep their connection evict none that has just connected.
+}
+
+// Clients that submit once and keep their connection evict none that has just connected.
+void expectNewClientIsNotEvictedByIdleOnes(const DispatcherProcess& dispatcher) {
   int fresh = connectToLoopback(dispatcher.port());
   char reply[8] = {};
   sendBytes(fresh, respCommand({"PING"}));
@@ -62,43 +60,67 @@
   std::vector<int> kept;
   for (int n = 0; n < 30; ++n) {
     sendBytes(kept.emplace_back(connectToLoopback(dispatcher.port())),
-              submitCommand("kept" + std::to_string(n), list));
+              submitCommand("kept" + std::to_string(n), kFields));
     EXPECT_EQ(::recv(kept.back(), reply, 5, MSG_WAITALL), 5);
   }
-  sendBytes(fresh, submitCommand("fresh", list));
+  sendBytes(fresh, submitCommand("fresh", kFields));
   EXPECT_EQ(::recv(fresh, reply, 5, MSG_WAITALL), 5);
   for (int fd : kept) ::close(fd);
   ::close(fresh);
-  // More clients than there are descriptors: those between commands are evicted.
+}
+
+// More clients than there are descriptors: those between commands are evicted, and those that stop in the
+// middle of a command are not kept for long.
+void expectServiceWithMoreClientsThanDescriptors(const DispatcherProcess& dispatcher) {
   std::vector<int> idle;
   for (int n = 0; n < 60; ++n) idle.push_back(connectToLoopback(dispatcher.port()));
-  EXPECT_EQ(dispatcher.request(respCommand({"PING"}) + submitCommand("first", list), 2), "+PONG\r\n+OK\r\n");
+  EXPECT_EQ(dispatcher.request(respCommand({"PING"}) + submitCommand("first", kFields), 2),
+            "+PONG\r\n+OK\r\n");
   for (int fd : idle) ::close(fd);
-  // Clients that stop in the middle of a command are not kept for long.
   for (int& fd : idle) sendBytes(fd = connectToLoopback(dispatcher.port()), "*5\r\n$6");
   std::string late;
   EXPECT_TRUE(
       eventually(9000, [&] { return (late = dispatcher.request(respCommand({"PING"}))) == "+PONG\r\n"; }));
   for (int fd : idle) ::close(fd);
-  // A client that has not waited submits elsewhere: the message is not accepted. Stopped, the dispatcher
-  // finds the command and the end of the connection behind it at the same time.
+}
+
+// A client that has not waited submits elsewhere: the message is not accepted. Stopped, the dispatcher finds
+// the command and the end of the connection behind it at the same time.
+void expectNothingIsAcceptedFromAClientThatHasLeft(const DispatcherProcess& dispatcher) {
   dispatcher.sendSignal(SIGSTOP);
   std::thread resume([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(60));
     dispatcher.sendSignal(SIGCONT);
   });
   EXPECT_EQ(
-      dispatcher.request(submitCommand("left", list), 1, DispatcherProcess::AfterSending::shutDownWriting),
+      dispatcher.request(submitCommand("left", kFields), 1, DispatcherProcess::AfterSending::shutDownWriting),
       "-BUSY\r\n");
   resume.join();
-  // The disk has no capacity for two of these at any time.
-  EXPECT_EQ(dispatcher.request(submitCommand("big", list, std::string(65000, 'x')) +
-                                   submitCommand("big2", list, std::string(65000, 'x')),
+}
+
+// The disk has no capacity for two of these at any time.
+void expectRejectionOnlyWhileTheDiskIsFull(const DispatcherProcess& dispatcher, HttpServerStub& platform) {
+  EXPECT_EQ(dispatcher.request(submitCommand("big", kFields, std::string(65000, 'x')) +
+                                   submitCommand("big2", kFields, std::string(65000, 'x')),
                                2),
             "+OK\r\n-BUSY\r\n");
   EXPECT_TRUE(eventually(3000, [&] { return platform.requestsContaining("\"big\"") == 1; }));
   EXPECT_EQ(platform.requestsContaining("\"left\""), 0u);
-  EXPECT_EQ(dispatcher.request(submitCommand("big3", list, std::string(65000, 'x'))), "+OK\r\n");
+  EXPECT_EQ(dispatcher.request(submitCommand("big3", kFields, std::string(65000, 'x'))), "+OK\r\n");
+}
+
+// One process bears all of it, one thing after the other.
+TEST(ClientConnections, GetOneErrorForMalformedInputAndOthersAreServed) {
+  HttpServerStub platform(confirmNotifications);
+  platform.start();
+  DispatcherProcess dispatcher(kDispatcherSettings, endpointList(platform, "plain", "terminating"),
+                               platform.address(), R"({"sockets":60,"disk_mb":0.2})");
+  ASSERT_TRUE(dispatcher.start());
+  expectOneErrorForMalformedInput(dispatcher);
+  expectNewClientIsNotEvictedByIdleOnes(dispatcher);
+  expectServiceWithMoreClientsThanDescriptors(dispatcher);
+  expectNothingIsAcceptedFromAClientThatHasLeft(dispatcher);
+  expectRejectionOnlyWhileTheDiskIsFull(dispatcher, platform);
 }
 
 // Clients that are rejected with no time to retry would submit again at once and keep the surge up.
--- a/tests/server/resp_server_drain_test.cpp
+++ b/tests/server/resp_server_drain_test.cpp
@@ -2,8 +2,6 @@
 
 #include <cstddef>
 #include <string>
-#include <thread>
-#include <vector>
 
 #include "support/resp_commands.h"
 #include "support/resp_server_harness.h"
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -10,6 +10,7 @@
 #include "base/errors.h"
 #include "support/dispatcher_settings.h"
 
+// Settings as a deployment states them, and the errors that name what is wrong with them.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/storage/slow_disk_test.cpp
+++ b/tests/storage/slow_disk_test.cpp
@@ -1,6 +1,5 @@
 #include <gtest/gtest.h>
 
-#include <atomic>
 #include <chrono>
 #include <filesystem>
 #include <fstream>
@@ -12,6 +11,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
+// A dispatcher whose disk hangs, by a preloaded library that holds up its writes while a file "hang" exists.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/support/dispatcher_process.h
+++ b/tests/support/dispatcher_process.h
@@ -6,11 +6,14 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <filesystem>
 #include <fstream>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "support/loopback.h"
+#include "support/reserved_port.h"
 #include "support/temporary_directory.h"
 
 extern char** environ;
@@ -28,7 +31,6 @@
       : settings_(std::move(settings)),
         knownEndpoints_(std::move(knownEndpoints)),
         limits_(std::move(limits)),
-        port_(unusedPort()),
         configPath_((directory_.path / "config.json").string()) {
     writeConfig(configFor(discovery));
   }
@@ -40,10 +42,10 @@
 
   // Its configuration with that address of discovery.
   std::string configFor(const std::string& discovery) const {
-    return R"({"name":"n1","seed":"2a","listen":"127.0.0.1:)" + std::to_string(port_) + R"(","discovery":")" +
-           discovery + R"(","state":")" + directory_.path.string() + R"(","limits":)" + limits_ +
-           R"(,"known":{"version":1,"full":true,"servers":)" + knownEndpoints_ + R"(},"settings":)" +
-           settings_ + "}";
+    return R"({"name":"n1","seed":"2a","listen":"127.0.0.1:)" + std::to_string(port()) +
+           R"(","discovery":")" + discovery + R"(","state":")" + directory_.path.string() + R"(","limits":)" +
+           limits_ + R"(,"known":{"version":1,"full":true,"servers":)" + knownEndpoints_ +
+           R"(},"settings":)" + settings_ + "}";
   }
   void writeConfig(const std::string& configuration) const { std::ofstream(configPath_) << configuration; }
 
@@ -88,7 +90,7 @@
   // Sends bytes on a new connection and returns what it answers: until that many lines have come, or the end.
   std::string request(const std::string& bytes, int lines = 1,
                       AfterSending afterSending = AfterSending::keepOpen) const {
-    int fd = connectToLoopback(port_);
+    int fd = connectToLoopback(port());
     if (fd < 0) return "";
     sendBytes(fd, bytes);
     if (afterSending == AfterSending::shutDownWriting) ::shutdown(fd, SHUT_WR);
@@ -103,7 +105,7 @@
   }
 
   const std::filesystem::path& directory() const { return directory_.path; }
-  std::uint16_t port() const { return port_; }
+  std::uint16_t port() const { return port_.port(); }
   pid_t pid() const { return pid_; }
 
  private:
@@ -111,7 +113,7 @@
   std::string settings_;
   std::string knownEndpoints_;
   std::string limits_;
-  std::uint16_t port_;
+  ReservedPort port_;
   std::string configPath_;
   std::string preloadedLibrary_;
   pid_t pid_{-1};
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -5,7 +5,6 @@
 #include <algorithm>
 #include <cstdint>
 #include <map>
-#include <utility>
 #include <variant>
 #include <vector>
 
