--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -4,6 +4,7 @@
 #include <filesystem>
 #include <fstream>
 #include <iterator>
+#include <ostream>
 #include <string>
 #include <string_view>
 
@@ -20,44 +21,44 @@
 
 // A head ("SWJ" and the version), then records with an XXH3 checksum.
 constexpr std::string_view kVersionTwoHex =
-    "53574a02580000004ad0646d01010000000004e41205ae79420200000032610b000000696e2d666c696768742d312400"
-    "0000633d6f726465722c743d736f7574682c643d383030302c6b3d356330662c646573743d370a0000006c616d702037"
-    "0d0a00ff4000000045ffc8bb010200000000500f1105ae79420200000030300b00000064656c6976657265642d321500"
-    "0000633d7374617475732c643d3530302c646573743d3901000000783b000000ec78f629010300000000600f1105ae79"
-    "4202000000303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c"
-    "00000028071acf010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f726465"
-    "722c643d3530302c646573743d3901000000783f0000009e1a96ec010500000000800f1105ae79420200000030300b00"
-    "0000636f6e6669726d65642d3514000000633d6f726465722c643d3530302c646573743d390100000078510000007920"
-    "79b301060000000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c69676874"
-    "2d3619000000633d7374617475732c643d312e352c646573743d36353533350000000019000000986a601a0201000000"
-    "03000000732d31070001010048f61005ae79420019000000e2b1911e020100000003000000732d3207000000008cfc10"
-    "05ae79420019000000e7ec51d7020200000003000000732d330900000000c0021105ae79420009000000019ab0650301"
-    "0000000000000005000000bd6c7ff80502000000180000005d051f2d040300000006000000736865642d330200000000"
-    "00506f401a000000fa301e120404000000080000006661696c65642d340100000000000000001d000000f2ad8a4d0405"
-    "0000000b000000636f6e6669726d65642d3501000000000000000005000000976d90230505000000";
+    "53574a02570000006a2ff49a01010000000004e41205ae79420200000032610b000000696e2d666c696768742d312300"
+    "0000633d6f726465722c743d776573742c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d"
+    "0a00ff4000000045ffc8bb010200000000500f1105ae79420200000030300b00000064656c6976657265642d32150000"
+    "00633d7374617475732c643d3530302c646573743d3901000000783b000000ec78f629010300000000600f1105ae7942"
+    "02000000303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c00"
+    "000028071acf010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f72646572"
+    "2c643d3530302c646573743d3901000000783f0000009e1a96ec010500000000800f1105ae79420200000030300b0000"
+    "00636f6e6669726d65642d3514000000633d6f726465722c643d3530302c646573743d39010000007851000000792079"
+    "b301060000000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c696768742d"
+    "3619000000633d7374617475732c643d312e352c646573743d363535333500000000190000004fdcd414020100000003"
+    "000000732d31070001000048f61005ae79420019000000723ff0f6020100000003000000732d3208000001008cfc1005"
+    "ae79420019000000e7ec51d7020200000003000000732d330900000000c0021105ae79420009000000019ab065030100"
+    "00000000000005000000bd6c7ff80502000000180000005d051f2d040300000006000000736865642d33020000000000"
+    "506f401a000000fa301e120404000000080000006661696c65642d340100000000000000001d000000f2ad8a4d040500"
+    "00000b000000636f6e6669726d65642d3501000000000000000005000000976d90230505000000";
 
 // No head, and records with a CRC-32 checksum.
 constexpr std::string_view kVersionOneHex =
-    "58000000c15bc4e001010000000004e41205ae79420200000032610b000000696e2d666c696768742d3124000000633d"
-    "6f726465722c743d736f7574682c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d0a00ff"
-    "400000005fbf52dd010200000000500f1105ae79420200000030300b00000064656c6976657265642d3215000000633d"
-    "7374617475732c643d3530302c646573743d3901000000783b00000064bcd223010300000000600f1105ae7942020000"
-    "00303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c000000f7"
-    "b6fac6010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f726465722c643d"
-    "3530302c646573743d3901000000783f000000249f9a3a010500000000800f1105ae79420200000030300b000000636f"
-    "6e6669726d65642d3514000000633d6f726465722c643d3530302c646573743d39010000007851000000054011210106"
-    "0000000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c696768742d361900"
-    "0000633d7374617475732c643d312e352c646573743d363535333500000000190000001c179db2020100000003000000"
-    "732d31070001010048f61005ae79420019000000ba902cba020100000003000000732d3207000000008cfc1005ae7942"
-    "0019000000d791f404020200000003000000732d330900000000c0021105ae79420009000000f5282e13030100000000"
-    "00000005000000e6b0cba405020000001800000084b2eca9040300000006000000736865642d33020000000000506f40"
-    "1a000000121148890404000000080000006661696c65642d340100000000000000001d000000310624ce04050000000b"
-    "000000636f6e6669726d65642d35010000000000000000050000005f881c390505000000";
+    "57000000f74409a801010000000004e41205ae79420200000032610b000000696e2d666c696768742d3123000000633d"
+    "6f726465722c743d776573742c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d0a00ff40"
+    "0000005fbf52dd010200000000500f1105ae79420200000030300b00000064656c6976657265642d3215000000633d73"
+    "74617475732c643d3530302c646573743d3901000000783b00000064bcd223010300000000600f1105ae794202000000"
+    "303006000000736865642d3315000000633d7374617475732c643d3530302c646573743d3901000000783c000000f7b6"
+    "fac6010400000000700f1105ae7942020000003030080000006661696c65642d3414000000633d6f726465722c643d35"
+    "30302c646573743d3901000000783f000000249f9a3a010500000000800f1105ae79420200000030300b000000636f6e"
+    "6669726d65642d3514000000633d6f726465722c643d3530302c646573743d3901000000785100000005401121010600"
+    "00000068f01005ae794210000000666666666666666666666666666666660b000000696e2d666c696768742d36190000"
+    "00633d7374617475732c643d312e352c646573743d36353533350000000019000000227c5f5d02010000000300000073"
+    "2d31070001000048f61005ae79420019000000b12e9e72020100000003000000732d3208000001008cfc1005ae794200"
+    "19000000d791f404020200000003000000732d330900000000c0021105ae79420009000000f5282e1303010000000000"
+    "000005000000e6b0cba405020000001800000084b2eca9040300000006000000736865642d33020000000000506f401a"
+    "000000121148890404000000080000006661696c65642d340100000000000000001d000000310624ce04050000000b00"
+    "0000636f6e6669726d65642d35010000000000000000050000005f881c390505000000";
 
 constexpr const char* kSettings = R"({"request-classes":[
     {"name":"status","aim-s":1,"deadline-s":10,"effect":"safe"},
     {"name":"order","aim-s":1,"deadline-s":10,"effect":"unsafe"}],
-  "orgs":[{"name":"north","quota-per-s":5},{"name":"south","quota-per-s":5}],
+  "orgs":[{"name":"north","quota-per-s":5},{"name":"south","quota-per-s":5},{"name":"west","quota-per-s":5}],
   "family-info":{"call-slots":6,"per-call":[1,20]},"kinds":["plain","many"],"zones":["a","b"],
   "limits":{"open-cap":50,"max-attempts":5,"cancel":true,"conn-idle-s":10,"connect-timeout-s":1.5},
   "rules":{"cold-from":0.2,"cold-s":10,"fall-multiple":2,"fall-s":1.5}})";
@@ -83,7 +84,7 @@
                     const std::string& body, Millis wall) {
     return *store.accept(store.decode(orderingKey, reference, fields, body, wall));
   };
-  MessageId attempted = accept("2a", "in-flight-1", "c=order,t=south,d=8000,k=5c0f,dest=7",
+  MessageId attempted = accept("2a", "in-flight-1", "c=order,t=west,d=8000,k=5c0f,dest=7",
                                std::string("lamp 7\r\n\0\xff", 10), 1764700000000.25);
   MessageId delivered = accept("00", "delivered-2", "c=status,d=500,dest=9", "x", 1764700000001);
   MessageId shed = accept("00", "shed-3", "c=status,d=500,dest=9", "x", 1764700000002);
@@ -91,8 +92,8 @@
   MessageId confirmed = accept("00", "confirmed-5", "c=order,d=500,dest=9", "x", 1764700000004);
   accept("ffffffffffffffff", "in-flight-6", "c=status,d=1.5,dest=65535", "", 1764700000005);
   store.commit();
-  store.recordAttempt(attempted, {"s-1", DestinationId{7}, KindId{1}, ZoneId{1}}, 1764700000100.5);
-  store.recordAttempt(attempted, {"s-2", DestinationId{7}, KindId{0}, ZoneId{0}}, 1764700000200.75);
+  store.recordAttempt(attempted, {"s-1", DestinationId{7}, KindId{1}, ZoneId{0}}, 1764700000100.5);
+  store.recordAttempt(attempted, {"s-2", DestinationId{8}, KindId{0}, ZoneId{1}}, 1764700000200.75);
   store.recordAttempt(delivered, {"s-3", DestinationId{9}, KindId{0}, ZoneId{0}}, 1764700000300);
   store.recordNotExecuted(attempted, 0);
   store.commit();
@@ -120,13 +121,13 @@
   EXPECT_EQ(message.idempotencyKey, "5c0f");
   EXPECT_EQ(*message.body, std::string("lamp 7\r\n\0\xff", 10));
   EXPECT_EQ(message.type, TrafficTypeId{1});
-  EXPECT_EQ(message.tenant, TenantId{1});
+  EXPECT_EQ(message.tenant, TenantId{2});
   EXPECT_EQ(message.orderingKey, OrderingKey{0x2a});
   EXPECT_EQ(message.destination, DestinationId{7});
   EXPECT_EQ(message.deadlineWall, 1764700008000.25);
   ASSERT_EQ(message.attempts.size(), 2u);
-  expectAttempt(message.attempts[0], {"s-1", DestinationId{7}, KindId{1}, ZoneId{1}}, 1764700000100.5, true);
-  expectAttempt(message.attempts[1], {"s-2", DestinationId{7}, KindId{0}, ZoneId{0}}, 1764700000200.75,
+  expectAttempt(message.attempts[0], {"s-1", DestinationId{7}, KindId{1}, ZoneId{0}}, 1764700000100.5, true);
+  expectAttempt(message.attempts[1], {"s-2", DestinationId{8}, KindId{0}, ZoneId{1}}, 1764700000200.75,
                 false);
 }
 
@@ -164,12 +165,22 @@
   EXPECT_EQ(store.idOf("in-flight-6"), MessageId{6});
 }
 
-class JournalCompatibility : public ::testing::TestWithParam<std::string_view> {};
-INSTANTIATE_TEST_SUITE_P(Versions, JournalCompatibility, ::testing::Values(kVersionOneHex, kVersionTwoHex));
+struct EarlierJournal {
+  const char* version;
+  std::string_view hex;
+};
+// Failures print the version, not the whole file.
+void PrintTo(const EarlierJournal& journal, std::ostream* out) { *out << journal.version; }
+
+class JournalCompatibility : public ::testing::TestWithParam<EarlierJournal> {};
+INSTANTIATE_TEST_SUITE_P(Versions, JournalCompatibility,
+                         ::testing::Values(EarlierJournal{"VersionOne", kVersionOneHex},
+                                           EarlierJournal{"VersionTwo", kVersionTwoHex}),
+                         [](const auto& info) { return std::string(info.param.version); });
 
 TEST_P(JournalCompatibility, RestoresEveryFieldOfAnEarlierJournal) {
   TemporaryDirectory directory;
-  const std::string bytes = bytesOf(GetParam());
+  const std::string bytes = bytesOf(GetParam().hex);
   std::ofstream(directory.path / "journal", std::ios::binary) << bytes;
   NameTables names = readNameTables(kSettings);
   MessageStore store(names, directory.path.string(), kMaxBytes);
@@ -183,7 +194,7 @@
 // What an earlier process left is read after this one has appended to it, too.
 TEST_P(JournalCompatibility, RestoresAnEarlierJournalThatThisProgramAppendedTo) {
   TemporaryDirectory directory;
-  std::ofstream(directory.path / "journal", std::ios::binary) << bytesOf(GetParam());
+  std::ofstream(directory.path / "journal", std::ios::binary) << bytesOf(GetParam().hex);
   NameTables names = readNameTables(kSettings);
   {
     MessageStore store(names, directory.path.string(), kMaxBytes);
@@ -194,7 +205,7 @@
     store.recordDelivered(*added);
     store.commit();
   }
-  EXPECT_GT(readFile(directory.path / "journal").size(), bytesOf(GetParam()).size());
+  EXPECT_GT(readFile(directory.path / "journal").size(), bytesOf(GetParam().hex).size());
   MessageStore restored(names, directory.path.string(), kMaxBytes);
   EXPECT_EQ(restored.restore(), 0u);
   expectRecordedMessages(restored);
