--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # The tasks of this repository; README.md tells what each needs.
-.PHONY: build test lint run toy submit lab demo
+.PHONY: build test lint format run toy submit lab demo
 
 build:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release && cmake --build build -j4
@@ -8,10 +8,15 @@
 	bash scripts/needs
 	bash scripts/test
 
+# All linters, warnings as errors; `scripts/lint STEP` runs one of them.
 lint:
-	find src tests -name '*.cpp' -o -name '*.h' | sort | xargs clang-format --dry-run --Werror
+	bash scripts/lint
 
-# A dispatcher of the example configuration; `make toy` in another terminal is the world around it.
+# Rewrites what the formatters would complain of.
+format:
+	bash scripts/lint format
+
+# A dispatcher of the example configuration; `make toy` in another terminal starts what it talks to.
 run: build
 	mkdir -p example/state
 	build/stonewing serve --config example/config.json
@@ -22,11 +27,11 @@
 submit:
 	python3 example/toy.py submit
 
-# The laboratory (docs/lab.md).
+# The testbed (docs/lab.md).
 lab:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DSTONEWING_LAB=ON && cmake --build build -j4
 
-# From a bare machine: installs what is needed, builds, plays a short day of trouble, says where the report is.
+# From a bare machine: installs what is needed, builds, plays a short day of faults, says where the report is.
 demo:
 	bash scripts/needs
 	$(MAKE) --no-print-directory lab
