--- a/tests/check_terms_test.py
+++ b/tests/check_terms_test.py
@@ -71,6 +71,7 @@
         self.write(
             "src/net/a.cpp",
             "Buffer(const Buffer&) = delete;  // no copies: it holds the lock\n"
+            "// the writer gives up after a second, and the write is given up with it\n"
             "std::copy(row.begin(), row.end(), out);\nRoute route; AttemptRecord record; EventLoop loop;\n"
             "enum class Result { malformed };\nMillis heldUpFor();\n"
             "int windowSize = coldness;  // the relaunched header's bedroom\n",
