--- a/src/policy/zone_failover.cpp
+++ b/src/policy/zone_failover.cpp
@@ -6,298 +6,342 @@
 namespace stonewing {
 namespace {
 
-constexpr Millis kRateSpan = 10000;  // over which deliveries are counted
-constexpr int kFailures = 2;         // of an endpoint in a row that tell something of its zone
-constexpr double kAskedShare =
-    0.5;  // of what we were asked to bring: surges and repeats of clients count in it
-constexpr Millis kAskedLeast = 1000;
-constexpr double kLostShare = 0.5;   // of a zone's endpoints that fail, with nothing delivered there since
-constexpr std::size_t kLostFew = 3;  // or so many of them
-constexpr std::size_t kDestinations = 2;  // that they belong to: a dead destination is no dead zone
-constexpr double kProbeSpans =
-    1;  // overload windows between two health checks of a lost zone, doubled by each loss
-constexpr double kLossPart = 0.5;  // of where the last climb began, after a further loss
-constexpr int kLossesMost = 4;
-constexpr double kTogether =
-    2;  // attempts in a overload window by all dispatchers into a zone they know nothing of
-constexpr double kJitterLeast = 0.75;  // of a span; a half more at the most
-constexpr double kUnlistedFrom = 0.5;  // where a climb begins after the list alone had dropped the zone
-constexpr Millis kNever = 1e15;
+constexpr double kMillisPerSecond = 1000;
+// Time constant of the rates of deliveries, spillover and accepted messages: long enough to smooth over
+// single messages, short enough to follow a change of load.
+constexpr Millis kRateTimeConstant = 10000;
+// Consecutive failures of an endpoint from which they say something about its zone. One alone is no evidence.
+constexpr int kEvidentFailures = 2;
+// Part of the accepted messages' rate that a zone is expected to complete. Not all of it, since surges and
+// the clients' own retries count in it.
+constexpr double kExpectedShareOfAccepted = 0.5;
+// Shortest time over which accepted messages are averaged. Without it the first messages after the start
+// would count as an immense rate.
+constexpr Millis kMinAcceptedSpan = 1000;
+// Overload windows between two health checks of a lost zone; doubled by each further loss.
+constexpr double kHealthCheckOverloadWindows = 1;
+// Factor on the share at which a ramp starts, for each further loss without a completed ramp. A zone that
+// falls again was ramped up too fast.
+constexpr double kRampStartFactorPerLoss = 0.5;
+// Losses that count at most: more would stretch health checks and ramps without bound.
+constexpr int kMaxConsecutiveLosses = 4;
+// Attempts within one overload window that all dispatchers together may send into a zone of which they know
+// nothing.
+constexpr double kUnknownZoneAttempts = 2;
+// Share at which a ramp starts, at least, after the zone was only absent from the endpoint list: it did not
+// fail, but may have gone cold.
+constexpr double kRampStartAfterAbsence = 0.5;
+// Unused spillover capacity that may be used at once.
+constexpr Millis kSpilloverBurstSpan = 1000;
+// Intervals are multiplied by a random factor from kJitterMin to kJitterMin + kJitterRange, so that
+// dispatchers that lost a zone together do not come back to it together.
+constexpr double kJitterMin = 0.75;
+constexpr double kJitterRange = 0.5;
+constexpr double kRandomRange = 4294967296.0;  // 2^32, the values of std::mt19937
+
+Millis intervalAt(double perSecond) { return kMillisPerSecond / perSecond; }
 
 }  // namespace
 
-ZoneFailover::ZoneFailover(const DeploymentSettings& terms, std::uint64_t seed)
-    : settings_(terms.zoneFailover),
-      ownZone_(terms.zone),
-      maxConcurrentRequests_(terms.maxConcurrentRequests),
-      overloadWindow_(std::max(1.0, terms.overloadWindow)),
-      maxBacklogDelay_(terms.longestLatencyObjective()),
-      minimumPerSecond_(kTogether / overloadWindow_ * 1000 / terms.dispatcherCount),
-      chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {
-  if (settings_.recoveryRampDuration <= 0)
-    settings_.recoveryRampDuration = std::max(1.0, terms.slowStartDuration);
-  if (settings_.recoveryRampInitialShare <= 0)
-    settings_.recoveryRampInitialShare = terms.slowStartInitialShare;
-}
-
-int ZoneFailover::priority(DestinationId destination, ZoneId room) const {
-  if (!isEnabled()) return room != ownZone_;
-  auto at = settings_.destinations.find(destination);
-  const ZoneFailoverSettings::Priorities& tiers =
-      at == settings_.destinations.end() ? settings_.priorities : at->second;
-  for (std::size_t n = 0; n < tiers.size(); ++n) {
-    if (std::find(tiers[n].begin(), tiers[n].end(), room) != tiers[n].end()) return static_cast<int>(n);
+void ZoneFailover::DecayingCount::add(Millis now) {
+  value = 1 + value * std::exp(-(now - updatedAt) / kRateTimeConstant);
+  updatedAt = now;
+}
+
+double ZoneFailover::DecayingCount::perSecond() const { return value / kRateTimeConstant * kMillisPerSecond; }
+
+ZoneFailover::ZoneFailover(const DeploymentSettings& settings, std::uint64_t seed)
+    : settings_(settings.zoneFailover),
+      ownZone_(settings.zone),
+      maxConcurrentRequests_(settings.maxConcurrentRequests),
+      overloadWindow_(std::max(1.0, settings.overloadWindow)),
+      maxBacklogDelay_(settings.longestLatencyObjective()),
+      minimumPerSecond_(kUnknownZoneAttempts / overloadWindow_ * kMillisPerSecond / settings.dispatcherCount),
+      random_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {
+  if (settings_.recoveryRampDuration <= 0) {
+    settings_.recoveryRampDuration = std::max(1.0, settings.slowStartDuration);
+  }
+  if (settings_.recoveryRampInitialShare <= 0) {
+    settings_.recoveryRampInitialShare = settings.slowStartInitialShare;
+  }
+}
+
+// --- Zones, their priorities and their endpoints
+
+int ZoneFailover::priority(DestinationId destination, ZoneId zone) const {
+  if (!isEnabled()) return zone == ownZone_ ? 0 : 1;
+  auto own = settings_.destinations.find(destination);
+  const ZoneFailoverSettings::Priorities& priorities =
+      own == settings_.destinations.end() ? settings_.priorities : own->second;
+  for (std::size_t index = 0; index < priorities.size(); ++index) {
+    const std::vector<ZoneId>& equals = priorities[index];
+    if (std::find(equals.begin(), equals.end(), zone) != equals.end()) return static_cast<int>(index);
   }
-  return static_cast<int>(tiers.size());  // a zone that nobody named comes last
+  return static_cast<int>(priorities.size());  // a zone that nobody named comes last
+}
+
+const ZoneFailover::Zone* ZoneFailover::find(ZoneId zone) const {
+  auto found = zones_.find(zone);
+  return found == zones_.end() ? nullptr : &found->second;
+}
+
+ZoneId ZoneFailover::homeZoneOf(DestinationId destination) const {
+  auto found = homeZones_.find(destination);
+  return found == homeZones_.end() ? ownZone_ : found->second;
+}
+
+bool ZoneFailover::isForeign(DestinationId destination, ZoneId zone) const {
+  return isEnabled() && priority(destination, zone) > priority(destination, homeZoneOf(destination));
 }
 
 void ZoneFailover::beginEndpointList() {
-  for (auto& [id, r] : zones_) {
-    r.endpoints.clear();
-    r.destinations.clear();
-    r.waiting = 0;
+  for (auto& [id, zone] : zones_) {
+    zone.lossDetector.clearEndpoints();
+    zone.waitingMessages = 0;
   }
-  homes_.clear();
+  homeZones_.clear();
 }
 
-void ZoneFailover::addEndpoint(EndpointId endpoint, DestinationId destination, ZoneId room) {
-  Zone& r = zones_[room];
-  r.endpoints[endpoint] = destination;
-  r.destinations.insert(destination);
-  auto [at, fresh] = homes_.try_emplace(destination, room);
-  if (!fresh && priority(destination, room) < priority(destination, at->second)) at->second = room;
+void ZoneFailover::addEndpoint(EndpointId endpoint, DestinationId destination, ZoneId zone) {
+  zones_[zone].lossDetector.addEndpoint(endpoint, destination);
+  auto [home, isFirst] = homeZones_.try_emplace(destination, zone);
+  if (isFirst) return;
+  if (priority(destination, zone) < priority(destination, home->second)) home->second = zone;
 }
 
-// A zone that the list named no more for a while comes back as cold as one that was lost.
 void ZoneFailover::commitEndpointList(Millis now) {
-  for (const auto& [destination, many] : waiting_) zones_[homeZoneOf(destination)].waiting += many;
-  for (auto& [id, r] : zones_) {
-    std::erase_if(r.failing, [&](const auto& f) { return !r.endpoints.contains(f.first); });
-    if (r.endpoints.empty()) {
-      if (r.unlistedAt < 0) {
-        r.unlistedAt = now;
-        if (r.state == ZoneHealth::healthy) r.before = successesPerSecond(r);
-      }
-      continue;
-    }
-    bool was = r.unlistedAt >= 0 && now - r.unlistedAt > overloadWindow_ && r.before > 0;
-    r.unlistedAt = -1;
-    if (was && r.state == ZoneHealth::healthy) beginRamp(now, r, false);
-    updateHealth(now, r);
+  for (const auto& [destination, messages] : waitingMessages_) {
+    homeZoneStateOf(destination).waitingMessages += messages;
   }
+  for (auto& [id, zone] : zones_) commitZoneEndpoints(now, zone);
 }
 
-double ZoneFailover::successesPerSecond(const Zone& r) const { return r.done / kRateSpan * 1000; }
-
-// Danger: a dispatcher that starts while a zone is lost has delivered nothing there, and would shed all it is
-// given.
-double ZoneFailover::expectedPerSecond(const Zone& r) const {
-  double now = successesPerSecond(r) + r.away / kRateSpan * 1000;
-  double asked = r.asked / std::clamp(r.askedAt - began_, kAskedLeast, kRateSpan) * 1000;
-  now = std::max(now, kAskedShare * asked);
-  return r.state == ZoneHealth::healthy ? now : std::max(r.before, now);
+// A zone that was absent from the list for a while may come back as cold as one that was lost.
+void ZoneFailover::commitZoneEndpoints(Millis now, Zone& zone) {
+  zone.lossDetector.forgetUnlistedFailures();
+  if (!zone.lossDetector.hasEndpoints()) {
+    if (zone.unlistedAt) return;
+    zone.unlistedAt = now;
+    if (zone.health == ZoneHealth::healthy) zone.deliveriesPerSecondBeforeLoss = zone.deliveries.perSecond();
+    return;
+  }
+  bool wasAbsent = zone.unlistedAt && now - *zone.unlistedAt > overloadWindow_;
+  bool hadTraffic = zone.deliveriesPerSecondBeforeLoss > 0;
+  zone.unlistedAt.reset();
+  if (wasAbsent && hadTraffic && zone.health == ZoneHealth::healthy) {
+    beginRamp(now, zone, RampStart::afterAbsenceFromList);
+  }
+  updateHealth(now, zone);
 }
 
+// --- What happened
+
 void ZoneFailover::recordAccepted(Millis now, DestinationId destination) {
   if (!isEnabled()) return;
-  if (began_ < 0) began_ = now;
-  Zone& home = zones_[homeZoneOf(destination)];
-  home.asked = 1 + home.asked * std::exp(-(now - home.askedAt) / kRateSpan);
-  home.askedAt = now;
+  if (!firstAcceptedAt_) firstAcceptedAt_ = now;
+  homeZoneStateOf(destination).acceptedMessages.add(now);
 }
 
-bool ZoneFailover::recordAttempt(Millis now, DestinationId destination, ZoneId room) {
-  Zone& r = zones_[room];
-  if (isRamping(now, room)) {
-    // Attempts keep apart by what it is fed: across all its destinations together.
-    r.fedFrom = std::max(r.fedFrom, now) + 1000 / rampAttemptsPerSecond(now, room) * jitter();
-  }
-  if (!isSpillover(destination, room)) return false;
-  ++spilloverPending_;
-  Zone& home = zones_[homeZoneOf(destination)];
-  home.away = 1 + home.away * std::exp(-(now - home.awayAt) / kRateSpan);
-  home.awayAt = now;
-  // A second's worth may go at once, as long as it was not used before.
-  double perSecond = spilloverPerSecond(homeZoneOf(destination), room);
-  r.strangersFrom = std::max(r.strangersFrom, now - 1000) + 1000 / perSecond;
+void ZoneFailover::addWaiting(DestinationId destination, int change) {
+  if (!isEnabled()) return;
+  waitingMessages_[destination] += change;
+  homeZoneStateOf(destination).waitingMessages += change;
+}
+
+bool ZoneFailover::recordAttempt(Millis now, DestinationId destination, ZoneId zoneId) {
+  Zone& zone = zones_[zoneId];
+  if (isRamping(now, zoneId)) countRampAttempt(now, zoneId);
+  if (!isSpillover(destination, zoneId)) return false;
+  ++pendingSpilloverAttempts_;
+  ZoneId home = homeZoneOf(destination);
+  zones_[home].spilloverAttempts.add(now);
+  Millis interval = intervalAt(spilloverPerSecond(home, zoneId));
+  zone.nextSpilloverAt = std::max(zone.nextSpilloverAt, now - kSpilloverBurstSpan) + interval;
   return true;
 }
 
-void ZoneFailover::addWaiting(DestinationId destination, int more) {
-  if (!isEnabled()) return;
-  waiting_[destination] += more;
-  zones_[homeZoneOf(destination)].waiting += more;
+void ZoneFailover::recordHealthCheck(Millis now, ZoneId zoneId) {
+  Zone& zone = zones_[zoneId];
+  if (zone.health == ZoneHealth::lost) {
+    zone.nextHealthCheckAt = now + healthCheckInterval(zone) * drawJitter();
+  }
+  if (isRamping(now, zoneId)) countRampAttempt(now, zoneId);
 }
 
-void ZoneFailover::recordSuccess(Millis now, EndpointId endpoint, ZoneId room, bool delivered) {
+void ZoneFailover::recordSuccess(Millis now, EndpointId endpoint, ZoneId zoneId, bool delivered) {
   if (!isEnabled()) return;
-  Zone& r = zones_[room];
-  if (delivered) {
-    r.done = 1 + r.done * std::exp(-(now - r.doneAt) / kRateSpan);
-    r.doneAt = now;
-  }
-  r.workedAt = now;
-  r.failing.erase(endpoint);
-  if (r.state == ZoneHealth::lost) beginRamp(now, r, true);
-  if (r.state == ZoneHealth::ramping && now >= r.changedAt + settings_.recoveryRampDuration) {
-    r.state = ZoneHealth::healthy;
-    r.losses = 0;
+  Zone& zone = zones_[zoneId];
+  if (delivered) zone.deliveries.add(now);
+  zone.lossDetector.recordSuccess(now, endpoint);
+  if (zone.health == ZoneHealth::lost) beginRamp(now, zone, RampStart::afterLoss);
+  if (zone.health == ZoneHealth::ramping && now >= rampEnd(zone)) {
+    zone.health = ZoneHealth::healthy;
+    zone.consecutiveLosses = 0;
   }
 }
 
-void ZoneFailover::recordFailures(Millis now, EndpointId endpoint, DestinationId destination, ZoneId room,
-                                  int times) {
-  Zone& r = zones_[room];
-  // One that was taken off the list is no wonder, and one failure no evidence.
-  if (!isEnabled() || times < kFailures || !r.endpoints.contains(endpoint)) return;
-  if (r.failing.empty() || r.workedAt >= r.failingSince) r.failingSince = now;
-  r.failing[endpoint] = {destination, now};
-  updateHealth(now, r);
-}
-
-void ZoneFailover::recordHealthCheck(Millis now, ZoneId room) {
-  Zone& r = zones_[room];
-  if (r.state == ZoneHealth::lost) r.probeFrom = now + healthCheckInterval(r) * jitter();
-  if (isRamping(now, room))
-    r.fedFrom = std::max(r.fedFrom, now) + 1000 / rampAttemptsPerSecond(now, room) * jitter();
-}
-
-// Seen from here: endpoints of several destinations fail, and nothing there has worked since the first of
-// them did. A zone that still delivers, however little or late, is ill and not lost: its endpoints are passed
-// over one by one, and only what the others cannot take goes elsewhere.
-bool ZoneFailover::looksLost(const Zone& r) const {
-  if (r.failing.empty() || r.workedAt >= r.failingSince) return false;
-  std::set<DestinationId> destinations;
-  std::size_t failed = 0;
-  for (const auto& [endpoint, f] : r.failing) {
-    if (f.at < r.failingSince) continue;
-    ++failed;
-    destinations.insert(f.destination);
-  }
-  if (destinations.size() < std::min(kDestinations, r.destinations.size())) return false;
-  auto many = static_cast<double>(failed);
-  return failed >= kLostFew || many >= kLostShare * static_cast<double>(r.endpoints.size());
+void ZoneFailover::recordFailures(Millis now, EndpointId endpoint, DestinationId destination, ZoneId zoneId,
+                                  int consecutiveFailures) {
+  Zone& zone = zones_[zoneId];
+  if (!isEnabled() || consecutiveFailures < kEvidentFailures) return;
+  // An endpoint that is no longer listed is expected to fail.
+  if (!zone.lossDetector.hasEndpoint(endpoint)) return;
+  zone.lossDetector.recordFailing(now, endpoint, destination);
+  updateHealth(now, zone);
 }
 
-void ZoneFailover::updateHealth(Millis now, Zone& r) {
-  if (!isEnabled() || r.state == ZoneHealth::lost || !looksLost(r)) return;
-  if (r.state == ZoneHealth::healthy) r.before = successesPerSecond(r);
-  r.state = ZoneHealth::lost;
-  r.changedAt = now;
-  r.losses = std::min(r.losses + 1, kLossesMost);
-  r.probeFrom =
-      now + overloadWindow_ * kProbeSpans * jitter() + healthCheckInterval(r) * (jitter() - kJitterLeast);
+// --- Lost zones
+
+void ZoneFailover::updateHealth(Millis now, Zone& zone) {
+  if (!isEnabled() || zone.health == ZoneHealth::lost || !zone.lossDetector.indicatesLoss()) return;
+  if (zone.health == ZoneHealth::healthy) zone.deliveriesPerSecondBeforeLoss = zone.deliveries.perSecond();
+  zone.health = ZoneHealth::lost;
+  zone.healthChangedAt = now;
+  zone.consecutiveLosses = std::min(zone.consecutiveLosses + 1, kMaxConsecutiveLosses);
+  // Two draws: the pause before the first health check, and each dispatcher's own place within an interval.
+  Millis pause = overloadWindow_ * kHealthCheckOverloadWindows * drawJitter();
+  Millis offset = healthCheckInterval(zone) * (drawJitter() - kJitterMin);
+  zone.nextHealthCheckAt = now + pause + offset;
 }
 
-// Something answers there again. It is cold, and all that was spilled would come home in one moment.
-void ZoneFailover::beginRamp(Millis now, Zone& r, bool slowly) {
-  r.state = ZoneHealth::ramping;
-  r.slowly = slowly;
-  r.changedAt = now;
-  r.fedFrom = now;
-  r.failingSince = now;
+bool ZoneFailover::isLost(ZoneId zoneId) const {
+  const Zone* zone = find(zoneId);
+  if (zone == nullptr || zone->health != ZoneHealth::lost) return false;
+  return std::any_of(zones_.begin(), zones_.end(), [](const auto& other) {
+    return other.second.health != ZoneHealth::lost && other.second.lossDetector.hasEndpoints();
+  });
 }
 
-// Danger: the health checks of hundreds of dispatchers alone push a zone over that has just come back. Each
-// keeps to its part of what the zone takes when it is cold.
-Millis ZoneFailover::healthCheckInterval(const Zone& r) {
-  Millis part = 1000 / std::max(minimumPerSecond_, expectedPerSecond(r) * settings_.recoveryRampInitialShare);
-  return std::max(overloadWindow_ * kProbeSpans, part) * std::exp2(std::max(0, r.losses - 1));
+// Each dispatcher keeps its health checks to its part of what the zone takes when it is cold. Without this,
+// the health checks of hundreds of dispatchers alone overload a zone that has just recovered.
+Millis ZoneFailover::healthCheckInterval(const Zone& zone) const {
+  double coldPerSecond = expectedPerSecond(zone) * settings_.recoveryRampInitialShare;
+  Millis interval = intervalAt(std::max(minimumPerSecond_, coldPerSecond));
+  Millis shortest = overloadWindow_ * kHealthCheckOverloadWindows;
+  return std::max(shortest, interval) * std::exp2(std::max(0, zone.consecutiveLosses - 1));
 }
 
-double ZoneFailover::rampShare(Millis now, const Zone& r) const {
-  double from = !r.slowly
-                    ? std::max(kUnlistedFrom, settings_.recoveryRampInitialShare)
-                    : settings_.recoveryRampInitialShare * std::pow(kLossPart, std::max(0, r.losses - 1));
-  double along = std::clamp((now - r.changedAt) / std::max(1.0, settings_.recoveryRampDuration), 0.0, 1.0);
-  return from + (1 - from) * along;
+Millis ZoneFailover::healthCheckAllowedFrom(ZoneId zoneId) const {
+  const Zone* zone = find(zoneId);
+  if (!isEnabled() || zone == nullptr) return 0;
+  if (isLost(zoneId)) return zone->nextHealthCheckAt;
+  return rampAllowedFrom(*zone);
 }
 
-bool ZoneFailover::isLost(ZoneId room) const {
-  const Zone* r = find(room);
-  if (r == nullptr || r->state != ZoneHealth::lost) return false;
-  // Danger: with every zone lost it is us who are cut off; nothing would be attempted any more.
-  return std::any_of(zones_.begin(), zones_.end(), [](const auto& other) {
-    return other.second.state != ZoneHealth::lost && !other.second.endpoints.empty();
-  });
+// --- Recovery ramp
+
+// The zone answers again. It is cold, and without a ramp everything that spilled over would return at once.
+void ZoneFailover::beginRamp(Millis now, Zone& zone, RampStart rampStart) {
+  zone.health = ZoneHealth::ramping;
+  zone.rampStart = rampStart;
+  zone.healthChangedAt = now;
+  zone.nextRampAttemptAt = now;
+  zone.lossDetector.restart(now);
 }
 
-bool ZoneFailover::isRamping(Millis now, ZoneId room) const {
-  const Zone* r = find(room);
-  return r != nullptr && r->state == ZoneHealth::ramping &&
-         now < r->changedAt + settings_.recoveryRampDuration;
+bool ZoneFailover::isRamping(Millis now, ZoneId zoneId) const {
+  const Zone* zone = find(zoneId);
+  return zone != nullptr && zone->health == ZoneHealth::ramping && now < rampEnd(*zone);
 }
 
-double ZoneFailover::rampAttemptsPerSecond(Millis now, ZoneId room) const {
-  const Zone* r = find(room);
-  return r == nullptr ? minimumPerSecond_
-                      : std::max(minimumPerSecond_, expectedPerSecond(*r) * rampShare(now, *r));
+// Attempts into a ramping zone keep their distance across all its destinations together.
+void ZoneFailover::countRampAttempt(Millis now, ZoneId zoneId) {
+  Zone& zone = zones_[zoneId];
+  Millis interval = intervalAt(rampAttemptsPerSecond(now, zoneId)) * drawJitter();
+  zone.nextRampAttemptAt = std::max(zone.nextRampAttemptAt, now) + interval;
 }
 
-ZoneId ZoneFailover::homeZoneOf(DestinationId destination) const {
-  auto at = homes_.find(destination);
-  return at == homes_.end() ? ownZone_ : at->second;
+Millis ZoneFailover::rampAllowedFrom(const Zone& zone) const {
+  if (zone.health != ZoneHealth::ramping) return 0;
+  return std::min(zone.nextRampAttemptAt, rampEnd(zone));
 }
 
-bool ZoneFailover::isForeign(DestinationId destination, ZoneId room) const {
-  return isEnabled() && priority(destination, room) > priority(destination, homeZoneOf(destination));
+// Share of its expected rate that a ramping zone is given: linear in time, up to 1 at the ramp's end.
+double ZoneFailover::rampShare(Millis now, const Zone& zone) const {
+  double initial = settings_.recoveryRampInitialShare;
+  double start = zone.rampStart == RampStart::afterAbsenceFromList
+                     ? std::max(kRampStartAfterAbsence, initial)
+                     : initial * std::pow(kRampStartFactorPerLoss, std::max(0, zone.consecutiveLosses - 1));
+  Millis duration = std::max(1.0, settings_.recoveryRampDuration);
+  double progress = std::clamp((now - zone.healthChangedAt) / duration, 0.0, 1.0);
+  return start + (1 - start) * progress;
 }
 
-bool ZoneFailover::isSpillover(DestinationId destination, ZoneId room) const {
-  if (!isForeign(destination, room)) return false;
-  ZoneId home = homeZoneOf(destination);
-  return isLost(home) || find(home)->state == ZoneHealth::ramping;
+double ZoneFailover::rampAttemptsPerSecond(Millis now, ZoneId zoneId) const {
+  const Zone* zone = find(zoneId);
+  if (zone == nullptr) return minimumPerSecond_;
+  return std::max(minimumPerSecond_, expectedPerSecond(*zone) * rampShare(now, *zone));
+}
+
+// Attempts a second that the zone is expected to take from this dispatcher: what it completed together with
+// what spills over from it, or a part of what clients submit for it. Without the latter a dispatcher that
+// starts while a zone is lost, and so has delivered nothing there, would shed all messages.
+double ZoneFailover::expectedPerSecond(const Zone& zone) const {
+  double completed = zone.deliveries.perSecond() + zone.spilloverAttempts.perSecond();
+  Millis acceptedSince = zone.acceptedMessages.updatedAt - firstAcceptedAt_.value_or(0);
+  Millis acceptedSpan = std::clamp(acceptedSince, kMinAcceptedSpan, kRateTimeConstant);
+  double accepted = zone.acceptedMessages.value / acceptedSpan * kMillisPerSecond;
+  double expected = std::max(completed, kExpectedShareOfAccepted * accepted);
+  if (zone.health == ZoneHealth::healthy) return expected;
+  return std::max(zone.deliveriesPerSecondBeforeLoss, expected);
 }
 
-double ZoneFailover::spilloverPerSecond(ZoneId home, ZoneId room) const {
-  auto did = [&](ZoneId id) {
-    const Zone* r = find(id);
-    return r == nullptr ? 0.0 : expectedPerSecond(*r);
+// --- Spillover
+
+bool ZoneFailover::isSpillover(DestinationId destination, ZoneId zone) const {
+  if (!isForeign(destination, zone)) return false;
+  ZoneId homeId = homeZoneOf(destination);
+  if (isLost(homeId)) return true;
+  const Zone* home = find(homeId);
+  return home != nullptr && home->health == ZoneHealth::ramping;
+}
+
+double ZoneFailover::spilloverPerSecond(ZoneId home, ZoneId zone) const {
+  auto expectedIn = [&](ZoneId id) {
+    const Zone* found = find(id);
+    return found == nullptr ? 0.0 : expectedPerSecond(*found);
   };
-  double most = std::max(minimumPerSecond_, settings_.spilloverShare * std::max(did(home), did(room)));
-  return settings_.spilloverPerSecond > 0 ? std::min(most, settings_.spilloverPerSecond) : most;
+  double busier = std::max(expectedIn(home), expectedIn(zone));
+  double limit = std::max(minimumPerSecond_, settings_.spilloverShare * busier);
+  return settings_.spilloverPerSecond > 0 ? std::min(limit, settings_.spilloverPerSecond) : limit;
 }
 
 double ZoneFailover::spilloverPerSecondFrom(ZoneId home) const {
-  double all = 0;
-  for (const auto& [id, r] : zones_) {
-    if (id != home && r.state != ZoneHealth::lost && !r.endpoints.empty())
-      all += spilloverPerSecond(home, id);
+  double sum = 0;
+  for (const auto& [id, zone] : zones_) {
+    bool takesSpillover = zone.health != ZoneHealth::lost && zone.lossDetector.hasEndpoints();
+    if (id != home && takesSpillover) sum += spilloverPerSecond(home, id);
   }
-  return all;
+  return sum;
 }
 
-bool ZoneFailover::isBacklogTooLong(DestinationId destination) const {
-  return isEnabled() && backlogDelay(destination) > maxBacklogDelay_;
+int ZoneFailover::maxPendingSpilloverAttempts() const {
+  return std::max(1, static_cast<int>(settings_.spilloverRequestShare * maxConcurrentRequests_));
 }
 
 Millis ZoneFailover::backlogDelay(DestinationId destination) const {
   ZoneId home = homeZoneOf(destination);
   if (!isLost(home)) return 0;
-  return find(home)->waiting / spilloverPerSecondFrom(home) * 1000;
+  return find(home)->waitingMessages / spilloverPerSecondFrom(home) * kMillisPerSecond;
 }
 
-Millis ZoneFailover::attemptAllowedFrom(DestinationId destination, ZoneId room) const {
+bool ZoneFailover::isBacklogTooLong(DestinationId destination) const {
+  return isEnabled() && backlogDelay(destination) > maxBacklogDelay_;
+}
+
+Millis ZoneFailover::attemptAllowedFrom(DestinationId destination, ZoneId zoneId) const {
   if (!isEnabled()) return 0;
-  if (isLost(room)) return kNever;
-  const Zone* r = find(room);
-  if (r == nullptr) return 0;
-  Millis from = r->state == ZoneHealth::ramping
-                    ? std::min(r->fedFrom, r->changedAt + settings_.recoveryRampDuration)
-                    : 0;
-  if (!isSpillover(destination, room)) return from;
-  if (spilloverPending_ >=
-      std::max(1, static_cast<int>(settings_.spilloverRequestShare * maxConcurrentRequests_)))
-    return kNever;
-  return std::max(from, r->strangersFrom);
-}
-
-Millis ZoneFailover::healthCheckAllowedFrom(ZoneId room) const {
-  const Zone* r = find(room);
-  if (!isEnabled() || r == nullptr) return 0;
-  if (r->state == ZoneHealth::lost && isLost(room)) return r->probeFrom;
-  return r->state == ZoneHealth::ramping ? std::min(r->fedFrom, r->changedAt + settings_.recoveryRampDuration)
-                                         : 0;
+  if (isLost(zoneId)) return kNever;
+  const Zone* zone = find(zoneId);
+  if (zone == nullptr) return 0;
+  Millis allowedFrom = rampAllowedFrom(*zone);
+  if (!isSpillover(destination, zoneId)) return allowedFrom;
+  if (pendingSpilloverAttempts_ >= maxPendingSpilloverAttempts()) return kNever;
+  return std::max(allowedFrom, zone->nextSpilloverAt);
+}
+
+double ZoneFailover::drawJitter() {
+  return kJitterMin + kJitterRange * static_cast<double>(random_()) / kRandomRange;
 }
 
 }  // namespace stonewing
--- a/src/policy/zone_failover.h
+++ b/src/policy/zone_failover.h
@@ -2,121 +2,159 @@
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <random>
-#include <set>
-#include <vector>
 
 #include "base/ids.h"
+#include "policy/zone_loss_detector.h"
 #include "settings/deployment_settings.h"
 
-// Zones (zones) as one dispatcher sees them: in which order they are preferred, whether one is lost, how much
-// of another zone strangers may take, and how a zone that returns is fed. What it is told only updates what
-// is known; the rules ask, and decide. No clock, no chance and no sockets of its own. Times in milliseconds.
 namespace stonewing {
 
+// Zone failover as one dispatcher sees it: in which order a destination's zones are preferred, whether a zone
+// is lost, how much spillover another zone takes in its place, and how a zone that recovers is ramped up.
+//
+// A destination's home zone is the zone of highest priority in which it has an endpoint in service. An
+// attempt into a zone of lower priority, made while the home zone is lost or ramping, is spillover.
+//
+// Each zone passes through three states:
+//
+//   healthy --(1)--> lost --(2)--> ramping --(3)--> healthy
+//      |               ^              |
+//      |               +-----(1)------+
+//      +------------(4)-------------->+
+//
+//   (1) endpoints of several destinations fail and nothing in the zone has worked since the first of them did
+//       (ZoneLossDetector);
+//   (2) a message is delivered there, or a health check answers;
+//   (3) something succeeds there once the ramp's duration has passed;
+//   (4) the zone had traffic, was absent from the endpoint list for longer than the overload window, and is
+//       listed again. This ramp starts higher than one after a loss.
+//
+// The record...() functions only update what is known; DispatchPolicy asks, and decides. Where the settings
+// name no priorities (isEnabled() is false), nothing here ever limits an attempt. Times are milliseconds of
+// the caller's clock, and never go back. No clock, sockets or threads; random numbers follow from the seed
+// alone.
 class ZoneFailover {
  public:
-  ZoneFailover(const DeploymentSettings& terms, std::uint64_t seed);
+  // From attemptAllowedFrom(): not before another event has been recorded.
+  static constexpr Millis kNever = 1e15;
+
+  ZoneFailover(const DeploymentSettings& settings, std::uint64_t seed);
 
   bool isEnabled() const { return !settings_.priorities.empty(); }
-  // Lower is better. With no tiers named: the own zone, then all others.
-  int priority(DestinationId destination, ZoneId room) const;
+  // Lower is better. Where the settings name no priorities: 0 for this dispatcher's own zone, 1 for all
+  // others.
+  int priority(DestinationId destination, ZoneId zone) const;
 
-  // The list anew: every endpoint in service, between the two.
+  // A new endpoint list: every endpoint in service is added between beginEndpointList() and
+  // commitEndpointList().
   void beginEndpointList();
-  void addEndpoint(EndpointId endpoint, DestinationId destination, ZoneId room);
+  void addEndpoint(EndpointId endpoint, DestinationId destination, ZoneId zone);
   void commitEndpointList(Millis now);
 
-  // Returns whether it is spilled; to be told again at its end.
-  bool recordAttempt(Millis now, DestinationId destination, ZoneId room);
-  void recordAttemptEnd(bool spilled) { spilloverPending_ -= spilled; }
-  // Something was delivered there, or a health check answered.
-  void recordSuccess(Millis now, EndpointId endpoint, ZoneId room, bool delivered);
-  // An endpoint has failed so many times in a row.
-  void recordFailures(Millis now, EndpointId endpoint, DestinationId destination, ZoneId room, int times);
+  // An attempt or a health check is sent. recordAttempt() returns whether the attempt is spillover; the
+  // caller passes that to recordAttemptEnd() once the attempt has ended.
+  bool recordAttempt(Millis now, DestinationId destination, ZoneId zone);
+  void recordAttemptEnd(bool wasSpillover) { pendingSpilloverAttempts_ -= wasSpillover; }
+  void recordHealthCheck(Millis now, ZoneId zone);
+  // A message was delivered (`delivered`), or a health check answered.
+  void recordSuccess(Millis now, EndpointId endpoint, ZoneId zone, bool delivered);
+  // The endpoint has failed for the given number of times in a row.
+  void recordFailures(Millis now, EndpointId endpoint, DestinationId destination, ZoneId zone,
+                      int consecutiveFailures);
   // A message for the destination was accepted.
   void recordAccepted(Millis now, DestinationId destination);
-  // So many more messages of a destination wait without an attempt out.
-  void addWaiting(DestinationId destination, int more);
-  void recordHealthCheck(Millis now, ZoneId room);
-
-  // Since when an attempt for that destination into that zone is allowed, or from when on; never in the past
-  // of what binds. 1e15: not until something is heard.
-  Millis attemptAllowedFrom(DestinationId destination, ZoneId room) const;
-  Millis healthCheckAllowedFrom(ZoneId room) const;
-  bool isLost(ZoneId room) const;
-  bool isRamping(Millis now, ZoneId room) const;
-  // Whether the destination's best zone, by the list, is better than this one.
-  bool isForeign(DestinationId destination, ZoneId room) const;
-  // The same, since its home is lost or fed slowly; only then is there a cap.
-  bool isSpillover(DestinationId destination, ZoneId room) const;
-  // The destination's home is lost, and more waits for it than can go elsewhere in time.
-  bool isBacklogTooLong(DestinationId destination) const;
-  // How long what waits for a lost home takes to go elsewhere; 0 where the home is not lost.
+  // The number of the destination's messages that wait without a pending attempt changed by so many.
+  void addWaiting(DestinationId destination, int change);
+
+  // The earliest time at which an attempt for the destination into the zone, or a health check in the zone,
+  // is allowed; kNever where only another event can allow it. A time in the past means now.
+  Millis attemptAllowedFrom(DestinationId destination, ZoneId zone) const;
+  Millis healthCheckAllowedFrom(ZoneId zone) const;
+
+  // Whether the zone is lost while another one is not. With every zone lost this dispatcher itself is cut
+  // off, and no zone is reported as lost, since otherwise nothing would be attempted any more.
+  bool isLost(ZoneId zone) const;
+  bool isRamping(Millis now, ZoneId zone) const;
+  // Whether the destination's home zone has a better priority than this zone.
+  bool isForeign(DestinationId destination, ZoneId zone) const;
+  // Whether an attempt for the destination into the zone would be spillover.
+  bool isSpillover(DestinationId destination, ZoneId zone) const;
+
+  // How long the messages that wait for the destination's home zone take to spill over, in milliseconds; 0
+  // where the home zone is not lost.
   Millis backlogDelay(DestinationId destination) const;
-  // Attempts a second that a zone is given now: what it is fed as it climbs, or as a zone of strangers.
-  double rampAttemptsPerSecond(Millis now, ZoneId room) const;
-  double spilloverPerSecond(ZoneId home, ZoneId room) const;
+  // Whether that is longer than any message may wait.
+  bool isBacklogTooLong(DestinationId destination) const;
+
+  // Attempts a second that a ramping zone is given now.
+  double rampAttemptsPerSecond(Millis now, ZoneId zone) const;
+  // Spillover attempts a second from a home zone that `zone` is given at most.
+  double spilloverPerSecond(ZoneId home, ZoneId zone) const;
 
  private:
   enum class ZoneHealth { healthy, lost, ramping };
+  enum class RampStart { afterLoss, afterAbsenceFromList };
+
+  // A count of events in which each event fades with its age (exponentially, with the time constant
+  // kRateTimeConstant).
+  struct DecayingCount {
+    double value{0};
+    Millis updatedAt{0};
+
+    void add(Millis now);
+    double perSecond() const;
+  };
+
   struct Zone {
-    ZoneHealth state{ZoneHealth::healthy};
-    std::map<EndpointId, DestinationId> endpoints;  // in service
-    std::set<DestinationId> destinations;           // of those
-    struct Failing {
-      DestinationId destination{};
-      Millis at{};
-    };
-    std::map<EndpointId, Failing> failing;  // since they last worked
-    Millis failingSince{0};                 // of the first of those
-    Millis workedAt{-1};
-    Millis changedAt{0};    // the state
-    bool slowly{true};      // it begins at the least, as after a loss
-    Millis unlistedAt{-1};  // the list named it no more
-    double done{0};         // fading count of what was delivered
-    Millis doneAt{0};
-    double away{0};  // the same of attempts whose home it is, elsewhere
-    Millis awayAt{0};
-    double asked{0};  // and of messages accepted whose home it is
-    Millis askedAt{0};
-    double before{0};         // deliveries a second, as it was lost
-    int losses{0};            // without a whole climb between them
-    Millis fedFrom{0};        // no attempt before, as it climbs
-    Millis strangersFrom{0};  // no attempt of a stranger before
-    Millis probeFrom{0};
-    int waiting{0};  // messages whose home it is
+    ZoneHealth health{ZoneHealth::healthy};
+    Millis healthChangedAt{0};
+    ZoneLossDetector lossDetector;
+    std::optional<Millis> unlistedAt;  // since when the endpoint list has no endpoint in service here
+    int waitingMessages{0};            // messages whose home zone this is that wait without a pending attempt
+
+    DecayingCount deliveries;         // messages delivered here
+    DecayingCount spilloverAttempts;  // attempts elsewhere whose home zone this is
+    DecayingCount acceptedMessages;   // messages accepted whose home zone this is
+    double deliveriesPerSecondBeforeLoss{0};
+
+    RampStart rampStart{RampStart::afterLoss};
+    int consecutiveLosses{0};     // without a completed ramp between them
+    Millis nextRampAttemptAt{0};  // no attempt before, while it is ramping
+    Millis nextSpilloverAt{0};    // no spillover attempt into this zone before
+    Millis nextHealthCheckAt{0};  // no health check before, while it is lost
   };
+
+  const Zone* find(ZoneId zone) const;
   ZoneId homeZoneOf(DestinationId destination) const;
-  bool looksLost(const Zone& r) const;
-  void updateHealth(Millis now, Zone& r);
-  void beginRamp(Millis now, Zone& r, bool slowly);
-  double successesPerSecond(const Zone& r) const;  // deliveries a second, lately
-  // What it is to take, a second: what it did, with what goes elsewhere, or a part of what we were asked to
-  // bring.
-  double expectedPerSecond(const Zone& r) const;
-  Millis healthCheckInterval(const Zone& r);
+  Zone& homeZoneStateOf(DestinationId destination) { return zones_[homeZoneOf(destination)]; }
+
+  void commitZoneEndpoints(Millis now, Zone& zone);
+  void updateHealth(Millis now, Zone& zone);
+  void beginRamp(Millis now, Zone& zone, RampStart rampStart);
+  void countRampAttempt(Millis now, ZoneId zoneId);
+  Millis rampEnd(const Zone& zone) const { return zone.healthChangedAt + settings_.recoveryRampDuration; }
+  Millis rampAllowedFrom(const Zone& zone) const;
+  double rampShare(Millis now, const Zone& zone) const;
+  double expectedPerSecond(const Zone& zone) const;
+  Millis healthCheckInterval(const Zone& zone) const;
   double spilloverPerSecondFrom(ZoneId home) const;
-  double rampShare(Millis now, const Zone& r) const;
-  const Zone* find(ZoneId room) const {
-    auto at = zones_.find(room);
-    return at == zones_.end() ? nullptr : &at->second;
-  }
-  double jitter() { return 0.75 + 0.5 * static_cast<double>(chance_()) / 4294967296.0; }
+  int maxPendingSpilloverAttempts() const;
+  double drawJitter();
 
   ZoneFailoverSettings settings_;
   ZoneId ownZone_;
   int maxConcurrentRequests_;
   Millis overloadWindow_;
-  Millis
-      maxBacklogDelay_;  // for how long a message that waits for a place among strangers can still be in time
+  Millis maxBacklogDelay_;   // a message that waits longer for spillover misses every latency objective
   double minimumPerSecond_;  // attempts a second into a zone of which nothing is known
-  std::mt19937 chance_;
-  std::map<ZoneId, Zone> zones_;
-  std::map<DestinationId, ZoneId> homes_;  // by the list
-  std::map<DestinationId, int> waiting_;
-  Millis began_{-1};
-  int spilloverPending_{0};
+  std::mt19937 random_;
+  std::map<ZoneId, Zone> zones_;               // references into it stay valid: zones are added, never erased
+  std::map<DestinationId, ZoneId> homeZones_;  // by the endpoint list
+  std::map<DestinationId, int> waitingMessages_;  // without a pending attempt
+  std::optional<Millis> firstAcceptedAt_;
+  int pendingSpilloverAttempts_{0};
 };
 
 }  // namespace stonewing
