--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -8,12 +8,27 @@
 
 #include "base/ids.h"
 
+// What a deployment states when a dispatcher starts, as plain types. The settings reader alone knows how
+// these are spelled in the settings. Times are milliseconds, rates are per second, shares lie between 0 and
+// 1, unless a field says otherwise.
 namespace stonewing {
 
-enum class Idempotency { idempotent, idempotentWithKey, nonIdempotent };
-enum class WeightDecay { linear, halving };
+// Whether an endpoint may receive a message again after an attempt that may have executed.
+enum class Idempotency {
+  idempotent,         // always
+  idempotentWithKey,  // within TrafficType::deduplicationWindow
+  nonIdempotent       // never
+};
+
+// How the weight of a message falls once its latency objective has passed.
+enum class WeightDecay {
+  linear,  // evenly, down to the late weight share at the deadline
+  halving  // by half with each further latency objective, down to the late weight share
+};
+
+// `removed`: no longer in the endpoint list. `draining`: accepts no further attempts.
 enum class EndpointState { removed, ready, draining };
-// withheld: not sent, for want of something of the host's own.
+
 enum class AttemptOutcome {
   completed,
   error,
@@ -23,25 +38,27 @@
   reset,
   cancelled,
   notSent,
-  localResourceExhausted
+  localResourceExhausted  // not sent, for want of a resource of this host, such as a descriptor
 };
 
-constexpr bool isUnsent(AttemptOutcome ending) {
-  return ending == AttemptOutcome::notSent || ending == AttemptOutcome::localResourceExhausted;
+// Whether the attempt provably never left this host.
+constexpr bool isUnsent(AttemptOutcome outcome) {
+  return outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::localResourceExhausted;
 }
 
-// One row a traffic type; only what the rules read.
+// The settings of one traffic type, as far as decisions depend on them.
 struct TrafficType {
-  Millis latencyObjective{};
-  Millis deadlineAfter{};
-  double priorityWeight{1};
-  double lateWeightShare{0};
+  Millis latencyObjective{};  // from acceptance; more than 0
+  Millis deadlineAfter{};     // from acceptance; more than 0
+  double priorityWeight{1};   // what a message delivered within its latency objective is worth
+  double lateWeightShare{0};  // share of that weight that is left at the deadline
   Idempotency idempotency{Idempotency::nonIdempotent};
+  // These two matter for idempotentWithKey alone. The window begins when the attempt is sent.
   bool deduplicatesWithinZone{false};
   Millis deduplicationWindow{};
-  bool ordered{false};
+  bool ordered{false};  // messages with the same ordering key are delivered one at a time, in order
 
-  // Share of the gain that is left so long after the latency objective.
+  // Share of the weight that is left when `late` has passed since the latency objective.
   double weightShareAt(Millis late, WeightDecay decay) const {
     if (late <= 0) return 1;
     if (decay == WeightDecay::halving) return std::max(lateWeightShare, std::exp2(-late / latencyObjective));
@@ -49,56 +66,66 @@
   }
 };
 
+// The settings of one kind of endpoint.
 struct EndpointKindSettings {
-  bool routesApart{false};
-  int maxBatchSize{1};
+  bool routesApart{false};  // each endpoint of a destination is a route of its own, with its own limits
+  int maxBatchSize{1};      // messages in one request
 };
 
-// What an operator states of zones; they are the zones of the list.
+// What an operator states about zone failover. The zones are those of the endpoint list.
 struct ZoneFailoverSettings {
-  // Best first; zones of one tier are alike. Empty: none are named, and nothing here ever binds.
+  // Best first; the zones of one entry are equal. Empty: zone failover is off.
   using Priorities = std::vector<std::vector<ZoneId>>;
   Priorities priorities;
-  std::map<DestinationId, Priorities> destinations;  // in place of the above, for these
-  double spilloverShare{1};  // of what the better of the two zones completed here, for strangers in a zone
-  double spilloverRequestShare{1};  // of the concurrent requests, for strangers everywhere
-  double spilloverPerSecond{0};     // attempts of strangers into one zone; 0: no such bound
-  Millis recoveryRampDuration{0};   // until a zone that returned is fed in full; 0: the cold span
-  double recoveryRampInitialShare{
-      0};  // share of what it is asked to take that it is fed at once; 0: cold-from
+  std::map<DestinationId, Priorities> destinations;  // in place of the above, for these destinations
+  // Spillover attempts into a zone, as a share of the rate that this zone or the home zone takes, whichever
+  // is higher; may be above 1.
+  double spilloverShare{1};
+  double spilloverRequestShare{1};  // of maxConcurrentRequests, for spillover into all zones together
+  double spilloverPerSecond{0};     // spillover attempts into one zone at most; 0: no such limit
+  Millis recoveryRampDuration{0};   // until a recovered zone gets its full rate; 0: slowStartDuration
+  // Share of its full rate that a recovered zone gets at once; 0: slowStartInitialShare.
+  double recoveryRampInitialShare{0};
 };
 
-// What a deployment states at the start of an instance.
+// What a deployment states at the start of a dispatcher.
 struct DeploymentSettings {
-  std::vector<TrafficType> types;
-  std::vector<EndpointKindSettings> kinds;
-  std::vector<double> tenantQuotaPerSecond;
-  double overQuotaWeightShare{1};
+  std::vector<TrafficType> types;            // by TrafficTypeId
+  std::vector<EndpointKindSettings> kinds;   // by KindId; a kind beyond its end has the default settings
+  std::vector<double> tenantQuotaPerSecond;  // messages, by TenantId
+  double overQuotaWeightShare{1};            // share of its weight that a message over its tenant's quota has
   WeightDecay decay{WeightDecay::linear};
-  int maxConcurrentRequests{1};
-  int maxInFlight{1};
-  int maxAttempts{1};
-  int dispatcherCount{1};
-  std::uint32_t dispatcherIndex{0};
-  ZoneId zone{};
-  bool mayHedge{false};
+  int maxConcurrentRequests{1};      // requests of this dispatcher to all endpoints together
+  int maxInFlight{1};                // messages accepted and without a final answer
+  int maxAttempts{1};                // attempts of one message
+  int dispatcherCount{1};            // dispatchers that share the endpoints
+  std::uint32_t dispatcherIndex{0};  // of this one among them, from 0
+  ZoneId zone{};                     // where this dispatcher runs
+  bool mayHedge{false};              // a message may have two pending attempts
   bool mayHealthCheck{false};
-  bool mayCancel{false};
-  bool mayAdviseRetryAfter{false};
-  bool hasReportedWeights{false};
-  bool reportsRateLimit{false};
-  Millis maxRetryAfter{};
-  Millis connectionIdleTimeout{};  // an idle connection closes by itself after this
+  bool mayCancel{false};            // a pending attempt may be cancelled
+  bool mayAdviseRetryAfter{false};  // a rejection may say when to submit again
+  bool hasReportedWeights{false};   // the endpoint list states the endpoints' capacities
+  bool reportsRateLimit{false};     // responses state the endpoint's rate limit
+  Millis maxRetryAfter{};           // longest time that a rejection may state
+  Millis connectionIdleTimeout{};   // endpoints close a connection that was idle for so long; 0: not stated
+
+  // A destination that recovers from an outage takes slowStartInitialShare of its capacity at least, and all
+  // of it after slowStartDuration. It fails again when it is sent overloadThreshold (a multiple, above 1)
+  // times its present capacity for overloadWindow.
   double slowStartInitialShare{1};
   Millis slowStartDuration{};
   double overloadThreshold{1};
   Millis overloadWindow{};
+
+  // How long an ordering key rests after an attempt that may still be executing.
   Millis orderingPause{};
   ZoneFailoverSettings zoneFailover;
 
+  // 0 where there is no traffic type.
   Millis longestLatencyObjective() const {
     Millis longest = 0;
-    for (const TrafficType& t : types) longest = std::max(longest, t.latencyObjective);
+    for (const TrafficType& type : types) longest = std::max(longest, type.latencyObjective);
     return longest;
   }
 };
--- /dev/null
+++ b/src/settings/deployment_settings_reader.cpp
@@ -0,0 +1,147 @@
+#include <algorithm>
+#include <string>
+
+#include "settings/json_access.h"
+#include "settings/settings_reader.h"
+
+namespace stonewing {
+namespace {
+
+using namespace settings_json;
+
+// The field of an endpoint's load report that carries its rate limit.
+constexpr const char* kRateLimitReportField = "x1";
+
+[[noreturn]] void throwWrongValue(const std::string& type, const std::string& key, const json& value,
+                                  const std::string& right) {
+  throw SettingsError("setting '" + key + "' of class '" + type + "' is " + value.dump() + "; it must be " +
+                      right);
+}
+
+Millis requirePositiveSeconds(const json& row, const std::string& type, const std::string& key) {
+  Millis value = requireSeconds(row, key);
+  if (value <= 0) throwWrongValue(type, key, row[key], "more than 0");
+  return value;
+}
+
+bool readDeduplicatesWithinZone(const json& row, const std::string& type) {
+  std::string group = require<std::string>(row, "group");
+  if (group == "zone") return true;
+  // A cell is a destination: all the endpoints that a message may go to.
+  if (group == "all" || group == "cell") return false;
+  throwWrongValue(type, "group", group, "\"all\", \"zone\" or \"cell\"");
+}
+
+void readIdempotency(const json& row, const std::string& name, TrafficType& type) {
+  std::string effect = require<std::string>(row, "effect");
+  if (effect == "safe") {
+    type.idempotency = Idempotency::idempotent;
+  } else if (effect == "keyed") {
+    type.idempotency = Idempotency::idempotentWithKey;
+    type.deduplicationWindow = requireSeconds(row, "repeat-window-s");
+    if (type.deduplicationWindow < 0) {
+      throwWrongValue(name, "repeat-window-s", row["repeat-window-s"], "0 or more");
+    }
+    type.deduplicatesWithinZone = readDeduplicatesWithinZone(row, name);
+  } else if (effect == "unsafe") {
+    type.idempotency = Idempotency::nonIdempotent;
+  } else {
+    throwWrongValue(name, "effect", effect, "\"safe\", \"keyed\" or \"unsafe\"");
+  }
+}
+
+TrafficType readTrafficType(const json& row) {
+  TrafficType type;
+  auto name = valueOr<std::string>(row, "name", "");
+  type.latencyObjective = requirePositiveSeconds(row, name, "aim-s");
+  type.deadlineAfter = requirePositiveSeconds(row, name, "deadline-s");
+  type.priorityWeight = valueOr(row, "importance", 1.0);
+  type.lateWeightShare = valueOr(row, "late-worth", 0.0);
+  type.ordered = valueOr(row, "keep-order", false);
+  readIdempotency(row, name, type);
+  return type;
+}
+
+std::vector<TrafficType> readTrafficTypes(const json& settings) {
+  std::vector<TrafficType> types;
+  for (const json& row : require<json>(settings, "request-classes")) types.push_back(readTrafficType(row));
+  if (types.empty()) {
+    throw SettingsError("setting 'request-classes' is empty; it must name a class or more");
+  }
+  return types;
+}
+
+// Three lists by kind, of which each may be shorter than the others.
+std::vector<EndpointKindSettings> readKinds(const json& settings, const json& family) {
+  auto apart = valueOr(family, "kind-apart", std::vector<bool>{});
+  auto batchSizes = valueOr(family, "per-call", std::vector<int>{});
+  std::size_t names = valueOr(settings, "kinds", json::array()).size();
+  std::vector<EndpointKindSettings> kinds(std::max({names, apart.size(), batchSizes.size()}));
+  for (std::size_t kind = 0; kind < apart.size(); ++kind) kinds[kind].routesApart = apart[kind];
+  for (std::size_t kind = 0; kind < batchSizes.size(); ++kind) {
+    kinds[kind].maxBatchSize = std::max(1, batchSizes[kind]);
+  }
+  return kinds;
+}
+
+WeightDecay readDecay(const json& family) {
+  std::string decay = valueOr<std::string>(family, "decay", "linear");
+  if (decay == "linear") return WeightDecay::linear;
+  if (decay == "halving") return WeightDecay::halving;
+  throw SettingsError("setting 'decay' has unknown value " + decay +
+                      "; it must be \"linear\" or \"halving\"");
+}
+
+std::vector<double> readTenantQuotas(const json& settings) {
+  std::vector<double> perSecond;
+  if (!settings.contains("orgs")) return perSecond;
+  for (const json& org : require<json>(settings, "orgs")) {
+    perSecond.push_back(require<double>(org, "quota-per-s"));
+  }
+  return perSecond;
+}
+
+void readLimits(const json& limits, DeploymentSettings& deployment) {
+  deployment.maxInFlight = require<int>(limits, "open-cap");
+  deployment.maxAttempts = require<int>(limits, "max-attempts");
+  deployment.mayHedge = valueOr(limits, "may-duplicate", false);
+  deployment.mayHealthCheck = valueOr(limits, "probes", false);
+  deployment.mayCancel = valueOr(limits, "cancel", false);
+  deployment.mayAdviseRetryAfter = valueOr(limits, "retry-after", false);
+  deployment.maxRetryAfter = secondsOr(limits, "max-retry-after-s", 0.0);
+  deployment.connectionIdleTimeout = secondsOr(limits, "conn-idle-s", 0.0);
+}
+
+void readRecoveryRules(const json& settings, DeploymentSettings& deployment) {
+  deployment.slowStartInitialShare = require<double>(settings, "rules.cold-from");
+  deployment.slowStartDuration = requireSeconds(settings, "rules.cold-s");
+  deployment.overloadThreshold = require<double>(settings, "rules.fall-multiple");
+  deployment.overloadWindow = requireSeconds(settings, "rules.fall-s");
+  deployment.orderingPause = secondsOr(require<json>(settings, "rules"), "order-pause-s", 0.0);
+}
+
+}  // namespace
+
+DeploymentSettings readDeploymentSettings(std::string_view text) {
+  const json settings = parseObject(text);
+  DeploymentSettings deployment;
+  deployment.types = readTrafficTypes(settings);
+  const json family = require<json>(settings, "family-info");
+  deployment.kinds = readKinds(settings, family);
+  deployment.decay = readDecay(family);
+  deployment.maxConcurrentRequests = require<int>(family, "call-slots");
+  deployment.tenantQuotaPerSecond = readTenantQuotas(settings);
+  deployment.overQuotaWeightShare = valueOr(settings, "over-share-worth", 1.0);
+  readLimits(require<json>(settings, "limits"), deployment);
+  deployment.dispatcherCount = std::max(1, valueOr(settings, "replicas-of-me", 1));
+  deployment.dispatcherIndex = valueOr(settings, "me", std::uint32_t{0});
+  deployment.zone = ZoneId{valueOr(settings, "zone", std::uint8_t{0})};
+  deployment.hasReportedWeights = valueOr<std::string>(settings, "weight-source", "off") != "off";
+  const auto reportFields = readNameTables(text).loadReportFields;
+  deployment.reportsRateLimit =
+      std::find(reportFields.begin(), reportFields.end(), kRateLimitReportField) != reportFields.end();
+  readRecoveryRules(settings, deployment);
+  return deployment;
+}
+
+}  // namespace stonewing
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -5,26 +5,21 @@
 #include <vector>
 
 #include "settings/deployment_settings.h"
+#include "settings/name_tables.h"
 
+// Reads settings text (JSON) into plain types. The spelling of every setting stands here and nowhere else.
+// Each function throws SettingsError, which names the setting, what is wrong with it and, where it can, what
+// would be right.
 namespace stonewing {
 
-// Reads the settings text of an instance. Unknown keys are skipped; a missing needed one is named in the
-// error.
+// Reads the settings of a deployment. Unknown keys are skipped.
 DeploymentSettings readDeploymentSettings(std::string_view text);
 
-// What the settings call things, each at the place of its number, and what only a host needs.
-struct NameTables {
-  std::vector<std::string> trafficTypes;
-  std::vector<std::string> tenants;
-  std::vector<std::string> kinds;
-  std::vector<std::string> zones;
-  std::vector<std::string> loadReportFields;  // fields of a load report
-  Millis connectTimeout{};                    // 0: no limit stated
-};
+// Reads the names from the same settings. Unknown keys are skipped.
 NameTables readNameTables(std::string_view text);
 
-// Reads what an operator states of rooms, by the names of the zones; empty text: nothing. Throws
-// SettingsError naming the key, what is wrong and what would be right.
+// Reads what an operator states about zone failover (the `rooms` table of the configuration file, as JSON).
+// The zones must be named in `zones`. Unknown keys are errors. Empty text: zone failover is off.
 ZoneFailoverSettings readZoneFailoverSettings(std::string_view text, const std::vector<std::string>& zones);
 
 }  // namespace stonewing
--- /dev/null
+++ b/src/settings/zone_failover_settings_reader.cpp
@@ -0,0 +1,138 @@
+#include <algorithm>
+#include <charconv>
+#include <optional>
+#include <string>
+
+#include "settings/json_access.h"
+#include "settings/settings_reader.h"
+
+namespace stonewing {
+namespace {
+
+using namespace settings_json;
+
+constexpr double kMaxSpilloverShare = 100;
+constexpr double kMaxSpilloverPerSecond = 1e6;
+constexpr double kMaxRampSeconds = 86400;  // a day
+
+// Every key of the object must be known.
+void requireKnownKeys(const json& object, const std::string& name, const std::vector<std::string>& known) {
+  if (!object.is_object()) throw SettingsError("'" + name + "' must be an object with " + joined(known));
+  for (const auto& [key, value] : object.items()) {
+    if (std::find(known.begin(), known.end(), key) != known.end()) continue;
+    throw SettingsError("'" + name + "." + key + "' is not known; there are " + joined(known));
+  }
+}
+
+struct Range {
+  double least{};
+  double most{};
+};
+
+// The number at `key` of the object that the operator knows as `name`.
+double numberOr(const json& object, const std::string& name, const std::string& key, double fallback,
+                Range range) {
+  if (!object.contains(key)) return fallback;
+  const json& value = object[key];
+  if (!value.is_number() || value.get<double>() < range.least || value.get<double>() > range.most) {
+    throw SettingsError("'" + name + "." + key + "' is " + value.dump() + "; it must be a number from " +
+                        json(range.least).dump() + " to " + json(range.most).dump());
+  }
+  return value.get<double>();
+}
+
+std::optional<ZoneId> findZone(const json& name, const std::vector<std::string>& zones) {
+  if (!name.is_string()) return std::nullopt;
+  auto found = std::find(zones.begin(), zones.end(), name.get<std::string>());
+  if (found == zones.end()) return std::nullopt;
+  return ZoneId{static_cast<std::uint8_t>(found - zones.begin())};
+}
+
+ZoneFailoverSettings::Priorities readPriorities(const json& rows, const std::vector<std::string>& zones,
+                                                const std::string& key) {
+  if (!rows.is_array() || rows.empty()) {
+    throw SettingsError(
+        "'" + key + "' must be a list of tiers, best first, each a list of rooms: [[\"a\"], [\"b\", \"c\"]]");
+  }
+  ZoneFailoverSettings::Priorities priorities;
+  std::vector<ZoneId> seen;
+  for (const json& row : rows) {
+    if (!row.is_array() || row.empty()) {
+      throw SettingsError("each tier of '" + key + "' must be a list of rooms: [\"a\"]");
+    }
+    std::vector<ZoneId>& equals = priorities.emplace_back();
+    for (const json& name : row) {
+      std::optional<ZoneId> zone = findZone(name, zones);
+      if (!zone) {
+        throw SettingsError("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
+                            joined(zones));
+      }
+      if (std::find(seen.begin(), seen.end(), *zone) != seen.end()) {
+        throw SettingsError("'" + key + "' names " + name.dump() + " twice; a room stands in one tier");
+      }
+      seen.push_back(*zone);
+      equals.push_back(*zone);
+    }
+  }
+  return priorities;
+}
+
+DestinationId readDestination(const std::string& name) {
+  std::uint16_t number{};
+  const char* nameEnd = name.data() + name.size();
+  auto [end, error] = std::from_chars(name.data(), nameEnd, number);
+  if (error != std::errc() || end != nameEnd) {
+    throw SettingsError("'rooms.destinations' names \"" + name +
+                        "\"; a destination is a number from 0 to 65535");
+  }
+  return DestinationId{number};
+}
+
+std::map<DestinationId, ZoneFailoverSettings::Priorities> readDestinations(
+    const json& destinations, const std::vector<std::string>& zones) {
+  if (!destinations.is_object()) {
+    throw SettingsError("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
+  }
+  std::map<DestinationId, ZoneFailoverSettings::Priorities> priorities;
+  for (const auto& [name, tiers] : destinations.items()) {
+    DestinationId destination = readDestination(name);
+    priorities[destination] = readPriorities(tiers, zones, "rooms.destinations." + name);
+  }
+  return priorities;
+}
+
+void readSpillover(const json& spill, ZoneFailoverSettings& failover) {
+  const std::string name = "rooms.spill";
+  requireKnownKeys(spill, name, {"share", "slots", "per_s"});
+  failover.spilloverShare = numberOr(spill, name, "share", failover.spilloverShare, {0, kMaxSpilloverShare});
+  failover.spilloverRequestShare = numberOr(spill, name, "slots", failover.spilloverRequestShare, {0, 1});
+  failover.spilloverPerSecond =
+      numberOr(spill, name, "per_s", failover.spilloverPerSecond, {0, kMaxSpilloverPerSecond});
+}
+
+void readRecoveryRamp(const json& recovery, ZoneFailoverSettings& failover) {
+  const std::string name = "rooms.return";
+  requireKnownKeys(recovery, name, {"climb_s", "from"});
+  failover.recoveryRampDuration =
+      numberOr(recovery, name, "climb_s", 0, {0, kMaxRampSeconds}) * kMillisPerSecond;
+  failover.recoveryRampInitialShare = numberOr(recovery, name, "from", 0, {0, 1});
+}
+
+}  // namespace
+
+ZoneFailoverSettings readZoneFailoverSettings(std::string_view text, const std::vector<std::string>& zones) {
+  ZoneFailoverSettings failover;
+  if (text.empty()) return failover;
+  const json rooms = json::parse(text, nullptr, false);
+  requireKnownKeys(rooms, "rooms", {"tiers", "destinations", "spill", "return"});
+  if (!rooms.contains("tiers")) {
+    throw SettingsError("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
+  }
+  failover.priorities = readPriorities(rooms["tiers"], zones, "rooms.tiers");
+  failover.destinations = readDestinations(rooms.value("destinations", json::object()), zones);
+  readSpillover(rooms.value("spill", json::object()), failover);
+  readRecoveryRamp(rooms.value("return", json::object()), failover);
+  return failover;
+}
+
+}  // namespace stonewing
