--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -1,77 +1,83 @@
 #pragma once
 
 #include <map>
+#include <memory>
 #include <nlohmann/json_fwd.hpp>
-#include <random>
-#include <set>
+#include <optional>
 #include <string>
-#include <unordered_map>
 
+#include "discovery/endpoint_directory.h"
+#include "discovery/retry_schedule.h"
 #include "net/http_client_connection.h"
 #include "policy/dispatch_policy.h"
 #include "storage/message_store.h"
 
 namespace stonewing {
 
-struct DiscoveredEndpoint {
-  EndpointRecord record;
-  sockaddr_in address{};
-  std::string authority;  // the address as the list words it
-};
-
-// Which endpoints there are, as discovery tells it: a list to start from, then a watch that goes on and on.
+// Keeps the endpoint directory up to date: it polls discovery over HTTP, with one poll at a time. Each poll
+// asks for the changes since the last version and stays open as a watch until there are some, or asks for the
+// full list where the version cannot be relied on. Discovery that is silent, rejects or answers nonsense
+// changes nothing: the endpoints stay as they are, and the poll is repeated within the bound that
+// retry_schedule.h states.
+//
+// It lives on the thread of the event loop. The loop, the policy and the names must outlive it.
 class DiscoveryClient : public HttpClientConnection::Observer {
  public:
-  DiscoveryClient(EventLoop& loop, DispatchPolicy& rules, const NameTables& facts, sockaddr_in discovery,
+  // discovery, host: the address to poll, and the same for the Host header. The seed spreads retries.
+  DiscoveryClient(EventLoop& loop, DispatchPolicy& policy, const NameTables& names, sockaddr_in discovery,
                   std::string host, std::uint64_t seed);
 
-  // Tells the rules a list, or changes. Throws ParseError and tells nothing where it cannot be read. False:
-  // some entries could not be used, and the whole list is to be asked for.
+  // Passes an answer of discovery on to the directory and the policy. Throws ParseError, and changes nothing,
+  // where the answer as a whole cannot be read. False: some entries could not be used, and the full list is
+  // to be polled to check them.
   bool applyAnswer(const nlohmann::json& answer);
-  // Endpoints that no list names any more, but that restored messages were attempted at.
-  void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& held);
-
-  const DiscoveredEndpoint* find(EndpointId id) const {
-    auto at = endpoints_.find(id);
-    return at == endpoints_.end() ? nullptr : &at->second;
-  }
-  EndpointId idOf(const std::string& name);
-  std::size_t count() const { return endpoints_.size(); }
-  // Whether it ever had an endpoint, as far as this process was told.
-  bool knows(DestinationId destination) const { return destinations_.contains(destination); }
-  bool hasAnswered() const { return heard_; }
-
-  // Discovery is to be asked at another address from now on; the list stays until that one answers.
+  // From now on discovery is polled at another address. The endpoints stay until that one has answered.
   void changeAddress(sockaddr_in discovery, std::string host);
-  void onTick();  // asks anew, gives up a watch that outlasts its time
+
+  // Polls, or ends a poll that has timed out, if that is due.
+  void onTick();
+  // When onTick() has something to do next.
   Millis due() const;
+  // Whether discovery itself has answered since the start.
+  bool hasAnswered() const { return hasAnswered_; }
+
+  // As in EndpointDirectory.
+  void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& messages) {
+    directory_.addRecoveredEndpoints(messages);
+  }
+  const DiscoveredEndpoint* find(EndpointId id) const { return directory_.find(id); }
+  EndpointId idOf(const std::string& name) { return directory_.idOf(name); }
+  std::size_t count() const { return directory_.count(); }
+  bool knows(DestinationId destination) const { return directory_.knows(destination); }
 
  private:
-  void onResponseStarted(HttpClientConnection& link) override;
-  void onResponse(HttpClientConnection& link) override;
-  void onBroken(HttpClientConnection& link) override;
+  enum class PollKind { changes, fullList };
+
+  void onResponseStarted(HttpClientConnection& connection) override;
+  void onResponse(HttpClientConnection& connection) override;
+  void onBroken(HttpClientConnection& connection) override;
   void poll();
-  void scheduleRetry(Millis first, Millis most);
+  bool ensureConnection();
+  std::string pollTarget() const;
+  void applyResponse(const HttpClientConnection& connection);
+  void retryAfterFailure();
 
   EventLoop& loop_;
-  DispatchPolicy& policy_;
   const NameTables& names_;
   sockaddr_in address_;
   std::string host_;
-  std::unique_ptr<HttpClientConnection> link_;
-  bool out_{false};
-  Millis since_{0};
-  Millis notBefore_{0};
-  Millis pause_{0};
-  Millis wholeBy_{-1};  // the answer that has begun is to be whole by then; -1 while none has
-  std::mt19937 chance_;
-  bool whole_{false};    // the next question is for the whole list
-  bool doubted_{false};  // because the last one had entries that could not be used
-  std::int64_t version_{0};
-  bool heard_{false};  // discovery itself has told a list or changes
-  std::set<DestinationId> destinations_;
-  std::map<EndpointId, DiscoveredEndpoint> endpoints_;
-  std::unordered_map<std::string, EndpointId> ids_;
+  EndpointDirectory directory_;
+  discovery_timing::RetrySchedule retrySchedule_;
+  std::unique_ptr<HttpClientConnection> connection_;
+
+  bool isPollPending_{false};
+  PollKind pollKind_{PollKind::changes};  // of the pending poll, or else of the next one
+  Millis pollStartedAt_{0};
+  Millis nextPollAt_{0};
+  std::optional<Millis> responseDeadline_;  // of a response that has begun
+  std::int64_t version_{0};                 // of the list that the next changes are to follow
+  bool isRecheckingEntries_{false};         // the last answer had unusable entries, and is asked for in full
+  bool hasAnswered_{false};
 };
 
 }  // namespace stonewing
--- /dev/null
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -0,0 +1,105 @@
+#include "discovery/endpoint_list_parser.h"
+
+#include <algorithm>
+#include <cmath>
+#include <nlohmann/json.hpp>
+
+#include "base/errors.h"
+#include "net/event_loop.h"
+
+namespace stonewing {
+namespace {
+
+using nlohmann::json;
+
+constexpr const char* kDrainingState = "terminating";
+constexpr const char* kRemovedState = "terminated";
+constexpr std::int64_t kMaxDestination = 0xffff;
+
+EndpointState parseState(const std::string& state) {
+  if (state == "in_service") return EndpointState::ready;
+  if (state == kDrainingState) return EndpointState::draining;
+  if (state == kRemovedState) return EndpointState::removed;
+  throw ParseError("unknown state " + state);
+}
+
+// The id of a name is its index in the table.
+template <class Id>
+Id idOfName(const std::vector<std::string>& names, const std::string& name) {
+  auto found = std::find(names.begin(), names.end(), name);
+  if (found == names.end()) throw ParseError("unknown kind or zone " + name);
+  return Id{static_cast<decltype(Id{}.value)>(found - names.begin())};
+}
+
+DestinationId parseDestination(const json& entry, const std::string& endpointName) {
+  auto cell = entry.at("cell").get<std::int64_t>();
+  if (cell < 0 || cell > kMaxDestination) throw ParseError("bad cell of " + endpointName);
+  return DestinationId{static_cast<std::uint16_t>(cell)};
+}
+
+ListedEndpoint parseEntry(const json& entry, const NameTables& names) try {
+  ListedEndpoint listed;
+  EndpointRecord& record = listed.endpoint.record;
+  record.name = entry.at("id").get<std::string>();
+  listed.state = parseState(entry.at("state").get<std::string>());
+  listed.endpoint.authority = entry.at("addr").get<std::string>();
+  auto address = parseAddress(listed.endpoint.authority);
+  if (!address) throw ParseError("bad address of " + record.name);
+  listed.endpoint.address = *address;
+  record.zone = idOfName<ZoneId>(names.zones, entry.at("zone").get<std::string>());
+  record.kind = idOfName<KindId>(names.kinds, entry.at("kind").get<std::string>());
+  record.destination = parseDestination(entry, record.name);
+  listed.weight = entry.value("weight", 1.0);
+  if (!std::isfinite(listed.weight)) throw ParseError("bad weight of " + record.name);
+  return listed;
+} catch (const json::exception& problem) {
+  throw ParseError(problem.what());
+}
+
+// The text at the key; empty where there is none.
+std::string textAt(const json& entry, const char* key) {
+  if (!entry.is_object()) return "";
+  auto found = entry.find(key);
+  if (found == entry.end() || !found->is_string()) return "";
+  return found->get<std::string>();
+}
+
+UnusableEntry salvageEntry(const json& entry, const std::string& problem) {
+  UnusableEntry unusable{textAt(entry, "id"), std::nullopt, problem};
+  std::string state = textAt(entry, "state");
+  if (state == kDrainingState || state == kRemovedState) unusable.leavingState = parseState(state);
+  return unusable;
+}
+
+}  // namespace
+
+std::size_t EndpointList::unusableCount() const {
+  return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), [](const auto& entry) {
+    return std::holds_alternative<UnusableEntry>(entry);
+  }));
+}
+
+std::string EndpointList::firstProblem() const {
+  for (const auto& entry : entries) {
+    if (const auto* unusable = std::get_if<UnusableEntry>(&entry)) return unusable->problem;
+  }
+  return "";
+}
+
+EndpointList parseEndpointList(const json& answer, const NameTables& names) try {
+  EndpointList list;
+  list.version = answer.at("version").get<std::int64_t>();
+  list.extent = answer.at("full").get<bool>() ? ListExtent::full : ListExtent::changes;
+  for (const json& entry : answer.at("servers")) {
+    try {
+      list.entries.emplace_back(parseEntry(entry, names));
+    } catch (const Error& problem) {
+      list.entries.emplace_back(salvageEntry(entry, problem.what()));
+    }
+  }
+  return list;
+} catch (const json::exception& problem) {
+  throw ParseError(problem.what());
+}
+
+}  // namespace stonewing
