--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -6,77 +6,113 @@
 namespace stonewing {
 namespace {
 
-// A client waits 400 ms for its answer, and what is refused comes again. With turns of an eighth of that all
-// are answered in time as long as reading and refusing alone do not fill the loop; with a quarter of it half
-// of the clients had left unheard, each to hand in again (stonewing_lab gates).
-constexpr Millis kClientWaits = 400;
-constexpr Millis kWorkEasy = 20;
-constexpr Millis kWorkMost = 50;
-constexpr double kWorkPart = 0.25;      // of a turn in the running mean, when it is shorter than that
-constexpr double kJournalEasy = 0.9;    // of what the journal may hold
-constexpr Millis kRecent = 1000;        // over which ends and refusals are counted
-constexpr Millis kShortestAdvice = 20;  // sooner, nothing has changed
-constexpr double kNoPlace = 2;
-constexpr double kSpreadLeast = 0.5;
-constexpr double kSpreadMost = 1.5;
-
-double between(double value, double easy, double most) {
-  return value <= easy ? 0 : (value - easy) / std::max(1e-9, most - easy);
+// A client waits so long for an answer, and submits the message again elsewhere when there is none.
+constexpr Millis kClientTimeout = 400;
+// Pressure rises from 0 at kEasyTurnWork to 1 at kMaxTurnWork. With turns of an eighth of the client's
+// timeout all clients are answered in time, as long as reading and rejecting alone do not fill the loop; with
+// a quarter of it half of the clients had left unanswered, each to submit again (stonewing_lab gates). A
+// journal write that is under way keeps answers waiting as a turn does, and counts the same.
+constexpr Millis kEasyTurnWork = 20;
+constexpr Millis kMaxTurnWork = 50;
+// Weight of a turn in the running mean, when it is shorter than the mean. A single short turn must not end
+// the pressure.
+constexpr double kShortTurnWeight = 0.25;
+// Share of the journal's capacity in use from which pressure rises, up to 1 when the journal is full.
+constexpr double kEasyJournalFill = 0.9;
+// Pressure when no further message may be in flight. Anything from 1 on rejects all messages.
+constexpr double kOutOfCapacityPressure = 2;
+// Time constant with which turns, final answers and rejections fade.
+constexpr Millis kRecentTimeConstant = 1000;
+// Shortest advice: sooner than that nothing has changed.
+constexpr Millis kMinRetryAfter = 20;
+// Advice is multiplied by a random factor between these, so that rejected clients do not return at one
+// moment.
+constexpr double kMinAdviceFactor = 0.5;
+constexpr double kMaxAdviceFactor = 1.5;
+constexpr double kRandomRange = 4294967296.0;  // 2^32, the values of std::mt19937
+// Keeps divisors above 0.
+constexpr double kMinDivisor = 1e-9;
+
+double fadeFactor(Millis age) { return std::exp(-std::max(0.0, age) / kRecentTimeConstant); }
+
+// 0 up to `easy`, then rising linearly: 1 at `most`, and above 1 beyond it.
+double pressureOf(double value, double easy, double most) {
+  if (value <= easy) return 0;
+  return (value - easy) / std::max(kMinDivisor, most - easy);
 }
 
 }  // namespace
 
-double AdmissionController::faded(double count, Millis span) {
-  return count * std::exp(-std::max(0.0, span) / kRecent);
+double AdmissionController::DecayingCount::valueAt(Millis now) const {
+  return value * fadeFactor(now - updatedAt);
+}
+
+void AdmissionController::DecayingCount::add(Millis now) {
+  value = 1 + valueAt(now);
+  updatedAt = now;
 }
 
-// A long turn counts at once, since what it kept waiting is about to be read; a short one by a part.
+// A long turn counts at once, since what it kept waiting is about to be read; a short one only by its weight.
 void AdmissionController::recordTurn(Millis now, Millis worked) {
-  turnWork_ = worked >= turnWork_ ? worked : turnWork_ + kWorkPart * (worked - turnWork_);
-  turnWorkAt_ = now;
+  if (worked >= turnWork_) {
+    turnWork_ = worked;
+  } else {
+    turnWork_ += kShortTurnWeight * (worked - turnWork_);
+  }
+  turnWorkUpdatedAt_ = now;
 }
 
-void AdmissionController::recordFinished(Millis now) {
-  recentFinished_ = 1 + faded(recentFinished_, now - recentFinishedAt_);
-  recentFinishedAt_ = now;
+void AdmissionController::recordFinished(Millis now) { recentFinished_.add(now); }
+
+// A loop that has rested since its last turn is no longer as far behind as that turn shows.
+double AdmissionController::decayedTurnWork(Millis now) const {
+  if (turnWorkUpdatedAt_ < 0) return 0;
+  return turnWork_ * fadeFactor(now - turnWorkUpdatedAt_);
 }
 
-double AdmissionController::pressure(const AdmissionInputs& facts) const {
-  if (facts.messagesInFlight >= settings_.maxInFlight)
-    return kNoPlace;  // up to there the rules make room by themselves
-  // Turns that have rested since tell of an earlier time.
-  double work = turnWorkAt_ < 0 ? 0 : turnWork_ * std::exp(-std::max(0.0, facts.now - turnWorkAt_) / kRecent);
+double AdmissionController::pressure(const AdmissionInputs& inputs) const {
+  // Below the limit it is the policy that evicts messages.
+  if (inputs.messagesInFlight >= settings_.maxInFlight) return kOutOfCapacityPressure;
   // A turn that reads a surge is known to be long before it has ended.
-  work = std::max(work, facts.workThisTurn);
-  // A folder that hangs keeps all answers waiting as a long turn does, though the loop itself is at leisure.
-  return std::max({between(work, kWorkEasy, kWorkMost), between(facts.journalWriteAge, kWorkEasy, kWorkMost),
-                   between(facts.journalFillShare, kJournalEasy, 1)});
+  Millis work = std::max(decayedTurnWork(inputs.now), inputs.workThisTurn);
+  // A journal write that hangs keeps all answers waiting as a long turn does, though the loop itself is idle.
+  return std::max({pressureOf(work, kEasyTurnWork, kMaxTurnWork),
+                   pressureOf(inputs.journalWriteAge, kEasyTurnWork, kMaxTurnWork),
+                   pressureOf(inputs.journalFillShare, kEasyJournalFill, 1)});
+}
+
+// How long it takes until one more message can be accepted, behind those that were rejected before it, at the
+// rate at which messages finish.
+Millis AdmissionController::expectedWait(Millis now, Millis journalWriteAge) const {
+  // While a journal write hangs no message finishes, and nobody knows for how long: it is expected to hang
+  // for as long again. But a rejection costs the client no more time than no answer would, since it may be
+  // accepted by another dispatcher.
+  if (journalWriteAge > kEasyTurnWork) return std::min(journalWriteAge, kClientTimeout);
+  double finishedPerMs = recentFinished_.valueAt(now) / kRecentTimeConstant;
+  if (finishedPerMs <= 0) return settings_.maxRetryAfter;
+  return recentRejections_.value / finishedPerMs;
 }
 
-// When there will be room for one more: behind those that were refused before it, at the rate at which
-// messages end. A folder that hangs lets nothing end, and nobody knows for how long: it is thought to go on
-// for as long again, but a refusal costs no more time than no answer would, since who comes back may meet
-// another dispatcher. Drawn apart, so that not all come back at the same moment.
-Millis AdmissionController::retryAfter(Millis now, Millis hangs) {
-  double rate = faded(recentFinished_, now - recentFinishedAt_) / kRecent;
-  recentRejections_ = 1 + faded(recentRejections_, now - recentRejectionsAt_);
-  recentRejectionsAt_ = now;
-  double spread = kSpreadLeast + (kSpreadMost - kSpreadLeast) * static_cast<double>(chance_()) / 4294967296.0;
-  if (!settings_.mayAdviseRetryAfter || settings_.maxRetryAfter <= 0) return 0;
-  double wait = hangs > kWorkEasy ? std::min(hangs, kClientWaits)
-                : rate > 0        ? recentRejections_ / rate
-                                  : settings_.maxRetryAfter;
+Millis AdmissionController::drawRetryAfter(Millis now, Millis journalWriteAge) {
+  recentRejections_.add(now);
+  // Drawn also where no advice is given: the sequence of random numbers does not depend on the settings.
+  double range = kMaxAdviceFactor - kMinAdviceFactor;
+  double factor = kMinAdviceFactor + range * static_cast<double>(random_()) / kRandomRange;
   Millis most = settings_.maxRetryAfter;
-  return std::clamp(std::min(wait, most / kSpreadMost) * spread, std::min(kShortestAdvice, most), most);
+  if (!settings_.mayAdviseRetryAfter || most <= 0) return 0;
+  Millis wait = std::min(expectedWait(now, journalWriteAge), most / kMaxAdviceFactor);
+  return std::clamp(wait * factor, std::min(kMinRetryAfter, most), most);
 }
 
-AdmissionDecision AdmissionController::decide(const AdmissionInputs& facts, double gain, bool overShare) {
-  double worth =
-      gain / std::max(1e-9, settings_.maxPriorityWeight) * (overShare ? settings_.overQuotaWeightShare : 1);
-  double pressed = pressure(facts);
-  // What is worth most is turned away last, and nothing is while nothing presses.
-  if (pressed <= 0 || (pressed < 1 && worth > pressed)) return {true, 0};
-  return {false, retryAfter(facts.now, facts.journalWriteAge)};
+AdmissionDecision AdmissionController::decide(const AdmissionInputs& inputs, double priorityWeight,
+                                              bool overQuota) {
+  double quotaShare = overQuota ? settings_.overQuotaWeightShare : 1;
+  double relativeWeight = priorityWeight / std::max(kMinDivisor, settings_.maxPriorityWeight) * quotaShare;
+  double currentPressure = pressure(inputs);
+  if (currentPressure <= 0) return {true, 0};
+  // The messages of the highest weight are rejected last.
+  if (currentPressure < 1 && relativeWeight > currentPressure) return {true, 0};
+  return {false, drawRetryAfter(inputs.now, inputs.journalWriteAge)};
 }
 
 }  // namespace stonewing
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -5,63 +5,79 @@
 
 #include "base/ids.h"
 
-// Whether a message is accepted at all, decided before it is written to the journal. The rules decide about
-// what is held; this decides only about our own overload: no place, no room in the journal, a folder that
-// hangs, or a loop that is behind. No clock, no chance and no sockets of its own.
+// Overload control of the dispatcher itself: whether a submitted message is accepted at all, decided before
+// it is written to the journal. Messages that were accepted are the policy's matter; this looks only at
+// whether the dispatcher is out of capacity for messages, its journal is nearly full, a journal write hangs,
+// or its event loop falls behind.
 namespace stonewing {
 
+// Times are milliseconds.
 struct AdmissionSettings {
-  int maxInFlight{1};
-  bool mayAdviseRetryAfter{false};  // whether a refusal may tell when to come again
-  Millis maxRetryAfter{0};          // and how far ahead at most
-  double maxPriorityWeight{1};      // of any traffic type
-  double overQuotaWeightShare{1};   // what a message over its tenant's share counts, of one within it
+  int maxInFlight{1};               // messages accepted and without a final answer
+  bool mayAdviseRetryAfter{false};  // whether a rejection may say when to submit again
+  Millis maxRetryAfter{0};          // the longest time that it may say
+  double maxPriorityWeight{1};      // the highest of all traffic types
+  double overQuotaWeightShare{1};   // share of its weight that a message over its tenant's quota has
 };
 
+// The state of the dispatcher at a decision. Times are milliseconds.
 struct AdmissionInputs {
   Millis now{0};
   int messagesInFlight{0};
-  double journalFillShare{0};  // share of what the journal may hold
-  Millis journalWriteAge{0};   // for how long a write of the journal has been under way
-  Millis workThisTurn{0};      // in this turn of the loop so far
+  double journalFillShare{0};  // share of the journal's capacity that is in use
+  Millis journalWriteAge{0};   // for how long the pending journal write has been under way; 0: none is
+  Millis workThisTurn{0};      // of the event loop so far, sleep not counted
 };
 
 struct AdmissionDecision {
   bool accepted{true};
-  Millis retryAfter{0};  // of a refusal; 0: no time is told
+  Millis retryAfter{0};  // of a rejection, in milliseconds; 0: it says no time
 };
 
+// Accepts or rejects messages by how overloaded the dispatcher is and what a message is worth. No clock,
+// sockets or threads of its own: times are those of the caller's clock, and random numbers follow from the
+// seed alone.
 class AdmissionController {
  public:
-  AdmissionController(const AdmissionSettings& terms, std::uint64_t seed)
-      : settings_(terms), chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
+  AdmissionController(const AdmissionSettings& settings, std::uint64_t seed)
+      : settings_(settings), random_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
-  // A turn of the loop is over; it worked for so long, sleep not counted.
+  // A turn of the event loop has ended; it worked for so long, sleep not counted.
   void recordTurn(Millis now, Millis worked);
-  // A message that was held is over, in whatever way.
+  // An accepted message has got its final answer, whichever it is.
   void recordFinished(Millis now);
-  // One asks to be accepted. gain: of its type; overShare: its tenant is above its share.
-  AdmissionDecision decide(const AdmissionInputs& facts, double gain, bool overShare);
+  // A message was rejected for another reason, such as a journal that could not store it. Returns when to
+  // submit it again, as AdmissionDecision::retryAfter does.
+  Millis recordRejection(Millis now) { return drawRetryAfter(now, 0); }
 
-  // Refused for another cause, such as a journal that would not take it: when to come again.
-  Millis recordRejection(Millis now) { return retryAfter(now); }
+  // Whether a submitted message is accepted. priorityWeight: of its traffic type; overQuota: whether its
+  // tenant is over its quota. A rejection counts for the advice that later ones get.
+  AdmissionDecision decide(const AdmissionInputs& inputs, double priorityWeight, bool overQuota);
 
-  // 0: nothing presses; below 1, what is worth less than so much of the most is turned away; from 1 on, all
-  // is.
-  double pressure(const AdmissionInputs& facts) const;
+  // How overloaded the dispatcher is. 0: not at all; below 1: messages of less than this share of the highest
+  // weight are rejected; from 1 on: all messages are.
+  double pressure(const AdmissionInputs& inputs) const;
 
  private:
-  Millis retryAfter(Millis now, Millis hangs = 0);
-  static double faded(double count, Millis span);
+  // A count of events in which each event fades with its age.
+  struct DecayingCount {
+    double value{0};
+    Millis updatedAt{0};
+
+    double valueAt(Millis now) const;
+    void add(Millis now);
+  };
+
+  double decayedTurnWork(Millis now) const;
+  Millis expectedWait(Millis now, Millis journalWriteAge) const;
+  Millis drawRetryAfter(Millis now, Millis journalWriteAge);
 
   AdmissionSettings settings_;
-  std::mt19937 chance_;
-  double turnWork_{0};  // smoothed work of a turn
-  Millis turnWorkAt_{-1};
-  double recentFinished_{0};  // recent ones, fading
-  Millis recentFinishedAt_{0};
-  double recentRejections_{0};  // the same
-  Millis recentRejectionsAt_{0};
+  std::mt19937 random_;
+  Millis turnWork_{0};            // work of recent turns: the longest, falling towards the running mean
+  Millis turnWorkUpdatedAt_{-1};  // before 0: no turn was recorded
+  DecayingCount recentFinished_;  // final answers
+  DecayingCount recentRejections_;
 };
 
 }  // namespace stonewing
