--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -38,7 +38,8 @@
   void onTick();
   // When onTick() has something to do next.
   Millis due() const;
-  // Whether discovery itself has answered since the start.
+  // Whether an answer to a poll has been accepted since the start. Until then the endpoints may be those of
+  // an old list that the host passed to applyAnswer().
   bool hasAnswered() const { return hasAnswered_; }
 
   // As in EndpointDirectory.
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -197,7 +197,7 @@
       if (t.idempotency == Idempotency::nonIdempotent ||
           at - earlier.at > t.deduplicationWindow + kAuditSlack)
         return false;
-      if (!t.deduplicatesWithinZone) return true;
+      if (t.deduplicationScope == DeduplicationScope::destination) return true;
       return later != nullptr && plan_.roomOf(static_cast<int>(earlier.endpoint)) ==
                                      plan_.roomOf(static_cast<int>(later->endpoint));
     };
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -268,7 +268,8 @@
       if (h.type->idempotency == Idempotency::nonIdempotent ||
           now_ >= s.at + 0.9 * h.type->deduplicationWindow)
         return false;
-      if (h.type->deduplicatesWithinZone && endpoints_[s.endpoint].row.room != endpoints_[to].row.room)
+      if (h.type->deduplicationScope == DeduplicationScope::zone &&
+          endpoints_[s.endpoint].row.room != endpoints_[to].row.room)
         return false;
     }
     return true;
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -150,7 +150,7 @@
                     : t.terms.idempotency == Idempotency::idempotentWithKey ? "keyed"
                                                                             : "unsafe";
     if (t.terms.idempotency == Idempotency::idempotentWithKey) {
-      row["group"] = t.terms.deduplicatesWithinZone ? "zone" : "all";
+      row["group"] = t.terms.deduplicationScope == DeduplicationScope::zone ? "zone" : "all";
       row["repeat-window-s"] = t.terms.deduplicationWindow / kSecond;
     }
     types.push_back(row);
--- a/src/lab/plan.cpp
+++ b/src/lab/plan.cpp
@@ -319,7 +319,8 @@
       {"pure", Idempotency::idempotent},
       {"receipted", Idempotency::idempotentWithKey},
       {"effectful", Idempotency::nonIdempotent}};
-  static constexpr std::pair<const char*, bool> kGroups[] = {{"all", false}, {"room", true}};
+  static constexpr std::pair<const char*, DeduplicationScope> kGroups[] = {
+      {"all", DeduplicationScope::destination}, {"room", DeduplicationScope::zone}};
   TypePlan t;
   t.terms.latencyObjective = 1000;
   t.terms.deadlineAfter = 5000;
@@ -331,7 +332,7 @@
   in.number("gain", t.terms.priorityWeight, 0, 1e6);
   in.number("late_share", t.terms.lateWeightShare, 0, 1);
   in.number("window_ms", t.terms.deduplicationWindow, 1, 1e7);
-  in.choice("group", t.terms.deduplicatesWithinZone, kGroups);
+  in.choice("group", t.terms.deduplicationScope, kGroups);
   in.flag("ordered", t.terms.ordered);
   in.number("keys", t.keys, 0, 1e9);
   if (t.terms.deadlineAfter < t.terms.latencyObjective) {
--- a/src/lab/town.cpp
+++ b/src/lab/town.cpp
@@ -312,7 +312,7 @@
     bool fresh = true;
     if (type.idempotency == Idempotency::idempotentWithKey) {
       auto room = static_cast<std::uint64_t>(plan_.roomOf(static_cast<int>(id)));
-      std::uint64_t group = type.deduplicatesWithinZone ? room + 1 : 0;
+      std::uint64_t group = type.deduplicationScope == DeduplicationScope::zone ? room + 1 : 0;
       auto [at, first] = receipts_.try_emplace(std::uint64_t{handed.origin} << 8 | group, now);
       fresh = first || now - at->second > type.deduplicationWindow;
       if (fresh) at->second = now;
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -541,7 +541,8 @@
     if (!mayHaveExecuted(l) || &l == self) continue;
     if (t.idempotency == Idempotency::nonIdempotent) return false;
     if (state_.now >= l.sentAt + t.deduplicationWindow * (1 - kWindowMargin)) return false;
-    if (to != nullptr && t.deduplicatesWithinZone && l.endpoint->zone != to->zone) return false;
+    if (to != nullptr && t.deduplicationScope == DeduplicationScope::zone && l.endpoint->zone != to->zone)
+      return false;
   }
   return true;
 }
@@ -560,8 +561,8 @@
 bool DispatchPolicy::mayShed(const Message& c) const {
   const TrafficType& t = type(c);
   if (t.idempotency == Idempotency::idempotent || !mayHaveExecuted(c)) return true;
-  return t.idempotency == Idempotency::idempotentWithKey && !t.deduplicatesWithinZone &&
-         mayAttempt(c, nullptr);
+  return t.idempotency == Idempotency::idempotentWithKey &&
+         t.deduplicationScope == DeduplicationScope::destination && mayAttempt(c, nullptr);
 }
 
 bool DispatchPolicy::isNextInOrder(MessageId id, const Message& c) {
--- a/src/policy/zone_failover.h
+++ b/src/policy/zone_failover.h
@@ -27,7 +27,8 @@
 //   (1) endpoints of several destinations fail and nothing in the zone has worked since the first of them did
 //       (ZoneLossDetector);
 //   (2) a message is delivered there, or a health check answers;
-//   (3) something succeeds there once the ramp's duration has passed;
+//   (3) something succeeds there once the ramp's duration has passed. The ramp limits attempts no longer than
+//       that; spillover stays limited until (3);
 //   (4) the zone had traffic, was absent from the endpoint list for longer than the overload window, and is
 //       listed again. This ramp starts higher than one after a loss.
 //
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -16,10 +16,16 @@
 // Whether an endpoint may receive a message again after an attempt that may have executed.
 enum class Idempotency {
   idempotent,         // always
-  idempotentWithKey,  // within TrafficType::deduplicationWindow
+  idempotentWithKey,  // within TrafficType::deduplicationWindow and deduplicationScope
   nonIdempotent       // never
 };
 
+// Which endpoints recognize a repeated message by its idempotency key.
+enum class DeduplicationScope {
+  destination,  // all endpoints that the message may go to
+  zone          // those in the zone of the earlier attempt
+};
+
 // How the weight of a message falls once its latency objective has passed.
 enum class WeightDecay {
   linear,  // evenly, down to the late weight share at the deadline
@@ -54,7 +60,7 @@
   double lateWeightShare{0};  // share of that weight that is left at the deadline
   Idempotency idempotency{Idempotency::nonIdempotent};
   // These two matter for idempotentWithKey alone. The window begins when the attempt is sent.
-  bool deduplicatesWithinZone{false};
+  DeduplicationScope deduplicationScope{DeduplicationScope::destination};
   Millis deduplicationWindow{};
   bool ordered{false};  // messages with the same ordering key are delivered one at a time, in order
 
--- a/src/settings/deployment_settings_reader.cpp
+++ b/src/settings/deployment_settings_reader.cpp
@@ -24,11 +24,11 @@
   return value;
 }
 
-bool readDeduplicatesWithinZone(const json& row, const std::string& type) {
+DeduplicationScope readDeduplicationScope(const json& row, const std::string& type) {
   std::string group = require<std::string>(row, "group");
-  if (group == "zone") return true;
+  if (group == "zone") return DeduplicationScope::zone;
   // A cell is a destination: all the endpoints that a message may go to.
-  if (group == "all" || group == "cell") return false;
+  if (group == "all" || group == "cell") return DeduplicationScope::destination;
   throwWrongValue(type, "group", group, "\"all\", \"zone\" or \"cell\"");
 }
 
@@ -42,7 +42,7 @@
     if (type.deduplicationWindow < 0) {
       throwWrongValue(name, "repeat-window-s", row["repeat-window-s"], "0 or more");
     }
-    type.deduplicatesWithinZone = readDeduplicatesWithinZone(row, name);
+    type.deduplicationScope = readDeduplicationScope(row, name);
   } else if (effect == "unsafe") {
     type.idempotency = Idempotency::nonIdempotent;
   } else {
--- a/src/settings/zone_failover_settings_reader.cpp
+++ b/src/settings/zone_failover_settings_reader.cpp
@@ -1,6 +1,5 @@
 #include <algorithm>
 #include <charconv>
-#include <optional>
 #include <string>
 
 #include "settings/json_access.h"
@@ -41,13 +40,22 @@
   return value.get<double>();
 }
 
-std::optional<ZoneId> findZone(const json& name, const std::vector<std::string>& zones) {
-  if (!name.is_string()) return std::nullopt;
-  auto found = std::find(zones.begin(), zones.end(), name.get<std::string>());
-  if (found == zones.end()) return std::nullopt;
+ZoneId readZone(const json& name, const std::vector<std::string>& zones, const std::string& key) {
+  auto found = zones.end();
+  if (name.is_string()) found = std::find(zones.begin(), zones.end(), name.get<std::string>());
+  if (found == zones.end()) {
+    throw SettingsError("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
+                        joined(zones));
+  }
   return ZoneId{static_cast<std::uint8_t>(found - zones.begin())};
 }
 
+bool contains(const ZoneFailoverSettings::Priorities& priorities, ZoneId zone) {
+  return std::any_of(priorities.begin(), priorities.end(), [&](const std::vector<ZoneId>& equals) {
+    return std::find(equals.begin(), equals.end(), zone) != equals.end();
+  });
+}
+
 ZoneFailoverSettings::Priorities readPriorities(const json& rows, const std::vector<std::string>& zones,
                                                 const std::string& key) {
   if (!rows.is_array() || rows.empty()) {
@@ -55,23 +63,17 @@
         "'" + key + "' must be a list of tiers, best first, each a list of rooms: [[\"a\"], [\"b\", \"c\"]]");
   }
   ZoneFailoverSettings::Priorities priorities;
-  std::vector<ZoneId> seen;
   for (const json& row : rows) {
     if (!row.is_array() || row.empty()) {
       throw SettingsError("each tier of '" + key + "' must be a list of rooms: [\"a\"]");
     }
-    std::vector<ZoneId>& equals = priorities.emplace_back();
+    priorities.emplace_back();
     for (const json& name : row) {
-      std::optional<ZoneId> zone = findZone(name, zones);
-      if (!zone) {
-        throw SettingsError("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
-                            joined(zones));
-      }
-      if (std::find(seen.begin(), seen.end(), *zone) != seen.end()) {
+      ZoneId zone = readZone(name, zones, key);
+      if (contains(priorities, zone)) {
         throw SettingsError("'" + key + "' names " + name.dump() + " twice; a room stands in one tier");
       }
-      seen.push_back(*zone);
-      equals.push_back(*zone);
+      priorities.back().push_back(zone);
     }
   }
   return priorities;
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -192,7 +192,7 @@
         << type << " " << status << " " << again;
   }
   Hand rooms(1);
-  rooms.plan.types[1].terms.deduplicatesWithinZone = true;
+  rooms.plan.types[1].terms.deduplicationScope = DeduplicationScope::zone;
   rooms.reply(150, rooms.arrive(100, 0), 500);
   rooms.reply(350, rooms.arrive(300, 1), 200, 1);  // the other room
   EXPECT_EQ(rooms.broken(), Rules{Rule::noEffectTwice});
--- a/tests/model_test.cpp
+++ b/tests/model_test.cpp
@@ -43,7 +43,7 @@
       if (!mayHaveRun(s)) continue;
       if (c.type.idempotency == Idempotency::nonIdempotent || now > s.at + c.type.deduplicationWindow)
         return false;
-      if (c.type.deduplicatesWithinZone &&
+      if (c.type.deduplicationScope == DeduplicationScope::zone &&
           (to == nullptr || list.at(*to).second != list.at(s.what.endpoint).second))
         return false;
     }
@@ -109,7 +109,8 @@
     terms.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
                    trafficType(Idempotency::nonIdempotent)};
     for (TrafficType& t : terms.types) t.ordered = *rc::gen::arbitrary<bool>();
-    terms.types[1].deduplicatesWithinZone = *rc::gen::arbitrary<bool>();
+    terms.types[1].deduplicationScope =
+        *rc::gen::arbitrary<bool>() ? DeduplicationScope::zone : DeduplicationScope::destination;
     terms.kinds[0].routesApart = *rc::gen::arbitrary<bool>();
     if (*rc::gen::arbitrary<bool>()) terms.zoneFailover.priorities = {{ZoneId{0}}, {ZoneId{1}}};
     terms.zoneFailover.spilloverRequestShare = 0.5;
--- a/tests/rooms_test.cpp
+++ b/tests/rooms_test.cpp
@@ -16,7 +16,7 @@
   DeploymentSettings t = plainTerms();
   t.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
              trafficType(Idempotency::nonIdempotent)};
-  t.types[1].deduplicatesWithinZone = true;
+  t.types[1].deduplicationScope = DeduplicationScope::zone;
   t.maxConcurrentRequests = 20;
   t.zoneFailover.priorities = {{kOwn}, {kNear}, {kFar}};
   return t;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -147,7 +147,7 @@
 
 TEST(Effects, ACallbackThatMayHaveRunInAZoneGroupIsNotShed) {
   DeploymentSettings terms = plainTerms(Idempotency::idempotentWithKey);
-  terms.types[0].deduplicatesWithinZone = true;
+  terms.types[0].deduplicationScope = DeduplicationScope::zone;
   terms.maxInFlight = 2;
   Bed bed(terms);
   bed.take(1);
