--- a/src/policy/zone_failover.cpp
+++ b/src/policy/zone_failover.cpp
@@ -29,7 +29,7 @@
 // nothing.
 constexpr double kUnknownZoneAttempts = 2;
 // Share at which a ramp starts, at least, after the zone was only absent from the endpoint list: it did not
-// fail, but may have gone cold.
+// fail, but may need to warm up.
 constexpr double kRampStartAfterAbsence = 0.5;
 // Unused spillover capacity that may be used at once.
 constexpr Millis kSpilloverBurstSpan = 1000;
@@ -116,7 +116,7 @@
   for (auto& [id, zone] : zones_) commitZoneEndpoints(now, zone);
 }
 
-// A zone that was absent from the list for a while may come back as cold as one that was lost.
+// A zone that was absent from the list for a while may have to warm up like one that was lost.
 void ZoneFailover::commitZoneEndpoints(Millis now, Zone& zone) {
   zone.lossDetector.forgetUnlistedFailures();
   if (!zone.lossDetector.hasEndpoints()) {
@@ -198,10 +198,10 @@
   zone.health = ZoneHealth::lost;
   zone.healthChangedAt = now;
   zone.consecutiveLosses = std::min(zone.consecutiveLosses + 1, kMaxConsecutiveLosses);
-  // Two draws: the pause before the first health check, and each dispatcher's own place within an interval.
-  Millis pause = overloadWindow_ * kHealthCheckOverloadWindows * drawJitter();
+  // Two draws: the delay before the first health check, and each dispatcher's own place within an interval.
+  Millis delay = overloadWindow_ * kHealthCheckOverloadWindows * drawJitter();
   Millis offset = healthCheckInterval(zone) * (drawJitter() - kJitterMin);
-  zone.nextHealthCheckAt = now + pause + offset;
+  zone.nextHealthCheckAt = now + delay + offset;
 }
 
 bool ZoneFailover::isLost(ZoneId zoneId) const {
@@ -212,11 +212,11 @@
   });
 }
 
-// Each dispatcher keeps its health checks to its part of what the zone takes when it is cold. Without this,
+// Each dispatcher keeps its health checks to its part of what the zone takes while it warms up. Without this,
 // the health checks of hundreds of dispatchers alone overload a zone that has just recovered.
 Millis ZoneFailover::healthCheckInterval(const Zone& zone) const {
-  double coldPerSecond = expectedPerSecond(zone) * settings_.recoveryRampInitialShare;
-  Millis interval = intervalAt(std::max(minimumPerSecond_, coldPerSecond));
+  double warmUpPerSecond = expectedPerSecond(zone) * settings_.recoveryRampInitialShare;
+  Millis interval = intervalAt(std::max(minimumPerSecond_, warmUpPerSecond));
   Millis shortest = overloadWindow_ * kHealthCheckOverloadWindows;
   return std::max(shortest, interval) * std::exp2(std::max(0, zone.consecutiveLosses - 1));
 }
@@ -230,7 +230,8 @@
 
 // --- Recovery ramp
 
-// The zone answers again. It is cold, and without a ramp everything that spilled over would return at once.
+// The zone answers again. It has to warm up, and without a ramp everything that spilled over would return at
+// once.
 void ZoneFailover::beginRamp(Millis now, Zone& zone, RampStart rampStart) {
   zone.health = ZoneHealth::ramping;
   zone.rampStart = rampStart;
--- a/src/policy/zone_loss_detector.cpp
+++ b/src/policy/zone_loss_detector.cpp
@@ -41,7 +41,7 @@
   failures_[endpoint] = {destination, now};
 }
 
-// A zone that still delivers, however little or late, is degraded and not lost: its endpoints are passed over
+// A zone that still delivers, however little or late, is degraded and not lost: its endpoints are ejected
 // one by one, and only what the others cannot take goes to other zones.
 bool ZoneLossDetector::indicatesLoss() const {
   if (failures_.empty() || hasWorkedSinceFirstFailure()) return false;
--- a/src/settings/zone_failover_settings_reader.cpp
+++ b/src/settings/zone_failover_settings_reader.cpp
@@ -96,20 +96,21 @@
     throw SettingsError("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
   }
   std::map<DestinationId, ZoneFailoverSettings::Priorities> priorities;
-  for (const auto& [name, tiers] : destinations.items()) {
+  for (const auto& [name, rows] : destinations.items()) {
     DestinationId destination = readDestination(name);
-    priorities[destination] = readPriorities(tiers, zones, "rooms.destinations." + name);
+    priorities[destination] = readPriorities(rows, zones, "rooms.destinations." + name);
   }
   return priorities;
 }
 
-void readSpillover(const json& spill, ZoneFailoverSettings& failover) {
+void readSpillover(const json& spillover, ZoneFailoverSettings& failover) {
   const std::string name = "rooms.spill";
-  requireKnownKeys(spill, name, {"share", "slots", "per_s"});
-  failover.spilloverShare = numberOr(spill, name, "share", failover.spilloverShare, {0, kMaxSpilloverShare});
-  failover.spilloverRequestShare = numberOr(spill, name, "slots", failover.spilloverRequestShare, {0, 1});
+  requireKnownKeys(spillover, name, {"share", "slots", "per_s"});
+  failover.spilloverShare =
+      numberOr(spillover, name, "share", failover.spilloverShare, {0, kMaxSpilloverShare});
+  failover.spilloverRequestShare = numberOr(spillover, name, "slots", failover.spilloverRequestShare, {0, 1});
   failover.spilloverPerSecond =
-      numberOr(spill, name, "per_s", failover.spilloverPerSecond, {0, kMaxSpilloverPerSecond});
+      numberOr(spillover, name, "per_s", failover.spilloverPerSecond, {0, kMaxSpilloverPerSecond});
 }
 
 void readRecoveryRamp(const json& recovery, ZoneFailoverSettings& failover) {
@@ -125,15 +126,15 @@
 ZoneFailoverSettings readZoneFailoverSettings(std::string_view text, const std::vector<std::string>& zones) {
   ZoneFailoverSettings failover;
   if (text.empty()) return failover;
-  const json rooms = json::parse(text, nullptr, false);
-  requireKnownKeys(rooms, "rooms", {"tiers", "destinations", "spill", "return"});
-  if (!rooms.contains("tiers")) {
+  const json table = json::parse(text, nullptr, false);
+  requireKnownKeys(table, "rooms", {"tiers", "destinations", "spill", "return"});
+  if (!table.contains("tiers")) {
     throw SettingsError("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
   }
-  failover.priorities = readPriorities(rooms["tiers"], zones, "rooms.tiers");
-  failover.destinations = readDestinations(rooms.value("destinations", json::object()), zones);
-  readSpillover(rooms.value("spill", json::object()), failover);
-  readRecoveryRamp(rooms.value("return", json::object()), failover);
+  failover.priorities = readPriorities(table["tiers"], zones, "rooms.tiers");
+  failover.destinations = readDestinations(table.value("destinations", json::object()), zones);
+  readSpillover(table.value("spill", json::object()), failover);
+  readRecoveryRamp(table.value("return", json::object()), failover);
   return failover;
 }
 
