--- a/tests/delivery/delivery_test.cpp
+++ b/tests/delivery/delivery_test.cpp
@@ -223,10 +223,10 @@
 // Noise must not be taken for a rate limit.
 TEST(LoadReport, IsIgnoredWhenMalformed) {
   std::vector<std::string> fields{"x0", "x1"};
-  EXPECT_EQ(reportIn("x0=0.4,x1=25", fields).rateLimit, 25);
+  EXPECT_EQ(parseLoadReport("x0=0.4,x1=25", fields).rateLimit, 25);
   for (const char* malformed : {"", "x1=25,x0=", "x1=25;x0", "x1=2e5z,x0=1", "x1=nan", "x1=-3", "y1=3,x1=4",
                                 "x1=1e999", "x1=0x20", "\x01\xff"}) {
-    EXPECT_EQ(reportIn(malformed, fields).rateLimit, -1) << malformed;
+    EXPECT_EQ(parseLoadReport(malformed, fields).rateLimit, -1) << malformed;
   }
 }
 
--- a/tests/policy/idempotency_test.cpp
+++ b/tests/policy/idempotency_test.cpp
@@ -99,7 +99,7 @@
 
 TEST(Idempotency, DoesNotShedAMessageThatMayHaveBeenExecutedWhereDeduplicationIsByZone) {
   DeploymentSettings settings = testSettings(Idempotency::idempotentWithKey);
-  settings.types[0].deduplicatesWithinZone = true;
+  settings.types[0].deduplicationScope = DeduplicationScope::zone;
   settings.maxInFlight = 2;
   PolicyHarness harness(settings);
   harness.accept(1);
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -81,7 +81,7 @@
       if (!mayHaveBeenExecuted(attempt)) continue;
       if (message.type.idempotency == Idempotency::nonIdempotent) return false;
       if (now > attempt.sentAt + message.type.deduplicationWindow) return false;
-      if (message.type.deduplicatesWithinZone &&
+      if (message.type.deduplicationScope == DeduplicationScope::zone &&
           (endpoint == nullptr ||
            endpoints.at(*endpoint).zone != endpoints.at(attempt.decision.endpoint).zone)) {
         return false;
--- a/tests/support/zone_settings.h
+++ b/tests/support/zone_settings.h
@@ -11,7 +11,7 @@
   DeploymentSettings settings = testSettings();
   settings.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
                     trafficType(Idempotency::nonIdempotent)};
-  settings.types[1].deduplicatesWithinZone = true;
+  settings.types[1].deduplicationScope = DeduplicationScope::zone;
   settings.maxConcurrentRequests = 20;
   settings.zoneFailover.priorities = {{kOwnZone}, {kNearZone}, {kFarZone}};
   return settings;
