--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -2,77 +2,104 @@
 
 #include <signal.h>
 #include <sys/eventfd.h>
-#include <unistd.h>
 
+#include <cerrno>
 #include <chrono>
+#include <condition_variable>
+#include <mutex>
 #include <system_error>
+#include <thread>
 #include <utility>
 
+#include "base/unique_fd.h"
+
 namespace stonewing {
+namespace {
 
-// Kept alive by the thread too: at the end of the process it may still hang in the kernel.
-struct BackgroundWriter::Shared {
-  std::mutex guard;
-  std::condition_variable handed;
-  std::condition_variable finished;
-  std::function<void()> work;
-  bool busy{false};
-  bool missed{false};  // the loop has gone on without it
-  bool ends{false};
-  int wake{-1};
-
-  ~Shared() {
-    if (wake >= 0) ::close(wake);
-  }
-  void run() {
-    std::unique_lock lock(guard);
-    for (;;) {
-      handed.wait(lock, [this] { return ends || work; });
-      if (!work) return;
-      std::function<void()> now = std::exchange(work, {});
-      lock.unlock();
-      now();
-      now = {};
-      lock.lock();
-      busy = false;
-      finished.notify_one();
-      if (std::exchange(missed, false)) ::eventfd_write(wake, 1);
-    }
+// The thread's signal mask while it is started: signals are for the event loop's thread alone.
+class BlockedSignals {
+ public:
+  BlockedSignals() {
+    sigset_t all;
+    sigfillset(&all);
+    ::pthread_sigmask(SIG_SETMASK, &all, &previous_);
   }
+  ~BlockedSignals() { ::pthread_sigmask(SIG_SETMASK, &previous_, nullptr); }
+  BlockedSignals(const BlockedSignals&) = delete;
+  BlockedSignals& operator=(const BlockedSignals&) = delete;
+
+ private:
+  sigset_t previous_;
 };
 
+UniqueFd createEvent() {
+  UniqueFd event(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
+  if (!event) throw std::system_error(errno, std::generic_category(), "eventfd");
+  return event;
+}
+
+}  // namespace
+
+// All that the owner's thread and the background thread have in common. The thread owns a part in it: at the
+// end of the process it may still hang in the kernel when the BackgroundWriter is gone already. `mutex`
+// guards every member below it, for both threads; `wakeUp` never changes after construction.
+struct BackgroundWriter::Shared {
+  const UniqueFd wakeUp = createEvent();
+  std::condition_variable submitted;  // the owner notifies: work was set, or stopping
+  std::condition_variable finished;   // the thread notifies: busy has become false
+
+  std::mutex mutex;
+  std::function<void()> work;  // set by the owner, taken by the thread
+  bool busy{false};            // set by the owner with the work, cleared by the thread after it
+  bool ownerGaveUp{false};     // set by the owner after a wait in vain, cleared by the thread
+  bool stopping{false};        // set by the owner's destructor
+
+  void run();
+};
+
+// The background thread, until the owner is gone and no work is left.
+void BackgroundWriter::Shared::run() {
+  std::unique_lock lock(mutex);
+  for (;;) {
+    submitted.wait(lock, [this] { return stopping || work; });
+    if (!work) return;
+    std::function<void()> current = std::exchange(work, {});
+    lock.unlock();
+    current();
+    current = {};  // what it owned is gone before the owner may go on
+    lock.lock();
+    busy = false;
+    finished.notify_one();
+    if (std::exchange(ownerGaveUp, false)) ::eventfd_write(wakeUp.get(), 1);
+  }
+}
+
 BackgroundWriter::BackgroundWriter() : shared_(std::make_shared<Shared>()) {
-  shared_->wake = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (shared_->wake < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
-  // Signals are the loop's.
-  sigset_t all, before;
-  sigfillset(&all);
-  ::pthread_sigmask(SIG_SETMASK, &all, &before);
+  BlockedSignals inheritedByTheThread;
   std::thread([shared = shared_] { shared->run(); }).detach();
-  ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
 BackgroundWriter::~BackgroundWriter() {
-  std::lock_guard lock(shared_->guard);
-  shared_->ends = true;
-  shared_->handed.notify_one();
+  std::lock_guard lock(shared_->mutex);
+  shared_->stopping = true;
+  shared_->submitted.notify_one();
 }
 
 void BackgroundWriter::submit(std::function<void()> work) {
-  std::lock_guard lock(shared_->guard);
+  std::lock_guard lock(shared_->mutex);
   shared_->work = std::move(work);
   shared_->busy = true;
-  shared_->handed.notify_one();
+  shared_->submitted.notify_one();
 }
 
-bool BackgroundWriter::waitUntilDone(Millis patience) {
-  std::unique_lock lock(shared_->guard);
-  auto most = std::chrono::duration<double, std::milli>(patience);
-  if (shared_->finished.wait_for(lock, most, [this] { return !shared_->busy; })) return true;
-  shared_->missed = true;
+bool BackgroundWriter::waitUntilDone(Millis timeout) {
+  std::unique_lock lock(shared_->mutex);
+  std::chrono::duration<double, std::milli> limit(timeout);
+  if (shared_->finished.wait_for(lock, limit, [this] { return !shared_->busy; })) return true;
+  shared_->ownerGaveUp = true;
   return false;
 }
 
-int BackgroundWriter::descriptor() const { return shared_->wake; }
+int BackgroundWriter::descriptor() const { return shared_->wakeUp.get(); }
 
 }  // namespace stonewing
