--- /dev/null
+++ b/src/storage/journal_write.cpp
@@ -0,0 +1,81 @@
+#include "storage/journal_write.h"
+
+#include <unistd.h>
+
+#include <cerrno>
+#include <chrono>
+#include <cstdio>
+#include <system_error>
+
+#include "storage/journal_format.h"
+
+namespace stonewing {
+
+TimedWrite writeAll(int descriptor, std::string_view bytes) {
+  using Clock = std::chrono::steady_clock;
+  TimedWrite outcome;
+  while (!bytes.empty()) {
+    Clock::time_point start = Clock::now();
+    ssize_t count = ::write(descriptor, bytes.data(), bytes.size());
+    outcome.spent += std::chrono::duration<double, std::milli>(Clock::now() - start).count();
+    if (count < 0 && errno == EINTR) continue;
+    if (count <= 0) {
+      outcome.result = WriteResult::failed;
+      return outcome;
+    }
+    bytes.remove_prefix(static_cast<std::size_t>(count));
+  }
+  return outcome;
+}
+
+void JournalWrite::execute() {
+  try {
+    writeFrames();
+    if (compaction == nullptr) return;
+    compactionResult = writeTimed(compaction, compactionFrames);
+    if (install == Install::no || compactionResult == WriteResult::failed) return;
+    if (std::rename(compactionPath.c_str(), journalPath.c_str()) != 0) compactionResult = WriteResult::failed;
+  } catch (...) {
+    // An exception must not leave the background thread; it is thrown again where the commit is finished.
+    failure = std::current_exception();
+  }
+}
+
+void JournalWrite::writeFrames() {
+  if (frameEnds.empty() || writeOrTruncate(frames) == WriteResult::complete) return;
+  // There was no space for all of them. One by one some may fit: the record of a finished message is short,
+  // and lets the next compaction free space.
+  std::size_t begin = 0;
+  for (std::size_t place = 0; place < frameEnds.size(); ++place) {
+    std::string_view frame = std::string_view(frames).substr(begin, frameEnds[place] - begin);
+    begin = frameEnds[place];
+    if (writeOrTruncate(frame) == WriteResult::failed) lostFrames.push_back(place);
+  }
+}
+
+// Writes one part whole or leaves the file as it was: half a record would hide all later ones from replay.
+WriteResult JournalWrite::writeOrTruncate(std::string_view part) {
+  // The head precedes the first frame that is written, whichever that is.
+  bool needsHead = journalBytes == 0 && !beginsWithJournalHead(part);
+  std::string partWithHead;
+  if (needsHead) {
+    partWithHead = journalHead().append(part);
+    part = partWithHead;
+  }
+  if (writeTimed(journal, part) == WriteResult::complete) {
+    journalBytes += part.size();
+    return WriteResult::complete;
+  }
+  if (::ftruncate(journal->get(), static_cast<off_t>(journalBytes)) != 0) {
+    throw std::system_error(errno, std::generic_category(), "cannot take back a record half written");
+  }
+  return WriteResult::failed;
+}
+
+WriteResult JournalWrite::writeTimed(const SharedFd& file, std::string_view bytes) {
+  TimedWrite outcome = writeAll(file->get(), bytes);
+  spent += outcome.spent;
+  return outcome.result;
+}
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/storage/live_messages.cpp
@@ -0,0 +1,92 @@
+#include "storage/live_messages.h"
+
+#include <utility>
+
+#include "storage/journal.h"
+#include "storage/record_codec.h"
+
+namespace stonewing {
+namespace {
+
+// Journal space reserved for the attempts and the outcome of each message in flight. Without it a journal
+// could fill up with accepted messages of which nothing more could be recorded.
+constexpr std::size_t kMessageReserveBytes = 1024;
+// The same for each pending notification: its record, and the one of its confirmation.
+constexpr std::size_t kNotificationReserveBytes = 256;
+
+void appendMessage(std::string& frames, MessageId id, const StoredMessage& message) {
+  frames += Journal::framed(encodeAccepted(id, message));
+  for (const AttemptRecord& attempt : message.attempts) {
+    if (attempt.journaled) frames += Journal::framed(encodeAttempted(id, attempt));
+  }
+}
+
+}  // namespace
+
+std::size_t LiveMessages::bytesOf(const StoredMessage& message) {
+  return acceptedRecordBytes(message) + kMessageReserveBytes;
+}
+
+void LiveMessages::add(MessageId id, StoredMessage message) {
+  messageBytes_ += bytesOf(message);
+  byReference_[message.reference] = id;
+  messages_[id] = std::move(message);
+}
+
+bool LiveMessages::remove(MessageId id) {
+  auto entry = messages_.find(id);
+  if (entry == messages_.end()) return false;
+  messageBytes_ -= bytesOf(entry->second);
+  byReference_.erase(entry->second.reference);
+  messages_.erase(entry);
+  return true;
+}
+
+StoredMessage* LiveMessages::find(MessageId id) {
+  auto entry = messages_.find(id);
+  return entry == messages_.end() ? nullptr : &entry->second;
+}
+
+const StoredMessage* LiveMessages::find(MessageId id) const {
+  auto entry = messages_.find(id);
+  return entry == messages_.end() ? nullptr : &entry->second;
+}
+
+bool LiveMessages::contains(std::string_view reference) const {
+  return byReference_.contains(std::string(reference));
+}
+
+void LiveMessages::addNotification(MessageId id, OutcomeNotification notification) {
+  notifications_[id] = std::move(notification);
+}
+
+bool LiveMessages::removeNotification(MessageId id) { return notifications_.erase(id) > 0; }
+
+std::size_t LiveMessages::liveBytes() const {
+  return messageBytes_ + notifications_.size() * kNotificationReserveBytes;
+}
+
+CompactionChunk LiveMessages::encodeChunk(MessageId from, std::size_t maxBytes) const {
+  CompactionChunk chunk;
+  chunk.nextId = from;
+  auto message = messages_.lower_bound(from);
+  auto notification = notifications_.lower_bound(from);
+  auto isLeft = [&] { return message != messages_.end() || notification != notifications_.end(); };
+  while (chunk.frames.size() < maxBytes && isLeft()) {
+    bool isMessageNext = notification == notifications_.end() ||
+                         (message != messages_.end() && message->first < notification->first);
+    if (isMessageNext) {
+      const auto& [id, stored] = *message++;
+      appendMessage(chunk.frames, id, stored);
+      chunk.nextId = MessageId{id.value + 1};
+    } else {
+      const auto& [id, pending] = *notification++;
+      chunk.frames += Journal::framed(encodeNotificationPending(id, pending));
+      chunk.nextId = MessageId{id.value + 1};
+    }
+  }
+  if (isLeft()) chunk.remainder = CompactionChunk::Remainder::some;
+  return chunk;
+}
+
+}  // namespace stonewing
--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -1,450 +1,326 @@
 #include "storage/message_store.h"
 
 #include <algorithm>
-#include <charconv>
-#include <cmath>
 
-#include "base/bytes.h"
+#include "base/errors.h"
+#include "base/overloaded.h"
 #include "logging/log.h"
-#include "net/http_client_connection.h"
+#include "storage/submission_parser.h"
 
 namespace stonewing {
 namespace {
 
-constexpr std::size_t kWordMost = 128;
-constexpr std::size_t kReserve = 1024;     // of the journal for what a message held may still add to it
-constexpr std::size_t kOwedReserve = 256;  // and for an end that is owed
-// A rewrite goes on by such a part in every commit.
-constexpr std::size_t kRewriteAtOnce = 64 * 1024;
-constexpr int kPassedOver = 64;
-constexpr std::size_t kWorthRewriting = 16;  // a part of the file's most that may be won by it
+// One step of a compaction writes about so much. With more, a commit would hold the turn up noticeably.
+constexpr std::size_t kCompactionChunkBytes = 64 * 1024;
+// How long one wait for a commit lasts before it is begun again.
+constexpr Millis kCommitWaitMs = 1000;
 
-// Ids go into headers, lines and JSON as they are: visible characters alone, none that ends a word there.
-std::string word(std::string_view text, const char* field) {
-  bool plain =
-      !text.empty() && text.size() <= kWordMost && std::all_of(text.begin(), text.end(), [](unsigned char c) {
-        return c > ' ' && c < 0x7f && c != '"' && c != '\\' && c != ',';
-      });
-  if (!plain) throw ProtocolError(std::string("bad ") + field);
-  return std::string(text);
+JournalWriter writerOf(bool usesWriterThread) {
+  return usesWriterThread ? JournalWriter::backgroundThread : JournalWriter::callingThread;
 }
 
-template <class Id>
-Id placeOf(const std::vector<std::string>& names, std::string_view name, const char* field) {
-  auto at = std::find(names.begin(), names.end(), name);
-  if (at == names.end()) throw ProtocolError(std::string("unknown ") + field);
-  return Id{static_cast<decltype(Id{}.value)>(at - names.begin())};
-}
+}  // namespace
 
-void putText(std::string& to, std::string_view text) {
-  putBytes(to, static_cast<std::uint32_t>(text.size()));
-  to.append(text);
-}
+MessageStore::MessageStore(const NameTables& names, const std::string& folder, std::size_t maxBytes,
+                           bool usesWriterThread)
+    : names_(names), journal_(folder, maxBytes, writerOf(usesWriterThread)), schedule_(journal_.maxBytes()) {}
 
-std::string getText(ByteReader& in, const char* field) {
-  auto n = in.get<std::uint32_t>(field);
-  return std::string(in.text(n, field));
+StoredMessage MessageStore::decode(std::string_view orderingKey, std::string_view reference,
+                                   std::string_view fieldList, std::string_view body,
+                                   Millis receivedWall) const {
+  return parseSubmission(names_, {orderingKey, reference, fieldList, body}, receivedWall);
 }
 
-template <class Tag>
-std::string recordOf(Tag tag, MessageId id) {
-  std::string record;
-  putBytes(record, tag);
-  putBytes(record, id.value);
-  return record;
+double MessageStore::fillShare() const {
+  if (journal_.maxBytes() == 0) return 1;
+  return 2 * static_cast<double>(live_.liveBytes()) / static_cast<double>(journal_.maxBytes());
 }
 
-}  // namespace
+// Replay.
 
-MessageStore::MessageStore(const NameTables& facts, const std::string& folder, std::size_t mostBytes,
-                           bool aside)
-    : facts_(facts), journal_(folder, mostBytes, aside) {}
-
-StoredMessage MessageStore::decode(std::string_view key, std::string_view ref, std::string_view list,
-                                   std::string_view body, Millis wall) const {
-  StoredMessage held;
-  held.reference = word(ref, "id");
-  auto [keyEnd, keyError] = std::from_chars(key.data(), key.data() + key.size(), held.orderingKey.value, 16);
-  if (key.empty() || keyError != std::errc() || keyEnd != key.data() + key.size())
-    throw ProtocolError("bad key");
-  bool typed = false;
-  bool addressed = false;
-  Millis left = -1;
-  for (std::string_view rest = list; !rest.empty();) {
-    std::size_t comma = std::min(rest.find(','), rest.size());
-    std::string_view item = rest.substr(0, comma);
-    rest.remove_prefix(std::min(comma + 1, rest.size()));
-    std::size_t equals = item.find('=');
-    if (equals == std::string_view::npos) throw ProtocolError("a name without a value");
-    std::string_view name = item.substr(0, equals);
-    std::string_view value = item.substr(equals + 1);
-    if (name == "c") {
-      held.type = placeOf<TrafficTypeId>(facts_.trafficTypes, value, "class");
-      typed = true;
-    } else if (name == "t") {
-      held.tenant = placeOf<TenantId>(facts_.tenants, value, "tenant");
-    } else if (name == "d") {
-      auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), left);
-      if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(left) || left < 0) {
-        throw ProtocolError("bad d");
-      }
-    } else if (name == "k") {
-      held.idempotencyKey = word(value, "k");
-    } else if (name == "dest") {
-      auto number = parseWholeNumber(value);
-      if (!number || *number > 0xffff) throw ProtocolError("bad dest");
-      held.destination = DestinationId{static_cast<std::uint16_t>(*number)};
-      addressed = true;
+std::size_t MessageStore::restore() {
+  std::size_t tornBytes = journal_.replay([this](std::string_view record) {
+    try {
+      replayRecord(record);
+    } catch (const Error& problem) {
+      log::error("journal.record_skipped", {{"why", problem.what()}});
     }
+  });
+  firstUndecidedId_ = nextId_;
+  return tornBytes;
+}
+
+void MessageStore::replayRecord(std::string_view record) {
+  MessageId id = decodeRecordHeader(record).message;
+  // Also of a record whose rest cannot be read: its id must not be given to another message.
+  nextId_ = std::max(nextId_, id.value + 1);
+  std::visit(Overloaded{
+                 [&](AcceptedRecord&& accepted) { replayAccepted(id, accepted); },
+                 [&](AttemptedRecord&& attempted) { replayAttempted(id, std::move(attempted)); },
+                 [&](NotExecutedRecord&& notExecuted) { replayNotExecuted(id, notExecuted); },
+                 [&](NotificationPendingRecord&& pending) {
+                   finishMessage(id);
+                   live_.addNotification(id, std::move(pending.notification));
+                 },
+                 [&](FinishedRecord&&) {
+                   finishMessage(id);
+                   live_.removeNotification(id);
+                 },
+             },
+             decodeRecordBody(record));
+}
+
+void MessageStore::replayAccepted(MessageId id, const AcceptedRecord& record) {
+  try {
+    StoredMessage message = decode(record.orderingKey, record.reference, record.fieldList, record.body, 0);
+    message.deadlineWall = record.deadlineWall;
+    live_.add(id, std::move(message));
+  } catch (const Error& problem) {
+    // The settings have changed since, and it cannot be delivered any more. The platform still has to hear of
+    // it.
+    log::error("message.undeliverable", {{"message", record.reference}, {"why", problem.what()}});
+    live_.addNotification(id, {record.reference, FinalOutcome::failed, 0});
   }
-  if (!typed || !addressed || left < 0) throw ProtocolError("c, d and dest are needed");
-  held.deadlineWall = wall + left;
-  held.body = std::make_shared<const std::string>(body);
-  putText(held.acceptedFields, key);
-  putText(held.acceptedFields, ref);
-  putText(held.acceptedFields, list);
-  return held;
 }
 
-std::string MessageStore::acceptedRecord(MessageId id, const StoredMessage& held) {
-  std::string record = recordOf(RecordTag::accepted, id);
-  putBytes(record, held.deadlineWall);
-  record += held.acceptedFields;
-  putText(record, *held.body);
-  return record;
+void MessageStore::replayAttempted(MessageId id, AttemptedRecord record) {
+  StoredMessage* message = live_.find(id);
+  if (message != nullptr) message->attempts.push_back(std::move(record.attempt));
 }
 
-std::size_t MessageStore::acceptedRecordSize(const StoredMessage& held) {
-  return sizeof(RecordTag) + sizeof(MessageId::value) + sizeof held.deadlineWall +
-         held.acceptedFields.size() + sizeof(std::uint32_t) + held.body->size();
+void MessageStore::replayNotExecuted(MessageId id, NotExecutedRecord record) {
+  StoredMessage* message = live_.find(id);
+  if (message == nullptr || record.journaledAttempt >= message->attempts.size()) return;
+  message->attempts[record.journaledAttempt].provablyNotExecuted = true;
 }
 
-std::string MessageStore::attemptRecord(MessageId id, const AttemptRecord& launch) {
-  std::string record = recordOf(RecordTag::attempted, id);
-  putText(record, launch.endpoint.name);
-  putBytes(record, launch.endpoint.destination.value);
-  putBytes(record, launch.endpoint.kind.value);
-  putBytes(record, launch.endpoint.zone.value);
-  putBytes(record, launch.sentWall);
-  putBytes(record, static_cast<std::uint8_t>(launch.provablyNotExecuted));
-  return record;
-}
+// Changes.
 
-std::string MessageStore::notificationRecord(MessageId id, const OutcomeNotification& notice) {
-  std::string record = recordOf(RecordTag::notificationPending, id);
-  putText(record, notice.reference);
-  putBytes(record, notice.result);
-  putBytes(record, notice.retryAfter);
-  return record;
+std::optional<MessageId> MessageStore::accept(StoredMessage message) {
+  MessageId id{nextId_};
+  std::string record = encodeAccepted(id, message);
+  std::size_t liveBytes = LiveMessages::bytesOf(message);
+  // A compaction writes all that is live a second time, so that only half of the journal may be live.
+  if (2 * (live_.liveBytes() + liveBytes) > journal_.maxBytes()) return std::nullopt;
+  if (!makeSpace(record.size() + kJournalFrameBytes + liveBytes)) return std::nullopt;
+  if (!append(std::move(record), {RecordTag::accepted, id})) return std::nullopt;
+  ++nextId_;
+  live_.add(id, std::move(message));
+  return id;
 }
 
-std::size_t MessageStore::restore() {
-  std::size_t cut = journal_.replay([this](std::string_view record) {
-    try {
-      replayed(record);
-    } catch (const Error& problem) {
-      log::error("journal.record_skipped", {{"why", problem.what()}});
-    }
-  });
-  decidedNext_ = next_;
-  return cut;
-}
-
-void MessageStore::replayed(std::string_view record) {
-  ByteReader in(record);
-  auto tag = in.get<RecordTag>("tag");
-  MessageId id{in.get<std::uint32_t>("callback")};
-  next_ = std::max(next_, id.value + 1);
-  switch (tag) {
-    case RecordTag::accepted: {
-      auto wall = in.get<Millis>("outer limit");
-      std::string key = getText(in, "key");
-      std::string ref = getText(in, "ref");
-      std::string list = getText(in, "list");
-      std::string body = getText(in, "body");
-      try {
-        StoredMessage held = decode(key, ref, list, body, 0);
-        held.deadlineWall = wall;
-        byReference_[held.reference] = id;
-        inFlightBytes_ += acceptedRecordSize(held) + kReserve;
-        inFlight_[id] = std::move(held);
-      } catch (const Error& problem) {
-        // The settings have changed under it: its end is still owed.
-        log::error("message.undeliverable", {{"message", ref}, {"why", problem.what()}});
-        pendingNotifications_[id] = {ref, FinalOutcome::failed, 0};
-      }
-      return;
-    }
-    case RecordTag::attempted: {
-      AttemptRecord launch;
-      launch.endpoint.name = getText(in, "endpoint");
-      launch.endpoint.destination.value = in.get<std::uint16_t>("destination");
-      launch.endpoint.kind.value = in.get<std::uint8_t>("kind");
-      launch.endpoint.zone.value = in.get<std::uint8_t>("zone");
-      launch.sentWall = in.get<Millis>("sent");
-      launch.provablyNotExecuted = in.get<std::uint8_t>("never ran") != 0;
-      if (StoredMessage* held = find(id)) held->attempts.push_back(std::move(launch));
-      return;
-    }
-    case RecordTag::notExecuted: {
-      auto n = in.get<std::uint32_t>("launch");
-      StoredMessage* held = find(id);
-      if (held != nullptr && n < held->attempts.size()) held->attempts[n].provablyNotExecuted = true;
-      return;
-    }
-    case RecordTag::notificationPending: {
-      OutcomeNotification notice;
-      notice.reference = getText(in, "ref");
-      notice.result = in.get<FinalOutcome>("result");
-      notice.retryAfter = in.get<Millis>("wait");
-      drop(id);
-      pendingNotifications_[id] = std::move(notice);
-      return;
-    }
-    case RecordTag::finished:
-      drop(id);
-      pendingNotifications_.erase(id);
-      return;
-  }
-  throw JournalError("unknown tag");
-}
-
-std::size_t MessageStore::liveBytes() const {
-  return inFlightBytes_ + pendingNotifications_.size() * kOwedReserve;
-}
-
-// The records of all that is held or owed from rewritten_ on, by id, until there are `most` bytes of them.
-void MessageStore::rewriteSome(std::size_t most) {
-  std::string bytes;
-  MessageId from = rewritten_;
-  auto held = inFlight_.lower_bound(rewritten_);
-  auto owed = pendingNotifications_.lower_bound(rewritten_);
-  auto put = [&](const std::string& record) { bytes += Journal::framed(record); };
-  while (bytes.size() < most && (held != inFlight_.end() || owed != pendingNotifications_.end())) {
-    if (owed == pendingNotifications_.end() || (held != inFlight_.end() && held->first < owed->first)) {
-      put(acceptedRecord(held->first, held->second));
-      for (const AttemptRecord& launch : held->second.attempts) {
-        if (launch.journaled) put(attemptRecord(held->first, launch));
-      }
-      rewritten_ = MessageId{held->first.value + 1};
-      ++held;
-    } else {
-      put(notificationRecord(owed->first, owed->second));
-      rewritten_ = MessageId{owed->first.value + 1};
-      ++owed;
-    }
-  }
-  // What is noted and not written yet of those just passed stands there already.
-  for (JournalEntry& one : uncommitted_) {
-    if (one.message >= from && one.message < rewritten_) one.record.clear();
-  }
-  bool good = journal_.appendToCompaction(bytes);
-  bool all = held == inFlight_.end() && owed == pendingNotifications_.end();
-  if (good && all && uncommitted_.empty()) good = journal_.installCompaction();
-  if (!good) rewriteFailed();
+bool MessageStore::recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis sentWall) {
+  StoredMessage* message = live_.find(id);
+  if (message == nullptr) return false;
+  AttemptRecord attempt{endpoint, sentWall, false};
+  std::string record = encodeAttempted(id, attempt);
+  // Space first: a compaction for it must not hold the attempt already, since its record follows after that.
+  makeSpace(record.size() + kJournalFrameBytes);
+  message->attempts.push_back(std::move(attempt));
+  int number = static_cast<int>(message->attempts.size()) - 1;
+  if (append(std::move(record), {RecordTag::attempted, id, number})) return true;
+  // It keeps its number, as the decision module counts it.
+  message->attempts.back().provablyNotExecuted = true;
+  message->attempts.back().journaled = false;
+  return false;
 }
 
-void MessageStore::rewriteBegins() {
-  rewritten_ = {};
-  if (!journal_.beginCompaction()) rewriteFailed();
+void MessageStore::recordNotExecuted(MessageId id, int attempt) {
+  StoredMessage* message = live_.find(id);
+  auto number = static_cast<std::uint32_t>(attempt);
+  if (message == nullptr || number >= message->attempts.size()) return;
+  message->attempts[number].provablyNotExecuted = true;
+  if (!message->attempts[number].journaled) return;
+  // Replay counts attempts by the records in the journal. With our numbers, one that the journal did not take
+  // would make another attempt, which may have been executed, pass for one that was not.
+  auto first = message->attempts.begin();
+  auto journaledBefore =
+      std::count_if(first, first + attempt, [](const AttemptRecord& earlier) { return earlier.journaled; });
+  NotExecutedRecord record{static_cast<std::uint32_t>(journaledBefore)};
+  makeSpaceAndAppend(encodeNotExecuted(id, record), {RecordTag::notExecuted, id});
 }
 
-void MessageStore::rewriteFailed() {
-  notAgain_ = journal_.size() + journal_.maxBytes() / kWorthRewriting;
-  log::error("journal.compaction_failed", {{"bytes", journal_.size()}});
+void MessageStore::recordDelivered(MessageId id) {
+  if (live_.find(id) == nullptr) return;
+  makeSpaceAndAppend(encodeFinished(id), {RecordTag::finished, id});
+  finishMessage(id);
 }
 
-// Before the room runs out, and where it wins something.
-bool MessageStore::rewriteWanted() const {
-  std::size_t size = journal_.size();
-  std::size_t part = journal_.maxBytes() / kWorthRewriting;
-  return size >= notAgain_ && size + 2 * liveBytes() + 2 * part > journal_.maxBytes() &&
-         size > liveBytes() + part;
+void MessageStore::addPendingNotification(MessageId id, FinalOutcome result, Millis retryAfter) {
+  const StoredMessage* message = live_.find(id);
+  if (message == nullptr) return;
+  OutcomeNotification notification{message->reference, result, retryAfter};
+  makeSpaceAndAppend(encodeNotificationPending(id, notification), {RecordTag::notificationPending, id});
+  finishMessage(id);
+  live_.addNotification(id, std::move(notification));
 }
 
-// All at once, since there is no room to wait.
-void MessageStore::rewriteNow() {
-  if (isCommitting() || (passedOver_ > 0 && --passedOver_ > 0)) return;
-  do {
-    beginCommit();
-    while (!journal_.isWritten(1000)) {
-    }
-    finished();
-  } while (hasUncommitted());
-  if (!journal_.isCompacting()) rewriteBegins();
-  std::size_t before = journal_.size();
-  while (journal_.isCompacting() && !journal_.isInstallingCompaction()) rewriteSome(kRewriteAtOnce);
-  if (journal_.isInstallingCompaction()) {
-    beginCommit();
-    while (!journal_.isWritten(1000)) {
-    }
-    finished();
-  }
-  // Danger: a folder that is full would have all that is held read through for each record.
-  if (journal_.size() >= before) passedOver_ = kPassedOver;
+void MessageStore::confirmNotification(MessageId id) {
+  if (!live_.removeNotification(id)) return;
+  makeSpaceAndAppend(encodeFinished(id), {RecordTag::finished, id});
 }
 
-// There is always room left for a rewrite beside the file, and for what is held to end.
-bool MessageStore::roomFor(std::size_t more) {
-  auto room = [&] {
-    return journal_.size() + journal_.compactedSize() + more + liveBytes() <= journal_.maxBytes();
-  };
-  if (!room()) rewriteNow();
-  return room();
+void MessageStore::finishMessage(MessageId id) {
+  if (live_.remove(id)) ++finishedCount_;
 }
 
-bool MessageStore::keep(std::string record, JournalEntry noted) {
-  if (!journal_.append(record)) return false;
-  if (journal_.isCompacting()) noted.record = std::move(record);
-  uncommitted_.push_back(std::move(noted));
+// Space in the journal, and records for it.
+
+bool MessageStore::append(std::string bytes, UncommittedRecord record) {
+  if (!journal_.append(bytes)) return false;
+  if (journal_.isCompacting()) record.bytes = std::move(bytes);
+  uncommitted_.push_back(std::move(record));
   return true;
 }
 
-bool MessageStore::note(std::string record, JournalEntry noted) {
-  roomFor(record.size() + Journal::kFrame);
-  return keep(std::move(record), std::move(noted));
+void MessageStore::makeSpaceAndAppend(std::string bytes, UncommittedRecord record) {
+  makeSpace(bytes.size() + kJournalFrameBytes);
+  append(std::move(bytes), std::move(record));
 }
 
+// Compacts the journal if `bytes` more would not fit; returns whether they do then.
+bool MessageStore::makeSpace(std::size_t bytes) {
+  if (!hasSpace(bytes)) compactNow();
+  return hasSpace(bytes);
+}
+
+// Space for a compacted file, and for the outcome of all that is live, is never given away.
+bool MessageStore::hasSpace(std::size_t bytes) const {
+  std::size_t usedBytes = journal_.size() + journal_.compactedSize();
+  return usedBytes + bytes + live_.liveBytes() <= journal_.maxBytes();
+}
+
+// Commits.
+
 void MessageStore::beginCommit() {
-  // While a rewrite takes the file's place nothing is added to either.
-  carried_ = !journal_.isInstallingCompaction();
-  if (carried_) {
+  // While a compacted file replaces the journal nothing is written to either.
+  lastCommitHeldRecords_ = !journal_.isInstallingCompaction();
+  if (lastCommitHeldRecords_) {
     committing_ = std::exchange(uncommitted_, {});
-    committingNext_ = next_;
+    committingNextId_ = nextId_;
   }
   journal_.beginCommit();
 }
 
-void MessageStore::finished() {
-  std::vector<JournalEntry> noted = std::exchange(committing_, {});
-  std::vector<std::size_t> lost = journal_.finishCommit();
-  if (carried_) decidedNext_ = committingNext_;
-  bool shownLost = false;
-  for (std::size_t n : lost) {
-    const JournalEntry& one = noted[n];
-    shownLost = shownLost || (one.record.empty() && one.message < rewritten_);
-    if (one.tag == RecordTag::accepted) {
-      lostAcceptances_.insert(one.message);
-      if (find(one.message) == nullptr) continue;
-      drop(one.message);
-      --finishedCount_;  // it never was accepted
-    } else if (one.tag == RecordTag::attempted) {
-      lostAttempts_.insert({one.message, one.attempt});
-      if (StoredMessage* held = find(one.message)) {
-        AttemptRecord& launch = held->attempts[static_cast<std::size_t>(one.attempt)];
-        launch.provablyNotExecuted = true;
-        launch.journaled = false;
-      }
-    }
-  }
-  if (!lost.empty()) log::error("journal.write_failed", {{"records", lost.size()}});
-  if (journal_.hasCompactionFailed()) rewriteFailed();
-  if (!journal_.isCompacting()) return;
-  // Danger: the rewrite already shows what the file would not take; attempts would be counted apart.
-  if (shownLost) {
-    journal_.abandonCompaction();
-    return rewriteFailed();
-  }
-  // What the rewrite has passed hears of it too; the rest it will find as it then is.
-  std::string bytes;
-  for (const JournalEntry& one : noted) {
-    if (one.message < rewritten_ && !one.record.empty()) bytes += Journal::framed(one.record);
-  }
-  if (!bytes.empty() && !journal_.appendToCompaction(bytes)) rewriteFailed();
-}
-
-bool MessageStore::finishCommit(Millis patience) {
+bool MessageStore::finishCommit(Millis timeout) {
   if (isCommitting()) {
-    if (!journal_.isWritten(patience)) return false;
-    finished();
+    if (!journal_.isWritten(timeout)) return false;
+    completeCommit();
   }
-  if (!journal_.isCompacting() && rewriteWanted()) rewriteBegins();
-  if (journal_.isCompacting() && !journal_.isInstallingCompaction()) rewriteSome(kRewriteAtOnce);
+  if (!journal_.isCompacting() && schedule_.isDue(journal_.size(), live_.liveBytes())) beginCompaction();
+  if (journal_.isCompacting() && !journal_.isInstallingCompaction()) continueCompaction();
   return true;
 }
 
 void MessageStore::commit() {
   do {
     beginCommit();
-    while (!finishCommit(1000)) {
+    while (!finishCommit(kCommitWaitMs)) {
     }
   } while (hasUncommitted());
 }
 
-std::optional<MessageId> MessageStore::accept(StoredMessage held) {
-  MessageId id{next_};
-  std::string record = acceptedRecord(id, held);
-  std::size_t bytes = record.size() + kReserve;
-  // Room for the record and, beyond it, for one more of its like in every later rewrite.
-  if (2 * (liveBytes() + bytes) > journal_.maxBytes() || !roomFor(record.size() + Journal::kFrame + bytes) ||
-      !keep(std::move(record), {RecordTag::accepted, id, 0, {}})) {
-    return std::nullopt;
+// One commit, without the step of a compaction that finishCommit() adds.
+void MessageStore::commitOnce() {
+  beginCommit();
+  while (!journal_.isWritten(kCommitWaitMs)) {
   }
-  ++next_;
-  inFlightBytes_ += bytes;
-  byReference_[held.reference] = id;
-  inFlight_[id] = std::move(held);
-  return id;
+  completeCommit();
 }
 
-bool MessageStore::recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis wall) {
-  StoredMessage* held = find(id);
-  if (held == nullptr) return false;
-  AttemptRecord sent{endpoint, wall, false};
-  std::string record = attemptRecord(id, sent);
-  // Room first: a rewrite must not find the attempt, whose record comes after it.
-  roomFor(record.size() + Journal::kFrame);
-  held->attempts.push_back(std::move(sent));
-  int launch = static_cast<int>(held->attempts.size()) - 1;
-  if (keep(std::move(record), {RecordTag::attempted, id, launch, {}})) return true;
-  held->attempts.back().provablyNotExecuted = true;  // it keeps its number, as the module counts it
-  held->attempts.back().journaled = false;
-  return false;
+void MessageStore::completeCommit() {
+  std::vector<UncommittedRecord> committed = std::exchange(committing_, {});
+  std::vector<std::size_t> lost = journal_.finishCommit();
+  if (lastCommitHeldRecords_) firstUndecidedId_ = committingNextId_;
+  bool compactionHoldsLost = false;
+  for (std::size_t place : lost) {
+    compactionHoldsLost = compactionHoldsLost || isInCompactedFile(committed[place]);
+    undoLost(committed[place]);
+  }
+  if (!lost.empty()) log::error("journal.write_failed", {{"records", lost.size()}});
+  if (journal_.takeCompactionFailure()) recordCompactionFailure();
+  if (!journal_.isCompacting()) return;
+  if (compactionHoldsLost) {
+    // Its attempts would be counted differently from those in memory.
+    journal_.abandonCompaction();
+    recordCompactionFailure();
+    return;
+  }
+  copyToCompaction(committed);
 }
 
-void MessageStore::recordNotExecuted(MessageId id, int launch) {
-  StoredMessage* held = find(id);
-  auto n = static_cast<std::uint32_t>(launch);
-  if (held == nullptr || n >= held->attempts.size()) return;
-  held->attempts[n].provablyNotExecuted = true;
-  if (!held->attempts[n].journaled) return;
-  // Danger: the journal counts attempts by its own records. Counted by ours, one that it never took would
-  // have another one, which may have run, pass for one that did not.
-  std::string record = recordOf(RecordTag::notExecuted, id);
-  auto first = held->attempts.begin();
-  putBytes(record, static_cast<std::uint32_t>(std::count_if(
-                       first, first + launch, [](const AttemptRecord& l) { return l.journaled; })));
-  note(std::move(record),
-       {RecordTag::notExecuted, id, launch, {}});  // unwritten, it may have run for the next process
+void MessageStore::undoLost(const UncommittedRecord& record) {
+  if (record.tag == RecordTag::accepted) {
+    lostAcceptances_.insert(record.message);
+    live_.remove(record.message);  // it was never accepted, and does not count as finished
+    return;
+  }
+  if (record.tag != RecordTag::attempted) return;
+  lostAttempts_.insert({record.message, *record.attempt});
+  StoredMessage* message = live_.find(record.message);
+  if (message == nullptr) return;
+  AttemptRecord& attempt = message->attempts[static_cast<std::size_t>(*record.attempt)];
+  attempt.provablyNotExecuted = true;
+  attempt.journaled = false;
 }
 
-void MessageStore::drop(MessageId id) {
-  auto at = inFlight_.find(id);
-  if (at == inFlight_.end()) return;
-  inFlightBytes_ -= acceptedRecordSize(at->second) + kReserve;
-  ++finishedCount_;
-  byReference_.erase(at->second.reference);
-  inFlight_.erase(at);
+// Whether the compacted file holds its message as it was after this record.
+bool MessageStore::isInCompactedFile(const UncommittedRecord& record) const {
+  return record.bytes.empty() && record.message < compactedBelow_;
 }
 
-void MessageStore::recordDelivered(MessageId id) {
-  if (find(id) == nullptr) return;
-  note(recordOf(RecordTag::finished, id), {RecordTag::finished, id, 0, {}});
-  drop(id);
+// Messages that the compaction has passed need these records too; it will find the others as they are then.
+void MessageStore::copyToCompaction(const std::vector<UncommittedRecord>& records) {
+  std::string frames;
+  for (const UncommittedRecord& record : records) {
+    if (record.message < compactedBelow_ && !record.bytes.empty()) frames += Journal::framed(record.bytes);
+  }
+  if (!frames.empty() && !journal_.appendToCompaction(frames)) recordCompactionFailure();
 }
 
-void MessageStore::addPendingNotification(MessageId id, FinalOutcome result, Millis wait) {
-  StoredMessage* held = find(id);
-  if (held == nullptr) return;
-  OutcomeNotification notice{held->reference, result, wait};
-  note(notificationRecord(id, notice), {RecordTag::notificationPending, id, 0, {}});
-  drop(id);
-  pendingNotifications_[id] = std::move(notice);
+// Compaction.
+
+void MessageStore::beginCompaction() {
+  compactedBelow_ = {};
+  if (!journal_.beginCompaction()) recordCompactionFailure();
 }
 
-void MessageStore::confirmNotification(MessageId id) {
-  if (pendingNotifications_.erase(id) > 0)
-    note(recordOf(RecordTag::finished, id), {RecordTag::finished, id, 0, {}});
+// Writes the next chunk to the compacted file, and installs it after the last one.
+void MessageStore::continueCompaction() {
+  CompactionChunk chunk = live_.encodeChunk(compactedBelow_, kCompactionChunkBytes);
+  // The chunk holds its messages as they are now, with the records that are not written yet.
+  for (UncommittedRecord& record : uncommitted_) {
+    if (record.message >= compactedBelow_ && record.message < chunk.nextId) record.bytes.clear();
+  }
+  compactedBelow_ = chunk.nextId;
+  bool succeeded = journal_.appendToCompaction(chunk.frames);
+  bool isComplete = chunk.remainder == CompactionChunk::Remainder::none && uncommitted_.empty();
+  if (succeeded && isComplete) succeeded = journal_.installCompaction();
+  if (!succeeded) recordCompactionFailure();
+}
+
+// The whole of a compaction at once, since there is no space to wait. What was recorded is committed first:
+// the compacted file can be installed only while nothing is collected.
+void MessageStore::compactNow() {
+  if (isCommitting() || schedule_.skipsImmediate()) return;
+  do {
+    commitOnce();
+  } while (hasUncommitted());
+  if (!journal_.isCompacting()) beginCompaction();
+  std::size_t sizeBefore = journal_.size();
+  while (journal_.isCompacting() && !journal_.isInstallingCompaction()) continueCompaction();
+  if (journal_.isInstallingCompaction()) commitOnce();
+  if (journal_.size() >= sizeBefore) schedule_.recordUselessImmediate();
+}
+
+void MessageStore::recordCompactionFailure() {
+  schedule_.recordFailure(journal_.size());
+  log::error("journal.compaction_failed", {{"bytes", journal_.size()}});
+}
+
+void MessageStore::clearLost() {
+  lostAcceptances_.clear();
+  lostAttempts_.clear();
 }
 
 }  // namespace stonewing
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -1,178 +1,159 @@
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <set>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <utility>
 #include <vector>
 
 #include "base/ids.h"
 #include "settings/settings_reader.h"
+#include "storage/compaction_schedule.h"
 #include "storage/journal.h"
+#include "storage/live_messages.h"
+#include "storage/record_codec.h"
+#include "storage/stored_message.h"
 
 namespace stonewing {
 
-// What the list says of an endpoint, as far as it outlives a process.
-struct EndpointRecord {
-  std::string name;
-  DestinationId destination{};
-  KindId kind{};
-  ZoneId zone{};
-};
-
-struct AttemptRecord {
-  EndpointRecord endpoint;
-  Millis sentWall{};
-  bool provablyNotExecuted{false};
-  // False: the journal would not take it, so that it was never sent and does not count there.
-  bool journaled{true};
-};
-
-// A message that is held, with what the module does not need to know of it.
-struct StoredMessage {
-  std::string reference;       // its id at the client and the endpoint
-  std::string idempotencyKey;  // its idempotency key; empty for none
-  std::shared_ptr<const std::string> body;
-  TrafficTypeId type{};
-  TenantId tenant{};
-  OrderingKey orderingKey{};
-  DestinationId destination{};
-  Millis deadlineWall{};  // its deadline, Unix time
-  std::vector<AttemptRecord> attempts;
-  std::string acceptedFields;  // its record in the journal, without the body
-};
-
-enum class FinalOutcome : std::uint8_t { failed = 1, shed = 2 };
-
-// An end that the platform has not confirmed yet.
-struct OutcomeNotification {
-  std::string reference;
-  FinalOutcome result{};
-  Millis retryAfter{};
-};
-
-// All that was accepted and is not over, in memory and in the journal. What changes in a turn is written by
-// one commit, before it is acted on: before a client hears +OK, an attempt's bytes go out or the platform is
-// told. So a kill at any moment loses nothing that a client or the platform was promised.
+// All messages that were accepted and have no final answer, and the notifications that the platform has not
+// confirmed: in memory and in the journal. It is the only state that outlives a process.
+//
+// Changes are collected and written by one commit a turn, before anything is done that depends on them:
+// before a client gets +OK, before an attempt's bytes go out, before the platform is notified. So a kill at
+// any moment loses nothing that a client or the platform was promised. The owner calls beginCommit(), waits
+// with finishCommit(), then acts on what was written and asks what was lost.
+//
+// Used on one thread; with a background writer only the journal's write() calls happen elsewhere. Functions
+// that write throw std::system_error where the journal cannot be used any more.
 class MessageStore {
  public:
-  // aside: a thread of its own writes the journal.
-  MessageStore(const NameTables& facts, const std::string& folder, std::size_t mostBytes, bool aside = false);
+  // `names` has to outlive the store. `maxBytes` bounds all files in `folder`. `usesWriterThread`: the
+  // journal is written by a thread of its own. Throws as Journal does.
+  MessageStore(const NameTables& names, const std::string& folder, std::size_t maxBytes,
+               bool usesWriterThread = false);
 
-  // Reads what an earlier process left; returns the bytes of a torn tail that were cut.
+  // Reads what an earlier process left; to be called once, first. Returns the bytes of an incomplete record
+  // at the journal's end that were cut off. Records that cannot be used are logged and skipped. Throws as
+  // Journal::replay() does.
   std::size_t restore();
 
-  // The fields of a SUBMIT: order key, id, list, body. Throws ProtocolError with the reason.
-  StoredMessage decode(std::string_view key, std::string_view ref, std::string_view list,
-                       std::string_view body, Millis wall) const;
-  // No value: there is no room in the journal. It is accepted once a commit has kept it.
-  std::optional<MessageId> accept(StoredMessage held);
-  // Writes what was noted since the last time, and goes on with a rewrite of the journal where one is due.
-  // Calls and clients then ask what was kept. What the file would not take: a message is dropped again, a
-  // attempt counts as never sent, an end is still acted on. Begun only where nothing is under way.
+  // The message of a SUBMIT, by its words (submission_parser.h), received at `receivedWall`, in Unix
+  // milliseconds. The store does not change. Throws ProtocolError that says what is wrong.
+  StoredMessage decode(std::string_view orderingKey, std::string_view reference, std::string_view fieldList,
+                       std::string_view body, Millis receivedWall) const;
+  // Takes a message in. No value: the journal has no space for it. Accepted only once a commit has kept it.
+  std::optional<MessageId> accept(StoredMessage message);
+  // Records that an attempt is to be sent. False: that could not be recorded, and the attempt must not be
+  // sent. True: the next commit decides; ask isLostAttempt() after it. The attempt has its number in either
+  // case.
+  bool recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis sentWall);
+  // Records that an attempt was provably not executed. Where that cannot be written, the next process assumes
+  // that it may have been.
+  void recordNotExecuted(MessageId id, int attempt);
+  // The message is finished, and nothing is left to do for it.
+  void recordDelivered(MessageId id);
+  // The message is finished, and the platform is to be notified. `retryAfter` in milliseconds; 0: no advice.
+  void addPendingNotification(MessageId id, FinalOutcome result, Millis retryAfter);
+  // The platform has confirmed the notification.
+  void confirmNotification(MessageId id);
+
+  // Begins to write what was recorded since the last commit. None may be in progress.
   void beginCommit();
-  // Whether nothing is under way any more; waits for so long, in milliseconds.
-  bool finishCommit(Millis patience);
+  // Whether no commit is in progress any more; waits up to `timeout` milliseconds for that. Then what could
+  // not be written is undone: a message is removed again, an attempt counts as never sent, an outcome is
+  // still acted on. Also continues a compaction of the journal, or begins one that is due.
+  bool finishCommit(Millis timeout);
+  // Commits until nothing is left to write, however long it takes.
+  void commit();
   bool isCommitting() const { return journal_.isCommitting(); }
-  // What was noted before the last begin may be acted on, once that has landed.
-  bool lastCommitHeldRecords() const { return carried_; }
+  // Whether the last commit wrote what was recorded before it. False: it only replaced the journal by a
+  // compacted one, and the records wait for the next commit.
+  bool lastCommitHeldRecords() const { return lastCommitHeldRecords_; }
   bool hasUncommitted() const { return !uncommitted_.empty(); }
-  void commit();  // all of it, however long it takes
-  // Whether the journal holds the taking of one, or knows by now that it will not.
-  bool isDecided(MessageId id) const { return id.value < decidedNext_; }
+  // Whether a commit has decided on a message's acceptance, in whatever way.
+  bool isDecided(MessageId id) const { return id.value < firstUndecidedId_; }
+  // Readable once a commit ended that finishCommit() had waited for in vain; -1 without a writer thread.
   int descriptor() const { return journal_.descriptor(); }
-  // What the file would not take since it was last forgotten.
-  void clearLost() {
-    lostAcceptances_.clear();
-    lostAttempts_.clear();
-  }
-  bool isLostAcceptance(MessageId id) const { return lostAcceptances_.contains(id); }
+
+  // What could not be written, in all commits since clearLost().
+  void clearLost();
   const std::set<MessageId>& lostAcceptances() const { return lostAcceptances_; }
-  bool isLostAttempt(MessageId id, int launch) const { return lostAttempts_.contains({id, launch}); }
-  bool contains(std::string_view ref) const { return byReference_.contains(std::string(ref)); }
-  MessageId idOf(const std::string& ref) const { return byReference_.at(ref); }  // of one that is held
-  // False: it could not be noted, and the attempt must not go out. True: the next commit will tell.
-  bool recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis wall);
-  void recordNotExecuted(MessageId id, int launch);
-  // Over, and nothing more is owed.
-  void recordDelivered(MessageId id);
-  // Over; the platform is to be told.
-  void addPendingNotification(MessageId id, FinalOutcome result, Millis wait);
-  void confirmNotification(MessageId id);
+  bool isLostAcceptance(MessageId id) const { return lostAcceptances_.contains(id); }
+  bool isLostAttempt(MessageId id, int attempt) const { return lostAttempts_.contains({id, attempt}); }
 
-  StoredMessage* find(MessageId id) {
-    auto at = inFlight_.find(id);
-    return at == inFlight_.end() ? nullptr : &at->second;
-  }
-  // How many of those held have ended, in whatever way, and how full the journal is by what must stay in it:
-  // a rewrite needs as much again.
-  std::size_t finishedCount() const { return finishedCount_; }
-  double writingTime() const { return journal_.writingTime(); }
-  double fillShare() const {
-    return journal_.maxBytes() == 0
-               ? 1
-               : 2 * static_cast<double>(liveBytes()) / static_cast<double>(journal_.maxBytes());
-  }
-  const std::map<MessageId, StoredMessage>& inFlight() const { return inFlight_; }
+  // Null: not in flight. Valid until the message is finished, or lost by a commit.
+  const StoredMessage* find(MessageId id) const { return live_.find(id); }
+  // Whether a message of this reference is in flight.
+  bool contains(std::string_view reference) const { return live_.contains(reference); }
+  // The id of a message in flight.
+  MessageId idOf(const std::string& reference) const { return live_.idOf(reference); }
+  const std::map<MessageId, StoredMessage>& inFlight() const { return live_.messages(); }
   const std::map<MessageId, OutcomeNotification>& pendingNotifications() const {
-    return pendingNotifications_;
+    return live_.notifications();
   }
 
+  // How many accepted messages have finished, in whatever way, since the start.
+  std::size_t finishedCount() const { return finishedCount_; }
+  // Milliseconds that writing has held up this thread so far.
+  Millis writingTime() const { return journal_.writingTime(); }
+  // How full the journal is by what must stay in it, from 0 to 1. A compaction needs as much again.
+  double fillShare() const;
+
  private:
-  enum class RecordTag : std::uint8_t {
-    accepted = 1,
-    attempted = 2,
-    notExecuted = 3,
-    notificationPending = 4,
-    finished = 5
-  };
-  void replayed(std::string_view record);
-  struct JournalEntry {
+  // A record that the journal has collected and no commit has finished.
+  struct UncommittedRecord {
     RecordTag tag{};
     MessageId message{};
-    int attempt{};
-    std::string record{};  // only while a rewrite is under way, which it may have to reach too
+    std::optional<int> attempt{};  // its number, for RecordTag::attempted
+    // The record itself where a compaction may have to hold it too. Empty: no compaction was in progress, or
+    // it holds the message as it was after this record.
+    std::string bytes{};
   };
-  bool note(std::string record, JournalEntry noted);
-  bool keep(std::string record, JournalEntry noted);
-  bool roomFor(std::size_t more);
-  void finished();
-  void rewriteSome(std::size_t most);
-  void rewriteNow();
-  void rewriteBegins();
-  void rewriteFailed();
-  bool rewriteWanted() const;
-  std::size_t liveBytes() const;
-  static std::size_t acceptedRecordSize(const StoredMessage& held);  // of its record
-  static std::string acceptedRecord(MessageId id, const StoredMessage& held);
-  static std::string attemptRecord(MessageId id, const AttemptRecord& launch);
-  static std::string notificationRecord(MessageId id, const OutcomeNotification& notice);
-  void drop(MessageId id);
-
-  const NameTables& facts_;
+
+  void replayRecord(std::string_view record);
+  void replayAccepted(MessageId id, const AcceptedRecord& record);
+  void replayAttempted(MessageId id, AttemptedRecord record);
+  void replayNotExecuted(MessageId id, NotExecutedRecord record);
+
+  bool append(std::string bytes, UncommittedRecord record);
+  void makeSpaceAndAppend(std::string bytes, UncommittedRecord record);
+  bool makeSpace(std::size_t bytes);
+  bool hasSpace(std::size_t bytes) const;
+  void finishMessage(MessageId id);
+
+  void completeCommit();
+  void commitOnce();
+  void undoLost(const UncommittedRecord& record);
+  bool isInCompactedFile(const UncommittedRecord& record) const;
+  void copyToCompaction(const std::vector<UncommittedRecord>& records);
+
+  void beginCompaction();
+  void continueCompaction();
+  void compactNow();
+  void recordCompactionFailure();
+
+  const NameTables& names_;
   Journal journal_;
-  std::uint32_t next_{1};
-  std::size_t inFlightBytes_{0};
+  CompactionSchedule schedule_;
+  LiveMessages live_;
+  std::uint32_t nextId_{1};
   std::size_t finishedCount_{0};
-  std::map<MessageId, StoredMessage> inFlight_;
-  std::map<MessageId, OutcomeNotification> pendingNotifications_;
-  std::unordered_map<std::string, MessageId> byReference_;
-  std::vector<JournalEntry> uncommitted_;  // beside what the journal holds for its next commit
-  std::vector<JournalEntry> committing_;   // the same for the one that is under way
-  bool carried_{true};
-  std::uint32_t committingNext_{1};  // next_ when it was begun
-  std::uint32_t decidedNext_{1};     // and of the last that has landed
+
+  std::vector<UncommittedRecord> uncommitted_;  // in the order in which the journal collected them
+  std::vector<UncommittedRecord> committing_;   // those of the commit in progress
+  bool lastCommitHeldRecords_{true};
+  std::uint32_t committingNextId_{1};  // nextId_ when the last commit with records began
+  std::uint32_t firstUndecidedId_{1};  // the same for the last one that has finished
   std::set<MessageId> lostAcceptances_;
   std::set<std::pair<MessageId, int>> lostAttempts_;
-  // Of a rewrite that is under way: all before this id stands in the new file as it is now.
-  MessageId rewritten_{};
-  std::size_t notAgain_{0};  // no rewrite before the file has this size, after one that did not go
-  int passedOver_{0};        // so many more times that there is no room, for the same reason
+
+  // Messages below this id stand in the compacted file as they are now, if a compaction is in progress.
+  MessageId compactedBelow_{};
 };
 
 }  // namespace stonewing
