--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -116,6 +116,9 @@
   std::string record = encodeAttempted(id, attempt);
   // Space first: a compaction for it must not hold the attempt already, since its record follows after that.
   makeSpace(record.size() + kJournalFrameBytes);
+  // Making space may commit, and a commit that a full disk cut short removes messages that it lost.
+  message = live_.find(id);
+  if (message == nullptr) return false;
   message->attempts.push_back(std::move(attempt));
   int number = static_cast<int>(message->attempts.size()) - 1;
   if (append(std::move(record), {RecordTag::attempted, id, number})) return true;
