--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -49,7 +49,7 @@
   std::condition_variable finished;   // the thread notifies: busy has become false
 
   std::mutex mutex;
-  std::function<void()> work;  // set by the owner, taken by the thread
+  std::function<void()> work;  // set by the owner, removed by the thread
   bool busy{false};            // set by the owner with the work, cleared by the thread after it
   bool ownerGaveUp{false};     // set by the owner after a wait in vain, cleared by the thread
   bool stopping{false};        // set by the owner's destructor
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -25,7 +25,7 @@
 //
 // Changes are collected and written by one commit a turn, before anything is done that depends on them:
 // before a client gets +OK, before an attempt's bytes go out, before the platform is notified. So a kill at
-// any moment loses nothing that a client or the platform was promised. The owner calls beginCommit(), waits
+// any moment loses nothing that a client or the platform relies on. The owner calls beginCommit(), waits
 // with finishCommit(), then acts on what was written and asks what was lost.
 //
 // Used on one thread; with a background writer only the journal's write() calls happen elsewhere. Functions
@@ -46,7 +46,7 @@
   // milliseconds. The store does not change. Throws ProtocolError that says what is wrong.
   StoredMessage decode(std::string_view orderingKey, std::string_view reference, std::string_view fieldList,
                        std::string_view body, Millis receivedWall) const;
-  // Takes a message in. No value: the journal has no space for it. Accepted only once a commit has kept it.
+  // Adds a message. No value: the journal has no space for it. Accepted only once a commit has kept it.
   std::optional<MessageId> accept(StoredMessage message);
   // Records that an attempt is to be sent. False: that could not be recorded, and the attempt must not be
   // sent. True: the next commit decides; ask isLostAttempt() after it. The attempt has its number in either
