--- /dev/null
+++ b/src/policy/attempt_canceller.cpp
@@ -0,0 +1,87 @@
+#include "policy/attempt_canceller.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <utility>
+
+#include "policy/idempotency.h"
+
+namespace stonewing {
+namespace {
+
+constexpr double kStuckFactor = 4;       // an attempt is stuck after so many p95, where responses come late
+constexpr double kMinStuckFactor = 1.8;  // and where they do not come at all
+constexpr double kTimeoutScaleDecrease = 0.4;     // of the timeout scale, by a stuck attempt
+constexpr double kTimeoutScaleGrowth = 1.0 / 32;  // of what is missing from 1, by a success
+
+}  // namespace
+
+void AttemptCanceller::recordSuccess() { timeoutScale_ += kTimeoutScaleGrowth * (1 - timeoutScale_); }
+
+std::optional<Decision> AttemptCanceller::nextLosing() {
+  while (auto losing = messages_.popLosingAttempt()) {
+    Message* message = messages_.find(losing->message);
+    if (message == nullptr || !settings_.mayCancel) continue;
+    Attempt& attempt = message->attempts[static_cast<std::size_t>(losing->attempt)];
+    if (!attempt.pending) continue;
+    attempt.cancelled = true;
+    if (!attempt.isHedge) outliers_.recordTimeout(*attempt.endpoint, attempt.sentAt);
+    return CancelAttempt{losing->message, losing->attempt};
+  }
+  return std::nullopt;
+}
+
+std::optional<Decision> AttemptCanceller::nextStuck() {
+  if (!settings_.mayCancel) return std::nullopt;
+  bool isOutOfRequests = requests_.inFlight() >= settings_.maxConcurrentRequests;
+  if (!isOutOfRequests && clock_.isQuiet()) return std::nullopt;
+  if (cursor_.begin(clock_.round())) wasOutOfRequests_ = false;
+  if (isOutOfRequests && !std::exchange(wasOutOfRequests_, true)) cursor_.rewind();
+  const std::set<MessageId>& pending = messages_.withPendingAttempts();
+  for (auto entry = pending.lower_bound(cursor_.next()); entry != pending.end(); ++entry) {
+    MessageId id = *entry;
+    cursor_.passOver(id);
+    Message& message = messages_.at(id);
+    if (message.finished || message.responseStarted) continue;
+    bool mayRetry = mayAttempt(settings_, message, clock_.now());
+    for (std::size_t index = 0; index < message.attempts.size(); ++index) {
+      Attempt& attempt = message.attempts[index];
+      if (!isStuck(message, attempt, mayRetry, isOutOfRequests)) continue;
+      attempt.cancelled = true;
+      outliers_.recordTimeout(*attempt.endpoint, attempt.sentAt);
+      timeoutScale_ *= 1 - kTimeoutScaleDecrease;
+      cursor_.stayAt(id);  // another attempt of it may be stuck too
+      return CancelAttempt{id, static_cast<int>(index)};
+    }
+  }
+  return std::nullopt;
+}
+
+// An attempt that later ones have overtaken is lost, and cancelled while a retry is still allowed. With all
+// concurrent requests in use, so is any that is long overdue, even when that ends its message. The more stay
+// unanswered the sooner: lost responses would otherwise hold all concurrent requests.
+bool AttemptCanceller::isStuck(const Message& message, const Attempt& attempt, bool mayRetry,
+                               bool isOutOfRequests) {
+  if (!attempt.pending || attempt.cancelled) return false;
+  const Route& route = *attempt.endpoint->route;
+  Millis p95 = latencies_.typicalLatency(route, trafficTypeOf(settings_, message)).p95;
+  Millis stuckAt =
+      attempt.sentAt + (kMinStuckFactor + (kStuckFactor - kMinStuckFactor) * timeoutScale_) * p95;
+  if (!clock_.isReached(stuckAt)) return false;
+  bool isOvertaken =
+      mayRetry && !route.recovery.isOutage() && route.recovery.lastSuccessSentAt() > attempt.sentAt;
+  if (isOvertaken) return true;
+  bool isRouteSilent = route.recovery.isOutage() || attempt.endpoint->failures.isUnresponsive();
+  Millis overdueAfter = (isRouteSilent ? kStuckFactor : 2 * kStuckFactor) * p95;
+  return isOutOfRequests && (mayRetry || clock_.now() - attempt.sentAt > overdueAfter);
+}
+
+Millis AttemptCanceller::attemptTimeout(const Message& message, const Route& route) const {
+  const TrafficType& type = trafficTypeOf(settings_, message);
+  Millis untilDeadline = message.deadline - clock_.now();
+  if (settings_.mayCancel || type.idempotency == Idempotency::nonIdempotent) return untilDeadline;
+  Millis stuckAfter = kStuckFactor * latencies_.typicalLatency(route, type).p95;
+  return std::min(untilDeadline, std::max(type.latencyObjective, stuckAfter));
+}
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/endpoint_registry.cpp
@@ -0,0 +1,100 @@
+#include "policy/endpoint_registry.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <tuple>
+
+#include "policy/random_source.h"
+
+namespace stonewing {
+namespace {
+
+constexpr double kForgetAfterDurations = 4;  // slow-start durations after which nothing known of an endpoint
+                                             // that was removed is true any more
+constexpr std::uint64_t kSingleEndpointRoute = std::uint64_t{1} << 63;  // apart from destinations' ids
+
+RouteId singleEndpointRoute(EndpointId id) { return RouteId{id.value | kSingleEndpointRoute}; }
+
+}  // namespace
+
+void EndpointRegistry::add(EndpointId id, DestinationId destinationId, KindId kind, ZoneId zone,
+                           double weight, EndpointState state) {
+  Endpoint& endpoint = endpoints_[id];
+  endpoint.id = id;
+  endpoint.destination = &destination(destinationId);
+  endpoint.kind = kind;
+  endpoint.zone = zone;
+  endpoint.weight = weight;
+  endpoint.state = state;
+  endpoint.maxBatchSize = kind.value < settings_.kinds.size() ? settings_.kinds[kind.value].maxBatchSize : 1;
+  endpoint.route = &routeOf(endpoint);
+  endpoint.route->destination = endpoint.destination;
+  listed_.insert(id);
+}
+
+Route& EndpointRegistry::routeOf(const Endpoint& endpoint) {
+  std::size_t kind = endpoint.kind.value;
+  bool isApart = kind < settings_.kinds.size() && settings_.kinds[kind].routesApart;
+  RouteId id = isApart ? singleEndpointRoute(endpoint.id) : RouteId{endpoint.destination->id.value};
+  auto [entry, isNew] = routes_.try_emplace(id);
+  if (isNew) limiter_.begin(entry->second);
+  return entry->second;
+}
+
+void EndpointRegistry::commitList(bool isWhole) {
+  for (auto& [id, destination] : destinations_) destination.ranking.clear();
+  for (auto& [id, route] : routes_) route.endpoints.clear();
+  zones_.beginEndpointList();
+  for (auto& [id, endpoint] : endpoints_) {
+    if (isWhole && !listed_.contains(id)) endpoint.state = EndpointState::removed;
+    if (endpoint.state != EndpointState::ready) continue;
+    endpoint.route->endpoints.push_back(&endpoint);
+    endpoint.destination->ranking.push_back(&endpoint);
+    zones_.addEndpoint(id, endpoint.destination->id, endpoint.zone);
+  }
+  zones_.commitEndpointList(clock_.now());
+  for (auto& [id, destination] : destinations_) rankEndpoints(destination);
+}
+
+// Fixed for each destination and dispatcher. The own zone goes first, since crossing zones takes time and is
+// priced; among equals each dispatcher has an order of its own, so that together they spread.
+void EndpointRegistry::rankEndpoints(Destination& destination) const {
+  auto rank = [&](const Endpoint* endpoint) {
+    return std::tuple(zones_.priority(endpoint->destination->id, endpoint->zone),
+                      hashId(endpoint->id.value ^ hashId(settings_.dispatcherIndex)), endpoint->id);
+  };
+  std::sort(destination.ranking.begin(), destination.ranking.end(),
+            [&](const Endpoint* left, const Endpoint* right) { return rank(left) < rank(right); });
+}
+
+void EndpointRegistry::forgetRemoved(const std::set<const Endpoint*>& inUse) {
+  Millis forgetAfter = kForgetAfterDurations * settings_.slowStartDuration;
+  for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
+    Endpoint& endpoint = entry->second;
+    if (endpoint.state != EndpointState::removed) {
+      endpoint.removedAt = -1;
+    } else if (endpoint.removedAt < 0) {
+      endpoint.removedAt = clock_.now();
+    }
+    bool isExpired = endpoint.removedAt >= 0 && clock_.now() - endpoint.removedAt >= forgetAfter;
+    if (!isExpired || inUse.contains(&endpoint)) {
+      ++entry;
+      continue;
+    }
+    routes_.erase(singleEndpointRoute(endpoint.id));
+    entry = endpoints_.erase(entry);
+  }
+}
+
+Destination& EndpointRegistry::destination(DestinationId id) {
+  Destination& destination = destinations_[id];
+  destination.id = id;
+  return destination;
+}
+
+Endpoint* EndpointRegistry::find(EndpointId id) {
+  auto found = endpoints_.find(id);
+  return found == endpoints_.end() ? nullptr : &found->second;
+}
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/endpoint_selector.h
@@ -0,0 +1,63 @@
+#pragma once
+
+#include "policy/concurrency_limiter.h"
+#include "policy/message.h"
+#include "policy/outlier_detector.h"
+#include "policy/rate_pacer.h"
+#include "policy/request_tracker.h"
+#include "policy/round_clock.h"
+#include "policy/slow_start.h"
+#include "policy/zone_failover.h"
+#include "settings/deployment_settings.h"
+
+// Which endpoint the next attempt of a message goes to: the first in the destination's ranking, unless it
+// has enough requests or fails while others work.
+//
+// Owns nothing; asks the modules that limit endpoints, routes and zones.
+namespace stonewing {
+
+enum class AttemptKind { regular, hedge };
+
+// An attempt that the policy wants to send. The endpoint stays valid until the next endpoint list.
+struct PlannedAttempt {
+  MessageId message{};
+  Endpoint* endpoint{};
+};
+
+class EndpointSelector {
+ public:
+  // All outlive it.
+  EndpointSelector(const DeploymentSettings& settings, RoundClock& clock, const RequestTracker& requests,
+                   const ConcurrencyLimiter& limiter, RatePacer& pacer, SlowStart& slowStart,
+                   const OutlierDetector& outliers, const ZoneFailover& zones)
+      : settings_(settings),
+        clock_(clock),
+        requests_(requests),
+        limiter_(limiter),
+        pacer_(pacer),
+        slowStart_(slowStart),
+        outliers_(outliers),
+        zones_(zones) {}
+
+  // Null where no endpoint may be used now; then the clock wakes the policy when one may.
+  Endpoint* select(const Message& message, AttemptKind kind);
+  // Whether a message may join the request that was opened at the endpoint in this round.
+  bool mayJoinBatch(const Endpoint& endpoint) const;
+  // Whether a message may go to the endpoint now, in a request of its own or another's.
+  bool isOpen(const Endpoint& endpoint);
+
+ private:
+  bool mayUseZone(const Endpoint& endpoint);
+  bool isFitForHedge(const Endpoint& endpoint) const;
+
+  const DeploymentSettings& settings_;
+  RoundClock& clock_;
+  const RequestTracker& requests_;
+  const ConcurrencyLimiter& limiter_;
+  RatePacer& pacer_;
+  SlowStart& slowStart_;
+  const OutlierDetector& outliers_;
+  const ZoneFailover& zones_;
+};
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/hedging.cpp
@@ -0,0 +1,51 @@
+#include "policy/hedging.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace stonewing {
+namespace {
+
+constexpr double kMinDelayShare = 0.3;    // bounds of the delay, of the latency objective: too early a hedge
+constexpr double kMaxDelayShare = 1.5;    // is wasted, too late a one brings nothing
+constexpr double kMaxRequestShare = 0.5;  // no hedges with more of the concurrent requests in flight
+
+}  // namespace
+
+std::optional<PlannedAttempt> Hedging::next() {
+  bool isAllowed = mayHedgeAny();
+  if ((std::exchange(wasAllowed_, isAllowed) && clock_.isQuiet()) || !isAllowed) return std::nullopt;
+  cursor_.begin(clock_.round());
+  const std::set<MessageId>& pending = messages_.withPendingAttempts();
+  for (auto entry = pending.lower_bound(cursor_.next()); entry != pending.end(); ++entry) {
+    MessageId id = *entry;
+    cursor_.passOver(id);
+    const Message& message = messages_.at(id);
+    if (!mayHedge(message) || !clock_.isReached(dueAt(message, message.attempts.back()))) continue;
+    if (Endpoint* endpoint = selector_.select(message, AttemptKind::hedge))
+      return PlannedAttempt{id, endpoint};
+  }
+  return std::nullopt;
+}
+
+// Hedges are the first to stop: while concurrent requests are short they would take what first attempts need.
+bool Hedging::mayHedgeAny() const {
+  return settings_.mayHedge && budget_.mayHedge() &&
+         requests_.inFlight() < settings_.maxConcurrentRequests * kMaxRequestShare;
+}
+
+bool Hedging::mayHedge(const Message& message) const {
+  if (message.finished || message.responseStarted || message.hedged) return false;
+  if (trafficTypeOf(settings_, message).idempotency == Idempotency::nonIdempotent) return false;
+  const Attempt& last = message.attempts.back();
+  return last.pending && !last.cancelled;
+}
+
+Millis Hedging::dueAt(const Message& message, const Attempt& attempt) const {
+  const TrafficType& type = trafficTypeOf(settings_, message);
+  Millis delay = std::clamp(latencies_.typicalP95(*attempt.endpoint, type),
+                            type.latencyObjective * kMinDelayShare, type.latencyObjective * kMaxDelayShare);
+  return attempt.sentAt + std::min(delay, (message.deadline - attempt.sentAt) / 2);
+}
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/hedging.h
@@ -0,0 +1,53 @@
+#pragma once
+
+#include <optional>
+
+#include "policy/endpoint_selector.h"
+#include "policy/latency_tracker.h"
+#include "policy/message_registry.h"
+#include "policy/request_tracker.h"
+#include "policy/retry_budget.h"
+#include "policy/round_clock.h"
+#include "policy/scan_cursor.h"
+#include "settings/deployment_settings.h"
+
+// When a hedge of a slow message is due, and where it goes.
+//
+// Owns: the progress of its scan over the pending attempts, and whether hedges were allowed at the last look.
+namespace stonewing {
+
+class Hedging {
+ public:
+  // All outlive it.
+  Hedging(const DeploymentSettings& settings, RoundClock& clock, const LatencyTracker& latencies,
+          const RequestTracker& requests, const RetryBudget& budget, const MessageRegistry& messages,
+          EndpointSelector& selector)
+      : settings_(settings),
+        clock_(clock),
+        latencies_(latencies),
+        requests_(requests),
+        budget_(budget),
+        messages_(messages),
+        selector_(selector) {}
+
+  // Something was heard of an attempt: those seen in this round are looked at again.
+  void resetScan() { cursor_ = {}; }
+  std::optional<PlannedAttempt> next();
+
+ private:
+  bool mayHedgeAny() const;
+  bool mayHedge(const Message& message) const;
+  Millis dueAt(const Message& message, const Attempt& attempt) const;
+
+  const DeploymentSettings& settings_;
+  RoundClock& clock_;
+  const LatencyTracker& latencies_;
+  const RequestTracker& requests_;
+  const RetryBudget& budget_;
+  const MessageRegistry& messages_;
+  EndpointSelector& selector_;
+  ScanCursor cursor_;
+  bool wasAllowed_{false};
+};
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/ordering.h
@@ -0,0 +1,71 @@
+#pragma once
+
+#include <cstddef>
+#include <deque>
+#include <map>
+
+#include "policy/message.h"
+#include "policy/round_clock.h"
+
+// Whether a message may go yet: messages of an ordered type with one ordering key go one after the other.
+//
+// Owns: a queue for each ordering key. It is told of accepted and forgotten messages, and of attempts after
+// which the next message has to wait for a pause, since the one before may still be executed.
+namespace stonewing {
+
+class Ordering {
+ public:
+  // Both outlive it.
+  Ordering(const DeploymentSettings& settings, RoundClock& clock) : settings_(settings), clock_(clock) {}
+
+  void recordAccepted(MessageId id, const Message& message) {
+    if (isOrdered(message)) queues_[message.orderingKey].messages.push_back(id);
+  }
+  // An attempt of before a restart may still be executed.
+  void recordEarlierAttempt(const Message& message) {
+    if (trafficTypeOf(settings_, message).ordered) pause(queues_[message.orderingKey]);
+  }
+  // An attempt ended without a response, and may still be executed.
+  void recordUncertainOutcome(const Message& message) {
+    auto found = queues_.find(message.orderingKey);
+    if (trafficTypeOf(settings_, message).ordered && found != queues_.end()) pause(found->second);
+  }
+  // Whether its first attempt may be sent; further attempts always may. If it waits for a pause, the clock
+  // wakes the policy at its end.
+  bool isNext(MessageId id, const Message& message) {
+    if (!isOrdered(message) || !message.attempts.empty()) return true;
+    const Queue& queue = queues_[message.orderingKey];
+    if (queue.messages.empty() || queue.messages.front() != id) return false;
+    return clock_.isReached(queue.pausedUntil);
+  }
+  void forget(MessageId id, const Message& message) {
+    auto found = queues_.find(message.orderingKey);
+    if (found == queues_.end()) return;
+    std::erase(found->second.messages, id);
+    if (isUnused(found->second)) queues_.erase(found);
+  }
+  // Ordering keys that it keeps a queue for.
+  std::size_t queueCount() const { return queues_.size(); }
+  void forgetUnused() {
+    std::erase_if(queues_, [this](const auto& entry) { return isUnused(entry.second); });
+  }
+
+ private:
+  struct Queue {
+    std::deque<MessageId> messages;  // in the order in which they were accepted
+    Millis pausedUntil{0};
+  };
+  bool isOrdered(const Message& message) const {
+    return trafficTypeOf(settings_, message).ordered && message.orderingKey.value != 0;
+  }
+  bool isUnused(const Queue& queue) const {
+    return queue.messages.empty() && queue.pausedUntil <= clock_.now();
+  }
+  void pause(Queue& queue) const { queue.pausedUntil = clock_.now() + settings_.orderingPause; }
+
+  const DeploymentSettings& settings_;
+  RoundClock& clock_;
+  std::map<OrderingKey, Queue> queues_;
+};
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/request_tracker.h
@@ -0,0 +1,67 @@
+#pragma once
+
+#include <map>
+
+#include "policy/attempt.h"
+#include "policy/destination.h"
+#include "policy/round_clock.h"
+#include "policy/route.h"
+
+// The HTTP requests in flight, and the attempts that each carries.
+//
+// Owns: the open requests, and the counts of requests in flight of the dispatcher, each destination, route
+// and endpoint. It is told when a request is opened or joined and when an attempt ends.
+namespace stonewing {
+
+class RequestTracker {
+ public:
+  explicit RequestTracker(const RoundClock& clock) : clock_(clock) {}  // outlives it
+
+  int inFlight() const { return inFlight_; }
+
+  // Opens a request to the endpoint, with one message. Further messages may join it in this round.
+  void open(Endpoint& endpoint) {
+    EndpointRequests& requests = endpoint.requests;
+    requests.batchRound_ = clock_.round();
+    requests.batchSize_ = 1;
+    requests.batchRequestId_ = nextRequestId_++;
+    requests_[requests.batchRequestId_] = {&endpoint, 1};
+    ++requests.inFlight_;
+    ++endpoint.destination->requestsInFlight;
+    ++endpoint.route->requestsInFlight;
+    ++inFlight_;
+  }
+
+  // One more message joins the request that was opened last at the endpoint.
+  void join(Endpoint& endpoint) {
+    ++endpoint.requests.batchSize_;
+    ++requests_[endpoint.requests.batchRequestId_].pendingAttempts;
+  }
+
+  // An attempt has ended. Returns the endpoint if it was the last one in flight there, else null.
+  Endpoint* endAttempt(const Attempt& attempt) {
+    auto found = requests_.find(attempt.requestId);
+    if (found == requests_.end() || --found->second.pendingAttempts > 0) return nullptr;
+    Endpoint& endpoint = *found->second.endpoint;
+    requests_.erase(found);
+    --endpoint.requests.inFlight_;
+    --endpoint.destination->requestsInFlight;
+    --endpoint.route->requestsInFlight;
+    --inFlight_;
+    return endpoint.requests.inFlight_ == 0 ? &endpoint : nullptr;
+  }
+
+ private:
+  struct Request {
+    // Stays valid: the request's pending attempts are of registered messages, which keep the endpoint.
+    Endpoint* endpoint{};
+    int pendingAttempts{0};
+  };
+
+  const RoundClock& clock_;
+  std::map<int, Request> requests_;
+  int nextRequestId_{1};
+  int inFlight_{0};
+};
+
+}  // namespace stonewing
--- /dev/null
+++ b/src/policy/slow_start.h
@@ -0,0 +1,58 @@
+#pragma once
+
+#include "policy/health_check_queue.h"
+#include "policy/random_source.h"
+#include "policy/rate_pacer.h"
+#include "policy/round_clock.h"
+#include "policy/route.h"
+#include "settings/deployment_settings.h"
+
+// Outages of routes, and how much a route gets while it recovers.
+//
+// Owns: the RouteRecovery of each route. It is told of responses, failures, rejections and silence, and asked
+// whether a route may get a request now. A route that returns would be overloaded by all that waits for it:
+// sends keep apart so far that they stay below our share of what it takes, which grows while it warms up.
+namespace stonewing {
+
+class SlowStart {
+ public:
+  // All outlive it.
+  SlowStart(const DeploymentSettings& settings, RoundClock& clock, RandomSource& random, RatePacer& pacer,
+            HealthCheckQueue& healthChecks)
+      : settings_(settings), clock_(clock), random_(random), pacer_(pacer), healthChecks_(healthChecks) {}
+
+  void recordSuccess(Route& route, Millis sentAt);
+  // A failed connection counts for more than another failure.
+  void recordFailure(Route& route, Millis sentAt, AttemptOutcome outcome);
+  // Call after RatePacer has recorded the rejection.
+  void recordRejection(Route& route, Millis retryAfter);
+  void recordHealthCheckSuccess(Route& route, const Endpoint& endpoint);
+  void recordHealthCheckFailure(Route& route) { route.recovery.outageConfirmed_ = true; }
+  // Nothing was heard for long: an outage that a first success ends without slow start, unless a failure
+  // confirms it before.
+  void recordSilence(Route& route);
+
+  // Whether the route may get a request by this module's rules; if not, the clock wakes the policy when it
+  // may. Ends a warm-up whose time is over.
+  bool mayRequest(Route& route);
+  // Whether one more message may join a request that holds so many, sent in this round.
+  bool mayGrowBatch(const Route& route, int batchSize) const;
+  // A request or health check goes out. May draw a random number.
+  void recordSend(Route& route);
+  // A message joins a request that goes out anyway.
+  void recordBatchedMessage(Route& route);
+
+ private:
+  void beginOutage(Route& route);
+  void endOutage(Route& route);
+  Millis sendInterval(const Route& route) const;
+  double provenCapacityShare(const Route& route) const;
+
+  const DeploymentSettings& settings_;
+  RoundClock& clock_;
+  RandomSource& random_;
+  RatePacer& pacer_;
+  HealthCheckQueue& healthChecks_;
+};
+
+}  // namespace stonewing
--- a/tests/bench_free.h
+++ b/tests/bench_free.h
@@ -95,7 +95,7 @@
   }
   void breakDown() {
     take(1);
-    while (!rules.state().routes.begin()->second.outage) {
+    while (!rules.state().routes.begin()->second.recovery.isOutage()) {
       for (const SendAttempt& d : pull<SendAttempt>()) end(d, AttemptOutcome::connectFailed);
       to(now + 50);
     }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -240,8 +240,8 @@
   ::setrlimit(RLIMIT_NOFILE, &usual);
   EXPECT_FALSE(desk.out("one"));
   EXPECT_TRUE(desk.rules.state().messages.at(desk.ids["one"]).attempts.at(0).provablyNotExecuted);
-  EXPECT_EQ(desk.rules.state().endpoints.begin()->second.consecutiveFailures, 0);
-  EXPECT_FALSE(desk.rules.state().routes.begin()->second.outage);
+  EXPECT_EQ(desk.rules.state().endpoints.begin()->second.failures.consecutiveFailures(), 0);
+  EXPECT_FALSE(desk.rules.state().routes.begin()->second.recovery.isOutage());
   EXPECT_TRUE(within(1000, [&] {
     desk.turn();
     desk.decide();
@@ -258,7 +258,7 @@
   for (pollfd waits{desk.listener, POLLIN, 0}; ::poll(&waits, 1, 100) > 0; ++came)
     ::close(::accept(desk.listener, nullptr, nullptr));
   EXPECT_EQ(came, 8);
-  EXPECT_EQ(desk.rules.state().endpoints.at(id).consecutiveFailures, 0);
+  EXPECT_EQ(desk.rules.state().endpoints.at(id).failures.consecutiveFailures(), 0);
 }
 
 // A connection is made free where one can be, and the attempt goes out at once.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -230,7 +230,7 @@
     bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::reset);
     bed.warm(2, 5000 + 10 * id);
   }
-  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.recovery.isOutage());
 }
 
 TEST(Returns, AFailingEndpointIsProbedThenTriedAgain) {
@@ -277,7 +277,7 @@
     last = bed.now;
     bed.end(launches[0], AttemptOutcome::rejected, 10, 300);
   }
-  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.recovery.isOutage());
   EXPECT_GE(gaps.size(), 2u);
   EXPECT_LT(gaps.size(), 9u);  // each wait alone would let 13 pass
 }
@@ -385,16 +385,16 @@
     } else {
       bed.warm(20);
       for (std::uint32_t id = 1;
-           bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures < 2 && id < 40; ++id) {
+           bed.rules.state().endpoints.at(endpoint(1)).failures.consecutiveFailures() < 2 && id < 40; ++id) {
         bed.take(id);
         for (const SendAttempt& d : bed.pull<SendAttempt>())
           bed.end(d, d.endpoint == endpoint(1) ? AttemptOutcome::error : AttemptOutcome::completed);
         bed.to(bed.now + 200);
       }
-      ASSERT_GE(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, 2);
+      ASSERT_GE(bed.rules.state().endpoints.at(endpoint(1)).failures.consecutiveFailures(), 2);
     }
     bed.to(bed.now + 10000);
-    int failures = bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures;
+    int failures = bed.rules.state().endpoints.at(endpoint(1)).failures.consecutiveFailures();
     int probes = 0;
     for (int n = 0; n < 500; ++n) {
       auto d = bed.rules.nextDecision();
@@ -405,14 +405,14 @@
       bed.rules.recordHealthCheckOutcome(check->endpoint, AttemptOutcome::localResourceExhausted, {});
     }
     EXPECT_EQ(probes, 1) << out;
-    EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).consecutiveFailures, failures);
+    EXPECT_EQ(bed.rules.state().endpoints.at(endpoint(1)).failures.consecutiveFailures(), failures);
   }
   Bed bed(plainTerms(Idempotency::nonIdempotent));
   bed.take(1);
   SendAttempt first = bed.pull<SendAttempt>().at(0);
   bed.end(first, AttemptOutcome::localResourceExhausted, 0);
   EXPECT_TRUE(bed.pull<SendAttempt>().empty());
-  EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).consecutiveFailures, 0);
+  EXPECT_EQ(bed.rules.state().endpoints.at(first.endpoint).failures.consecutiveFailures(), 0);
   bed.to(bed.now + 500);
   EXPECT_EQ(bed.pull<SendAttempt>().size(), 1u);  // it never ran
 }
@@ -510,7 +510,7 @@
     bed.to(bed.now + 100);
     bed.pull<SendAttempt>();
   }
-  EXPECT_TRUE(bed.rules.state().routes.begin()->second.outage);
+  EXPECT_TRUE(bed.rules.state().routes.begin()->second.recovery.isOutage());
 }
 
 // Danger: connections that break put all destinations on a slow ramp for as long as a cold one warms.
@@ -524,7 +524,7 @@
       worn.end(d, AttemptOutcome::reset, 1);
     }
   }
-  EXPECT_FALSE(worn.rules.state().routes.begin()->second.outage);
+  EXPECT_FALSE(worn.rules.state().routes.begin()->second.recovery.isOutage());
   for (bool lasts : {false, true}) {
     Bed bed;
     bed.warm(60);
@@ -532,8 +532,8 @@
     bed.to(bed.now + (lasts ? 6000 : 1000));
     for (const SendHealthCheck& d : bed.pull<SendHealthCheck>())
       bed.rules.recordHealthCheckOutcome(d.endpoint, AttemptOutcome::completed, {});
-    EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
-    EXPECT_EQ(bed.rules.state().routes.begin()->second.warmingUp, lasts);
+    EXPECT_FALSE(bed.rules.state().routes.begin()->second.recovery.isOutage());
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.recovery.isWarmingUp(), lasts);
   }
 }
 
@@ -554,7 +554,7 @@
   }
   EXPECT_EQ(late[hung], 0);
   EXPECT_EQ(late.size(), 2u);
-  EXPECT_FALSE(bed.rules.state().routes.begin()->second.outage);
+  EXPECT_FALSE(bed.rules.state().routes.begin()->second.recovery.isOutage());
 }
 
 // Danger: with all concurrent requests out, attempts are called off after a few p95 and sent again. None is
@@ -580,7 +580,7 @@
         if (one && send->endpoint != hung) bed.end(*send, AttemptOutcome::completed, 5);
       }
     }
-    EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, !one);
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.recovery.isOutage(), !one);
     EXPECT_EQ(late[hung], 0);
     EXPECT_EQ(late[endpoint(3 - hung.value)] > 50, one);
   }
@@ -595,9 +595,9 @@
   const Route& path = bed.rules.state().routes.begin()->second;
   bed.take(1);
   EndpointId hung = bed.pull<SendAttempt>().at(0).endpoint;
-  for (; !path.outage && bed.now < 20000; bed.to(bed.now + 50)) bed.pull<SendAttempt>();
-  ASSERT_TRUE(path.outage);
-  for (; path.outage && bed.now < 40000; bed.to(bed.now + 20)) {
+  for (; !path.recovery.isOutage() && bed.now < 20000; bed.to(bed.now + 50)) bed.pull<SendAttempt>();
+  ASSERT_TRUE(path.recovery.isOutage());
+  for (; path.recovery.isOutage() && bed.now < 40000; bed.to(bed.now + 20)) {
     for (const SendHealthCheck& d : bed.pull<SendHealthCheck>()) {
       bed.rules.recordHealthCheckOutcome(
           d.endpoint, d.endpoint == hung ? AttemptOutcome::timeout : AttemptOutcome::completed, {});
@@ -608,7 +608,7 @@
     for (const SendAttempt& d : bed.pull<SendAttempt>()) {
       if (d.endpoint != hung) bed.end(d, AttemptOutcome::completed);
     }
-    EXPECT_FALSE(path.outage);
+    EXPECT_FALSE(path.recovery.isOutage());
     bed.to(bed.now + 50);
   }
 }
@@ -625,7 +625,7 @@
   for (const SendAttempt& d : out) {
     if (d.endpoint != hung) bed.end(d, std::exchange(ending, AttemptOutcome::rejected), 10);
   }
-  EXPECT_GT(bed.rules.state().routes.begin()->second.consecutiveRejections, 0);
+  EXPECT_GT(bed.rules.state().routes.begin()->second.pacing.consecutiveRejections(), 0);
   std::size_t launches = 0;
   for (int n = 0; n < 12; ++n) {
     bed.to(bed.now + 100);
@@ -641,7 +641,7 @@
     bed.warm(60);
     bed.take(1);
     bed.end(bed.pull<SendAttempt>().at(0), AttemptOutcome::rejected, 10, wait);
-    EXPECT_EQ(bed.rules.state().routes.begin()->second.outage, wait > 2000);
+    EXPECT_EQ(bed.rules.state().routes.begin()->second.recovery.isOutage(), wait > 2000);
   }
 }
 
@@ -739,7 +739,7 @@
     bed.to(bed.now + 200);
   }
   EXPECT_EQ(used.size(), 2u);
-  EXPECT_LE(bed.rules.state().routes.begin()->second.rateHalvings, 0);
+  EXPECT_LE(bed.rules.state().routes.begin()->second.pacing.rateHalvings(), 0);
 }
 
 // Danger: a report is read by what its route's first endpoint is, and the route has none any more.
@@ -752,7 +752,7 @@
   bed.rules.beginEndpointList();
   bed.rules.commitEndpointList(true);
   bed.rules.recordAttemptOutcome(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0, {4, 1});
-  EXPECT_EQ(bed.rules.state().routes.begin()->second.rateHalvings,
+  EXPECT_EQ(bed.rules.state().routes.begin()->second.pacing.rateHalvings(),
             0);  // a batch never goes above the even part
 }
 
@@ -811,7 +811,7 @@
   const PolicyState& s = bed.rules.state();
   EXPECT_LE(s.endpoints.size(), 43u);  // those of four cold spans, and the one with an attempt out
   EXPECT_LE(s.routes.size(), 43u);
-  EXPECT_LE(s.orderedQueues.size(), 3u);
+  EXPECT_LE(s.orderedQueueCount, 3u);
   EXPECT_TRUE(s.endpoints.contains(endpoint(1000)));
   bed.end(held, AttemptOutcome::reset);
 }
