--- a/src/policy/attempt_canceller.cpp
+++ b/src/policy/attempt_canceller.cpp
@@ -43,10 +43,11 @@
     cursor_.passOver(id);
     Message& message = messages_.at(id);
     if (message.finished || message.responseStarted) continue;
-    bool mayRetry = mayAttempt(settings_, message, clock_.now());
+    Situation situation{.mayRetry = mayAttempt(settings_, message, clock_.now()),
+                        .isOutOfRequests = isOutOfRequests};
     for (std::size_t index = 0; index < message.attempts.size(); ++index) {
       Attempt& attempt = message.attempts[index];
-      if (!isStuck(message, attempt, mayRetry, isOutOfRequests)) continue;
+      if (!isStuck(message, attempt, situation)) continue;
       attempt.cancelled = true;
       outliers_.recordTimeout(*attempt.endpoint, attempt.sentAt);
       timeoutScale_ *= 1 - kTimeoutScaleDecrease;
@@ -60,8 +61,7 @@
 // An attempt that later ones have overtaken is lost, and cancelled while a retry is still allowed. With all
 // concurrent requests in use, so is any that is long overdue, even when that ends its message. The more stay
 // unanswered the sooner: lost responses would otherwise hold all concurrent requests.
-bool AttemptCanceller::isStuck(const Message& message, const Attempt& attempt, bool mayRetry,
-                               bool isOutOfRequests) {
+bool AttemptCanceller::isStuck(const Message& message, const Attempt& attempt, Situation situation) {
   if (!attempt.pending || attempt.cancelled) return false;
   const Route& route = *attempt.endpoint->route;
   Millis p95 = latencies_.typicalLatency(route, trafficTypeOf(settings_, message)).p95;
@@ -69,11 +69,11 @@
       attempt.sentAt + (kMinStuckFactor + (kStuckFactor - kMinStuckFactor) * timeoutScale_) * p95;
   if (!clock_.isReached(stuckAt)) return false;
   bool isOvertaken =
-      mayRetry && !route.recovery.isOutage() && route.recovery.lastSuccessSentAt() > attempt.sentAt;
+      situation.mayRetry && !route.recovery.isOutage() && route.recovery.lastSuccessSentAt() > attempt.sentAt;
   if (isOvertaken) return true;
   bool isRouteSilent = route.recovery.isOutage() || attempt.endpoint->failures.isUnresponsive();
   Millis overdueAfter = (isRouteSilent ? kStuckFactor : 2 * kStuckFactor) * p95;
-  return isOutOfRequests && (mayRetry || clock_.now() - attempt.sentAt > overdueAfter);
+  return situation.isOutOfRequests && (situation.mayRetry || clock_.now() - attempt.sentAt > overdueAfter);
 }
 
 Millis AttemptCanceller::attemptTimeout(const Message& message, const Route& route) const {
--- a/src/policy/attempt_canceller.h
+++ b/src/policy/attempt_canceller.h
@@ -11,10 +11,10 @@
 #include "policy/scan_cursor.h"
 #include "settings/deployment_settings.h"
 
-// Which pending attempts are cancelled: losing attempts of finished messages, and stuck ones.
+// Decides which pending attempts are cancelled: losing attempts of finished messages, and stuck ones.
 //
 // Owns: the timeout scale, which falls with attempts that stay unanswered, and the progress of its scan over
-// the pending attempts. It is told of successes.
+// the pending attempts. Input: successes. Queries: the next attempt to cancel, the timeout of a new attempt.
 namespace stonewing {
 
 class AttemptCanceller {
@@ -42,7 +42,11 @@
   double timeoutScale() const { return timeoutScale_; }
 
  private:
-  bool isStuck(const Message& message, const Attempt& attempt, bool mayRetry, bool isOutOfRequests);
+  struct Situation {
+    bool mayRetry{false};         // the message has another attempt left
+    bool isOutOfRequests{false};  // all concurrent requests are in use
+  };
+  bool isStuck(const Message& message, const Attempt& attempt, Situation situation);
 
   const DeploymentSettings& settings_;
   RoundClock& clock_;
--- a/src/policy/concurrency_limiter.h
+++ b/src/policy/concurrency_limiter.h
@@ -4,10 +4,10 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// Whether one more request fits at a route: additive increase, multiplicative decrease (AIMD).
+// Decides whether one more request fits at a route: additive increase, multiplicative decrease (AIMD).
 //
-// Owns: the ConcurrencyLimit of each route. It is told of responses in time and of signs of overload, and
-// asked whether a route has capacity.
+// Owns: the ConcurrencyLimit of each route. Input: responses in time, signs of overload. Query: whether a
+// route has capacity for one more request.
 namespace stonewing {
 
 class ConcurrencyLimiter {
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -30,23 +30,22 @@
   ++requestCount_;
 }
 
-void ConnectionReuse::recordOutcome(const Attempt& attempt, AttemptOutcome outcome, Millis retryAfter,
-                                    LoadReport report, bool loadReportSeen) {
+void ConnectionReuse::recordResult(const Attempt& attempt, const AttemptResult& result) {
   Millis minIdleTime = kMinShare * settings_.connectionIdleTimeout;
   // A new connection rejected without a report, where responses hold one: not by a rate limit, so the
   // endpoint's connection table is full.
-  bool isTableFull = outcome == AttemptOutcome::rejected && loadReportSeen && report.rateLimit < 0 &&
-                     retryAfter <= 0 && attempt.connectionIdleTime <= 0;
+  bool isTableFull = result.outcome == AttemptOutcome::rejected && pacer_.hasSeenLoadReport() &&
+                     result.report.rateLimit < 0 && result.retryAfter <= 0 && attempt.connectionIdleTime <= 0;
   // A connection that fails where others complete: the same.
   const RouteRecovery& recovery = attempt.endpoint->route->recovery;
-  isTableFull = isTableFull || (outcome == AttemptOutcome::connectFailed &&
+  isTableFull = isTableFull || (result.outcome == AttemptOutcome::connectFailed &&
                                 recovery.lastSuccessAt() > clock_.now() - settings_.slowStartDuration);
   if (isTableFull) {
     reusableIdleTime_ *= kDecreaseFactor;
-  } else if (attempt.connectionIdleTime > minIdleTime && outcome == AttemptOutcome::reset) {
+  } else if (attempt.connectionIdleTime > minIdleTime && result.outcome == AttemptOutcome::reset) {
     reusableIdleTime_ = std::min(reusableIdleTime_, kDecreaseFactor * attempt.connectionIdleTime);
   } else if (attempt.connectionIdleTime > kDecreaseFactor * reusableIdleTime_ &&
-             outcome == AttemptOutcome::completed) {
+             result.outcome == AttemptOutcome::completed) {
     reusableIdleTime_ = std::min(settings_.connectionIdleTimeout, kIncreaseFactor * reusableIdleTime_);
   }
   reusableIdleTime_ = std::max(reusableIdleTime_, minIdleTime);
--- a/src/policy/connection_reuse.h
+++ b/src/policy/connection_reuse.h
@@ -4,23 +4,29 @@
 #include <deque>
 
 #include "policy/attempt.h"
-#include "policy/decision.h"
+#include "policy/attempt_result.h"
+#include "policy/rate_pacer.h"
 #include "policy/round_clock.h"
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// For how long an idle connection may be reused, and which idle connections close.
+// Decides for how long an idle connection may be reused, and which idle connections close.
 //
-// Owns: the reusable idle time, the ConnectionUse of each endpoint, the endpoints that became idle. It is
-// told of requests and of outcomes by the idle time of their connection. An idle connection takes a place in
-// the endpoint's table, and may have died unseen: what is sent on it then fails and may have been executed.
+// Owns: the reusable idle time, the ConnectionUse of each endpoint, the endpoints that became idle. Input:
+// requests, and outcomes together with the idle time of their connection. Queries: the reusable idle time,
+// whether a connection is too old, the next one to close. Without it, idle connections take places in the
+// endpoint's connection table, and some have died unnoticed: what is sent on one of those fails and may have
+// been executed.
 namespace stonewing {
 
 class ConnectionReuse {
  public:
-  // Both outlive it.
-  ConnectionReuse(const DeploymentSettings& settings, const RoundClock& clock)
-      : settings_(settings), clock_(clock), reusableIdleTime_(settings.connectionIdleTimeout) {}
+  // All outlive it.
+  ConnectionReuse(const DeploymentSettings& settings, const RoundClock& clock, const RatePacer& pacer)
+      : settings_(settings),
+        clock_(clock),
+        pacer_(pacer),
+        reusableIdleTime_(settings.connectionIdleTimeout) {}
 
   // Milliseconds; connections idle for no longer are thought to work.
   Millis reusableIdleTime() const { return reusableIdleTime_; }
@@ -31,10 +37,8 @@
 
   void recordRequest(Endpoint& endpoint);
   void recordAttemptEnd(Endpoint& endpoint) { endpoint.connections.lastUsedAt_ = clock_.now(); }
-  // Learns from an outcome. Call before RatePacer and SlowStart learn from it; loadReportSeen: whether an
-  // earlier response carried a load report.
-  void recordOutcome(const Attempt& attempt, AttemptOutcome outcome, Millis retryAfter, LoadReport report,
-                     bool loadReportSeen);
+  // Learns from the result of an attempt. Call before RatePacer and SlowStart learn from it.
+  void recordResult(const Attempt& attempt, const AttemptResult& result);
   // No request is in flight there any more. The endpoint must stay registered while listed in
   // idleEndpoints().
   void addIdle(Endpoint& endpoint) { idleEndpoints_.push_back(&endpoint); }
@@ -49,6 +53,7 @@
  private:
   const DeploymentSettings& settings_;
   const RoundClock& clock_;
+  const RatePacer& pacer_;
   Millis reusableIdleTime_;
   int requestCount_{0};
   std::deque<Endpoint*> idleEndpoints_;
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -4,7 +4,7 @@
 
 #include "base/ids.h"
 
-// What the policy asks its host to do, one typed alternative for each kind of decision.
+// What the policy asks its host to do: one alternative of Decision for each kind. Durations are milliseconds.
 namespace stonewing {
 
 // What a response reports of the rate limit at its endpoint.
@@ -21,7 +21,7 @@
   Millis timeout{};  // milliseconds from now
 };
 
-// Cancel an attempt that is pending: it has lost, or is stuck.
+// Cancel a pending attempt: it is a losing attempt, or stuck.
 struct CancelAttempt {
   MessageId message{};
   int attempt{};
@@ -30,7 +30,7 @@
 // End a message with the promise that submitting it again is harmless.
 struct ShedMessage {
   MessageId message{};
-  Millis retryAfter{};  // when to submit again, milliseconds from now; 0: no time is told
+  Millis retryAfter{};  // when to submit again, milliseconds from now; 0: no time is given
 };
 
 // End a message as failed: it may have been executed, or no attempt is left.
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -39,7 +39,7 @@
       outliers_(settings_, clock_, latencies_, healthCheckQueue_, zones_),
       endpoints_(settings_, clock_, zones_, limiter_),
       requests_(clock_),
-      connections_(settings_, clock_),
+      connections_(settings_, clock_, pacer_),
       healthChecker_(settings_, clock_, healthCheckQueue_, endpoints_, outliers_, slowStart_, zones_),
       ordering_(settings_, clock_),
       messages_(clock_, zones_, ordering_),
@@ -77,7 +77,7 @@
 
 void DispatchPolicy::commitEndpointList(bool isWhole) {
   clock_.endQuiet();
-  endpoints_.commitList(isWhole);
+  endpoints_.commitList(isWhole ? ListScope::complete : ListScope::partial);
   for (const auto& [id, endpoint] : endpoints_.endpoints()) {
     bool isImpaired = endpoint.route->recovery.isOutage() || endpoint.failures.consecutiveFailures() > 0;
     if (endpoint.state == EndpointState::ready && isImpaired) healthCheckQueue_.add(id);
@@ -149,25 +149,16 @@
   Attempt* attempt = findAttempt(id, attemptNumber);
   if (attempt == nullptr || !attempt->pending) return;
   Message& message = messages_.at(id);
-  const Route& route = *attempt->endpoint->route;
-  const TrafficType& type = trafficTypeOf(settings_, message);
+  AttemptResult result{outcome, latency, retryAfter, report};
   attempt->pending = message.responseStarted = false;
-  clock_.endQuiet();
   attempt->provablyNotExecuted = isProvablyNotExecuted(outcome);
+  clock_.endQuiet();
   if (Endpoint* idle = requests_.endAttempt(*attempt)) connections_.addIdle(*idle);
   zones_.recordAttemptEnd(attempt->isSpillover);
   connections_.recordAttemptEnd(*attempt->endpoint);
-  // A reset sooner than any response, on a reused connection: that one had ended before, which says nothing
-  // of the endpoint.
-  bool isStaleConnection = outcome == AttemptOutcome::reset && attempt->connectionIdleTime > 0 &&
-                           latency < latencies_.typicalLatency(route, type).p50;
-  learnFromOutcome(message, *attempt, outcome, latency, retryAfter, report, isStaleConnection);
+  learnFromResult(message, *attempt, result);
   if (isUncertain(outcome)) ordering_.recordUncertainOutcome(message);
-  // What the host lacked it may lack still, so that is no reason to retry at once.
-  bool mayRetryAtOnce = isStaleConnection ||
-                        (attempt->provablyNotExecuted && outcome != AttemptOutcome::localResourceExhausted);
-  message.retryNotBefore =
-      clock_.now() + (mayRetryAtOnce ? 0 : kRetryDelayShare * latencies_.typicalLatency(route, type).p50);
+  message.retryNotBefore = clock_.now() + retryDelay(message, *attempt, result);
   messages_.updateIndexes(id, message);
   shedder_.recordAttemptEnd(id, message);
   if (outcome != AttemptOutcome::cancelled && !isUnsent(outcome)) resetScans();
@@ -175,35 +166,61 @@
   messages_.forgetFinished(id);
 }
 
-// What the outcome says of the connection, the endpoint and its route.
-void DispatchPolicy::learnFromOutcome(const Message& message, const Attempt& attempt, AttemptOutcome outcome,
-                                      Millis latency, Millis retryAfter, LoadReport report,
-                                      bool isStaleConnection) {
+// What the result says of the connection, the endpoint and its route.
+void DispatchPolicy::learnFromResult(const Message& message, const Attempt& attempt,
+                                     const AttemptResult& result) {
   Endpoint& endpoint = *attempt.endpoint;
   Route& route = *endpoint.route;
-  connections_.recordOutcome(attempt, outcome, retryAfter, report, pacer_.hasSeenLoadReport());
-  pacer_.recordLoadReport(route, endpoint, report);
-  pacer_.recordRetryAfter(route, retryAfter);  // also where only some messages of a request were rejected
-  if (outcome == AttemptOutcome::completed) {
-    recordSuccess(endpoint, attempt.sentAt, latency);
+  connections_.recordResult(attempt, result);
+  pacer_.recordLoadReport(route, endpoint, result.report);
+  // Also where only some messages of a request were rejected.
+  pacer_.recordRetryAfter(route, result.retryAfter);
+  if (result.outcome == AttemptOutcome::completed) {
+    recordSuccess(endpoint, attempt.sentAt, result.latency);
     return;
   }
-  if (outcome == AttemptOutcome::rejected) {
-    // Without a report where the route sends one: by this endpoint alone, not by the route's rate limit.
-    bool isByEndpoint = report.rateLimit < 0 && route.pacing.reportedRateLimit() >= 0 && retryAfter <= 0;
-    if (isByEndpoint && route.endpoints.size() > 1) {
-      outliers_.recordFailure(endpoint, outcome);
-    } else {
-      recordRejection(endpoint, attempt.sentAt, retryAfter);
-    }
+  if (result.outcome == AttemptOutcome::rejected) {
+    learnFromRejection(attempt, result);
     return;
   }
-  if (outcome == AttemptOutcome::cancelled || isUnsent(outcome) || isStaleConnection) return;
+  if (result.outcome == AttemptOutcome::cancelled || isUnsent(result.outcome)) return;
+  if (isStaleConnection(message, attempt, result)) return;
   // Timed out at the message's deadline: perhaps it was only sent late.
-  bool isCutShort = outcome == AttemptOutcome::timeout && clock_.now() >= message.deadline;
+  bool isCutShort = result.outcome == AttemptOutcome::timeout && clock_.now() >= message.deadline;
   Millis lateFrom = latencies_.lateFrom(route, trafficTypeOf(settings_, message));
   if (isCutShort && clock_.now() - attempt.sentAt <= lateFrom) return;
-  recordFailure(endpoint, attempt.sentAt, outcome);
+  recordFailure(endpoint, attempt.sentAt, result.outcome);
+}
+
+// Without a report where the route sends one, it was rejected by this endpoint alone and not by the route's
+// rate limit.
+void DispatchPolicy::learnFromRejection(const Attempt& attempt, const AttemptResult& result) {
+  Endpoint& endpoint = *attempt.endpoint;
+  const Route& route = *endpoint.route;
+  bool isByEndpoint =
+      result.report.rateLimit < 0 && route.pacing.reportedRateLimit() >= 0 && result.retryAfter <= 0;
+  if (isByEndpoint && route.endpoints.size() > 1) {
+    outliers_.recordFailure(endpoint, result.outcome);
+  } else {
+    recordRejection(endpoint, attempt.sentAt, result.retryAfter);
+  }
+}
+
+// A reset sooner than any response comes, on a reused connection. It says nothing of the endpoint.
+bool DispatchPolicy::isStaleConnection(const Message& message, const Attempt& attempt,
+                                       const AttemptResult& result) const {
+  if (result.outcome != AttemptOutcome::reset || attempt.connectionIdleTime <= 0) return false;
+  const TrafficType& type = trafficTypeOf(settings_, message);
+  return result.latency < latencies_.typicalLatency(*attempt.endpoint->route, type).p50;
+}
+
+Millis DispatchPolicy::retryDelay(const Message& message, const Attempt& attempt,
+                                  const AttemptResult& result) const {
+  if (isStaleConnection(message, attempt, result)) return 0;
+  // What the host lacked it may lack still, so that is no reason to retry at once.
+  if (attempt.provablyNotExecuted && result.outcome != AttemptOutcome::localResourceExhausted) return 0;
+  const TrafficType& type = trafficTypeOf(settings_, message);
+  return kRetryDelayShare * latencies_.typicalLatency(*attempt.endpoint->route, type).p50;
 }
 
 void DispatchPolicy::recordSuccess(Endpoint& endpoint, Millis sentAt, Millis latency) {
--- a/src/policy/dispatch_policy.h
+++ b/src/policy/dispatch_policy.h
@@ -4,6 +4,7 @@
 #include <optional>
 
 #include "policy/attempt_canceller.h"
+#include "policy/attempt_result.h"
 #include "policy/concurrency_limiter.h"
 #include "policy/connection_reuse.h"
 #include "policy/decision.h"
@@ -67,7 +68,7 @@
   // How long the connection of an attempt that was just decided had been idle, where the host knows it.
   // Throws std::out_of_range for an unknown attempt of a known message.
   void recordConnectionIdleTime(MessageId id, int attempt, Millis idleTime);
-  // The attempt, held back since it was decided, is sent now. Throws as above.
+  // The attempt, delayed since it was decided, is sent now. Throws as above.
   void recordSendTime(MessageId id, int attempt);
   // Unknown attempts are ignored by these two.
   void recordResponseStarted(MessageId id, int attempt);
@@ -78,12 +79,12 @@
   void recordHealthCheckOutcome(EndpointId id, AttemptOutcome outcome, LoadReport report);
   void recordTimerFired();
 
-  // The next thing to do in this round; nothing when the round is over.
+  // The next thing to do in this round; nothing when the round has ended.
   std::optional<Decision> nextDecision();
 
   // Whether a tenant is over its quota here, as of its last message.
   bool isOverQuota(TenantId tenant) const { return quota_.isOver(tenant); }
-  // Whether an attempt that was decided earlier may still be sent: it begins when its connection is up, which
+  // Whether an attempt that was decided earlier may still be sent. It begins when its connection is up, which
   // may be late, and must be one that would be allowed now.
   bool mayStartAttempt(MessageId id, int attempt) const;
 
@@ -91,8 +92,11 @@
 
  private:
   Attempt* findAttempt(MessageId id, int attempt);
-  void learnFromOutcome(const Message& message, const Attempt& attempt, AttemptOutcome outcome,
-                        Millis latency, Millis retryAfter, LoadReport report, bool isStaleConnection);
+  void learnFromResult(const Message& message, const Attempt& attempt, const AttemptResult& result);
+  void learnFromRejection(const Attempt& attempt, const AttemptResult& result);
+  // Whether its connection had ended before the attempt was sent.
+  bool isStaleConnection(const Message& message, const Attempt& attempt, const AttemptResult& result) const;
+  Millis retryDelay(const Message& message, const Attempt& attempt, const AttemptResult& result) const;
   void recordSuccess(Endpoint& endpoint, Millis sentAt, Millis latency);
   void recordFailure(Endpoint& endpoint, Millis sentAt, AttemptOutcome outcome);
   void recordRejection(Endpoint& endpoint, Millis sentAt, Millis retryAfter);
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -41,12 +41,12 @@
   return entry->second;
 }
 
-void EndpointRegistry::commitList(bool isWhole) {
+void EndpointRegistry::commitList(ListScope scope) {
   for (auto& [id, destination] : destinations_) destination.ranking.clear();
   for (auto& [id, route] : routes_) route.endpoints.clear();
   zones_.beginEndpointList();
   for (auto& [id, endpoint] : endpoints_) {
-    if (isWhole && !listed_.contains(id)) endpoint.state = EndpointState::removed;
+    if (scope == ListScope::complete && !listed_.contains(id)) endpoint.state = EndpointState::removed;
     if (endpoint.state != EndpointState::ready) continue;
     endpoint.route->endpoints.push_back(&endpoint);
     endpoint.destination->ranking.push_back(&endpoint);
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -19,6 +19,9 @@
 // endpoints and routes until forgetRemoved() forgets them.
 namespace stonewing {
 
+// complete: endpoints that were not added are removed. partial: they stay as they are.
+enum class ListScope { complete, partial };
+
 class EndpointRegistry {
  public:
   // All outlive it.
@@ -26,12 +29,11 @@
                    const ConcurrencyLimiter& limiter)
       : settings_(settings), clock_(clock), zones_(zones), limiter_(limiter) {}
 
-  // One list, or one part of it, is told by beginList(), an add() for each endpoint, and commitList().
+  // One list, or one part of it, is given by beginList(), an add() for each endpoint, and commitList().
   void beginList() { listed_.clear(); }
   void add(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight,
            EndpointState state);
-  // isWhole: endpoints that were not added are removed.
-  void commitList(bool isWhole);
+  void commitList(ListScope scope);
   // Endpoints come and go all day under new ids. Forgets those that no list has named for long and that are
   // not in use, with their routes.
   void forgetRemoved(const std::set<const Endpoint*>& inUse);
@@ -58,7 +60,7 @@
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<RouteId, Route> routes_;
   std::map<DestinationId, Destination> destinations_;
-  std::set<EndpointId> listed_;  // by the list that is being told
+  std::set<EndpointId> listed_;  // by the list that is being given
 };
 
 }  // namespace stonewing
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -10,10 +10,10 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Which endpoint the next attempt of a message goes to: the first in the destination's ranking, unless it
-// has enough requests or fails while others work.
+// Decides which endpoint the next attempt of a message goes to: the first in the destination's ranking,
+// unless it has enough requests or fails while others work.
 //
-// Owns nothing; asks the modules that limit endpoints, routes and zones.
+// Owns nothing; queries the modules that limit endpoints, routes and zones.
 namespace stonewing {
 
 enum class AttemptKind { regular, hedge };
--- a/src/policy/health_check_queue.h
+++ b/src/policy/health_check_queue.h
@@ -7,10 +7,10 @@
 #include "policy/round_clock.h"
 #include "policy/route.h"
 
-// Which endpoints to look at for a health check, and when.
+// Which endpoints to examine for a health check, and when.
 //
-// Owns: the endpoints where something has changed, and those that wait until they are due. It is told of
-// changes by the modules that make them; HealthChecker asks for one endpoint after the other.
+// Owns: the endpoints where something has changed, and those that are not due yet. Input: changes, by the
+// modules that make them. Query: the next endpoint to examine, for HealthChecker.
 namespace stonewing {
 
 class HealthCheckQueue {
--- a/src/policy/health_checker.h
+++ b/src/policy/health_checker.h
@@ -11,10 +11,10 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// When which endpoint gets a health check. Whether a route is back shows by one check at a time, so that no
-// message is bound to a lost attempt.
+// Decides when which endpoint gets a health check. Whether a route has recovered is tested by one check at a
+// time, so that no message is bound to an attempt that is likely lost.
 //
-// Owns: the RouteHealthChecks of each route. It is told of outcomes, and asked for the next check.
+// Owns: the RouteHealthChecks of each route. Input: outcomes of health checks. Query: the next check.
 namespace stonewing {
 
 class HealthChecker {
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -6,8 +6,8 @@
 namespace stonewing {
 namespace {
 
-constexpr double kMinDelayShare = 0.3;    // bounds of the delay, of the latency objective: too early a hedge
-constexpr double kMaxDelayShare = 1.5;    // is wasted, too late a one brings nothing
+constexpr double kMinDelayShare = 0.3;    // of the latency objective; a hedge sent earlier is mostly wasted
+constexpr double kMaxDelayShare = 1.5;    // the same; one sent later comes too late to help
 constexpr double kMaxRequestShare = 0.5;  // no hedges with more of the concurrent requests in flight
 
 }  // namespace
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -11,9 +11,10 @@
 #include "policy/scan_cursor.h"
 #include "settings/deployment_settings.h"
 
-// When a hedge of a slow message is due, and where it goes.
+// Decides when a hedge of a slow message is due, and where it goes.
 //
-// Owns: the progress of its scan over the pending attempts, and whether hedges were allowed at the last look.
+// Owns: the progress of its scan over the pending attempts, and whether hedges were allowed at the last
+// query. Input: resets of that scan. Query: the next hedge.
 namespace stonewing {
 
 class Hedging {
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -4,9 +4,9 @@
 #include "policy/round_clock.h"
 #include "policy/route.h"
 
-// What latency is typical of an endpoint, of a route and of everything that this dispatcher sends.
+// Knows what latency is typical of an endpoint, of a route and of everything that this dispatcher sends.
 //
-// Owns: the latency samples. It is told the latency of each successful attempt, and asked for quantiles.
+// Owns: the latency samples. Input: the latency of each successful attempt. Queries: quantiles.
 namespace stonewing {
 
 class LatencyTracker {
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -9,11 +9,11 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Which messages are shed or fail, and when.
+// Decides which messages are shed or fail, and when.
 //
-// Owns: the times at which a message without a pending attempt may have no useful attempt left. It is told of
-// accepted messages and of the ends of attempts. It is asked for the next message to end, and finishes that
-// in the MessageRegistry.
+// Owns: the times at which a message without a pending attempt may have no useful attempt left. Input:
+// accepted messages and ends of attempts. Query: the next message to end, which it finishes in the
+// MessageRegistry.
 namespace stonewing {
 
 class LoadShedder {
@@ -27,7 +27,7 @@
   void recordEarlierAttempt(MessageId id);
   void recordAttemptEnd(MessageId id, const Message& message);
 
-  // Ends a message whose time is over: at its deadline, or when no attempt can be answered in time.
+  // Ends a message whose time is up: at its deadline, or when no attempt can be answered in time.
   std::optional<Decision> nextDueAnswer();
   // Sheds the message that is worth least, while the dispatcher is out of capacity or more waits for a lost
   // zone than others can take in time. Without this, the dispatcher would turn messages away unseen.
--- a/src/policy/message_weight.h
+++ b/src/policy/message_weight.h
@@ -5,7 +5,7 @@
 namespace stonewing {
 
 // What it is worth to deliver the message at that time (milliseconds of the policy's clock): its type's
-// weight, less what lateness takes away and what its tenant loses over quota; 0 after the deadline.
+// weight, less what lateness takes away and what exceeding the tenant's quota costs; 0 after the deadline.
 inline double weightAt(const DeploymentSettings& settings, const Message& message, Millis at) {
   const TrafficType& type = trafficTypeOf(settings, message);
   if (at > message.deadline) return 0;
--- a/src/policy/ordering.h
+++ b/src/policy/ordering.h
@@ -7,10 +7,12 @@
 #include "policy/message.h"
 #include "policy/round_clock.h"
 
-// Whether a message may go yet: messages of an ordered type with one ordering key go one after the other.
+// Decides whether a message may be sent yet: messages of an ordered type with the same ordering key are sent
+// one after the other.
 //
-// Owns: a queue for each ordering key. It is told of accepted and forgotten messages, and of attempts after
-// which the next message has to wait for a pause, since the one before may still be executed.
+// Owns: a queue for each ordering key. Input: accepted and forgotten messages, and attempts that may still be
+// executed, after which the next message has to wait for the ordering pause. Query: whether a message is
+// next.
 namespace stonewing {
 
 class Ordering {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -67,7 +67,7 @@
                                    kMinSilenceObjectiveShare * type.latencyObjective);
 }
 
-void OutlierDetector::detectUnresponsive(MessageRegistry& messages, SlowStart& slowStart) {
+void OutlierDetector::detectUnresponsive(const MessageRegistry& messages, SlowStart& slowStart) {
   if (clock_.isQuiet() || std::exchange(scannedRound_, clock_.round()) == clock_.round()) return;
   for (MessageId id : messages.withPendingAttempts()) {
     const Message& message = messages.at(id);
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -8,10 +8,10 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Which endpoints fail or hang while others of their destination work.
+// Decides which endpoints fail or hang while others of their destination work.
 //
-// Owns: the FailureHistory of each endpoint. It is told of failures, successes and cancelled attempts, and
-// asked whom to eject, and to look through the pending attempts for endpoints and routes that went silent.
+// Owns: the FailureHistory of each endpoint. Input: failures, successes and cancelled attempts. Queries:
+// whether an endpoint is ejected; a scan of the pending attempts for endpoints and routes that became silent.
 namespace stonewing {
 
 // Failures in a row after which an endpoint is ejected while others of its destination work.
@@ -46,7 +46,7 @@
 
   // Finds routes and endpoints that went silent: a hung endpoint gives no late response to learn from. Scans
   // the pending attempts once a round, and again after resetScan().
-  void detectUnresponsive(MessageRegistry& messages, SlowStart& slowStart);
+  void detectUnresponsive(const MessageRegistry& messages, SlowStart& slowStart);
   void resetScan() { scannedRound_ = -1; }
   // After so many milliseconds without a response an attempt counts as silent.
   Millis silenceThreshold(const Route& route, const TrafficType& type) const;
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -5,10 +5,9 @@
 #include "policy/round_clock.h"
 #include "settings/deployment_settings.h"
 
-// Whether a tenant is over its quota at this dispatcher.
+// Decides whether a tenant exceeds its quota at this dispatcher.
 //
-// Owns: a token bucket for each tenant. It is told of each accepted message and asked whether a tenant is
-// over quota.
+// Owns: a token bucket for each tenant. Input: accepted messages. Query: whether a tenant is over quota.
 namespace stonewing {
 
 class Quota {
--- a/src/policy/rate_pacer.cpp
+++ b/src/policy/rate_pacer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxDoublings = 4;  // of the backoff and of the interval; more would shut a route for good
-constexpr double kRejectionRelief = 0.35;       // of a doubling, taken back by a success
+constexpr double kRejectionRelief = 0.35;       // of a doubling, undone by a success
 constexpr double kRejectingAllWindows = 3;      // overload windows of rejections alone that no limit explains
 constexpr double kBackoffShare = 0.75;          // of the interval by our share, for the first backoff
 constexpr double kUnknownIntervalShare = 0.16;  // of p50 for each dispatcher, where no limit is reported
@@ -18,9 +18,9 @@
 constexpr double kReportStep = 0.05;  // halvings by a report that nothing (or all) of the limit remains
 constexpr double kTargetRemainingShare = 0.5;  // at which all dispatchers together use the limit well
 constexpr double kRejectionStep = 0.5;         // halvings by a rejection
-constexpr double kRecoveryWindows = 1;         // overload windows that take back one halving
+constexpr double kRecoveryWindows = 1;         // overload windows that undo one halving
 constexpr double kAcceptedShare = 0.5;    // of what we accepted for it, thought to be within its capacity
-constexpr double kWeightShare = 1 / 1.5;  // a listed weight may be half too high
+constexpr double kWeightShare = 1 / 1.5;  // a listed weight may be up to half too high
 constexpr double kMinRate = 1e-9;         // requests a second; keeps divisions finite
 
 }  // namespace
--- a/src/policy/rate_pacer.h
+++ b/src/policy/rate_pacer.h
@@ -7,10 +7,11 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// When the next request to a route may go, by the rate limits that it reports or that its rejections show.
+// Decides when the next request to a route may be sent, by the rate limits that the route reports or that its
+// rejections show.
 //
-// Owns: the RequestPacing of each route. It is told of requests, rejections, successes, Retry-After and load
-// reports. It is asked when a route opens, and for our share of its capacity.
+// Owns: the RequestPacing of each route. Input: requests, rejections, successes, Retry-After and load
+// reports. Queries: whether a route is open, and our share of its capacity.
 namespace stonewing {
 
 class RatePacer {
@@ -20,10 +21,10 @@
             const LatencyTracker& latencies)
       : settings_(settings), clock_(clock), random_(random), latencies_(latencies) {}
 
-  // Spreads the first paced request of a route by chance. Without this, all dispatchers that start at one
+  // Delays the first paced request of a route at random. Without this, all dispatchers that start at one
   // moment would send at one moment. Call after each endpoint list; has an effect once a route.
   void beginPacing(Route& route);
-  // Where a limit binds that is known, requests keep their distance before any rejection.
+  // Whether a known rate limit binds; then requests keep an interval even before any rejection.
   bool isPaced(const Route& route) const;
   // Whether a request may go by this module's rules; if not, the clock wakes the policy when it may.
   bool mayRequest(const Route& route);
--- a/src/policy/request_tracker.h
+++ b/src/policy/request_tracker.h
@@ -7,10 +7,11 @@
 #include "policy/round_clock.h"
 #include "policy/route.h"
 
-// The HTTP requests in flight, and the attempts that each carries.
+// Counts the HTTP requests in flight, and the attempts that each carries.
 //
 // Owns: the open requests, and the counts of requests in flight of the dispatcher, each destination, route
-// and endpoint. It is told when a request is opened or joined and when an attempt ends.
+// and endpoint. Input: requests that are opened or joined, ends of attempts. Query: the count of the
+// dispatcher.
 namespace stonewing {
 
 class RequestTracker {
--- a/src/policy/round_clock.h
+++ b/src/policy/round_clock.h
@@ -7,8 +7,8 @@
 // The time of the policy, in milliseconds of the host's clock, and the timer it wants.
 //
 // Owns: the time and number of the current round, the earliest time at which something comes due, the timer
-// that the host was asked for. It is told when a round begins and ends. It is asked for the time, and whether
-// a time has come: each time that has not come yet is remembered, so that the host calls again then.
+// that the host was asked for. Input: beginning and end of each round. Queries: the time, and whether a given
+// time has come; each time that has not come yet is remembered, so that the host calls again then.
 namespace stonewing {
 
 class RoundClock {
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -13,7 +13,7 @@
 
 // Visits messages of a list among which is the one that loses most by waiting. How much that is follows from
 // the deadline alone, and turns from rising to falling only where the time left meets one of a few spans: the
-// best stands beside one of these.
+// best is next to one of these.
 template <class Visit>
 void visitMostUrgent(const WaitList& list, const DeploymentSettings& settings, const TrafficType& type,
                      Millis answeredAt, Visit visit) {
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -10,9 +10,10 @@
 #include "policy/round_clock.h"
 #include "settings/deployment_settings.h"
 
-// Which waiting message goes first: the one that loses most weight by waiting, for the time that it takes.
+// Decides which waiting message is sent first: the one that loses most weight by waiting, for the time that
+// it takes.
 //
-// Owns nothing; asks what waits, and where it may go.
+// Owns nothing; queries what waits, and which endpoints are open.
 namespace stonewing {
 
 class Scheduler {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,7 +11,7 @@
 constexpr double kConnectFailedWeight = 0.4;    // in place of it: it holds a request for its whole time-out
 constexpr double kOutageSuccessShare = 0.5;     // at or below it a route is out
 constexpr double kMaxRateLimitWindows = 1.4;    // overload windows; a longer Retry-After is no rate limit's
-constexpr double kShortOutageWindows = 2;       // overload windows without a success that leave nothing cold
+constexpr double kShortOutageWindows = 2;       // overload windows without a success that need no slow start
 constexpr double kOverloadBudgetShare = 0.55;   // of the overload threshold; below two thirds, so that our
                                                 // sends alone overload nothing
 constexpr double kMinSendsPerWindow = 1;        // in an overload window from all dispatchers together
@@ -51,7 +51,7 @@
   beginOutage(route);
 }
 
-// Out, not merely over its rate limit: a wait longer than a limit's span, or rejections alone for long. A
+// An outage, not merely a rate limit: a wait longer than a limit's span, or rejections alone for long. A
 // limit that others use up rejects us a few times in a row too, and a slow start after that would cost
 // capacity.
 void SlowStart::recordRejection(Route& route, Millis retryAfter) {
@@ -127,7 +127,7 @@
   route.recovery.nextSendAt_ += kFurtherMessageWeight * sendInterval(route);
 }
 
-// The time between two sends: the rate grows in a line from the initial share to the whole over the warm-up.
+// The time between two sends: the rate grows linearly from the initial share to the whole over the warm-up.
 // Where our share is not known, all dispatchers together send about kMinSendsPerWindow in an overload window.
 Millis SlowStart::sendInterval(const Route& route) const {
   const RouteRecovery& recovery = route.recovery;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -7,11 +7,12 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// Outages of routes, and how much a route gets while it recovers.
+// Decides when a route is out of service, and how much it gets while it recovers.
 //
-// Owns: the RouteRecovery of each route. It is told of responses, failures, rejections and silence, and asked
-// whether a route may get a request now. A route that returns would be overloaded by all that waits for it:
-// sends keep apart so far that they stay below our share of what it takes, which grows while it warms up.
+// Owns: the RouteRecovery of each route. Input: responses, failures, rejections and silence. Query: whether a
+// route may get a request now. A route that recovers would be overloaded by all that waits for it. So
+// requests keep an interval that holds them below our share of what the route takes, and that share grows
+// while it warms up.
 namespace stonewing {
 
 class SlowStart {
@@ -33,7 +34,7 @@
   void recordSilence(Route& route);
 
   // Whether the route may get a request by this module's rules; if not, the clock wakes the policy when it
-  // may. Ends a warm-up whose time is over.
+  // may. Ends a warm-up whose time is up.
   bool mayRequest(Route& route);
   // Whether one more message may join a request that holds so many, sent in this round.
   bool mayGrowBatch(const Route& route, int batchSize) const;
