--- a/src/policy/attempt_canceller.h
+++ b/src/policy/attempt_canceller.h
@@ -29,11 +29,15 @@
         requests_(requests),
         messages_(messages) {}
 
+  // A response came; more time is given to late ones.
   void recordSuccess();
   // Something was heard of an attempt: those seen in this round are looked at again.
   void resetScan() { cursor_ = {}; }
 
+  // The next pending attempt of a finished message, marked as cancelled; nothing if there is none.
   std::optional<Decision> nextLosing();
+  // The next attempt that is not expected to be answered any more, marked as cancelled; nothing if there is
+  // none. Then the clock wakes the policy when one may be stuck.
   std::optional<Decision> nextStuck();
   // After so many milliseconds an attempt sent now is to time out, where the host cannot cancel one; where it
   // can, at the deadline.
--- a/src/policy/connection_reuse.h
+++ b/src/policy/connection_reuse.h
@@ -35,7 +35,9 @@
   // Whether the idle connection at the endpoint should be closed before the next request there.
   bool isTooOld(const Endpoint& endpoint) const;
 
+  // A request is opened at the endpoint.
   void recordRequest(Endpoint& endpoint);
+  // A connection to the endpoint may be idle from now on.
   void recordAttemptEnd(Endpoint& endpoint) { endpoint.connections.lastUsedAt_ = clock_.now(); }
   // Learns from the result of an attempt. Call before RatePacer and SlowStart learn from it.
   void recordResult(const Attempt& attempt, const AttemptResult& result);
@@ -48,6 +50,7 @@
   // The next endpoint whose idle connection should close, marked as closed; null if there is none.
   // endpointCount: all endpoints known.
   Endpoint* popToClose(std::size_t endpointCount);
+  // Those that popToClose() has yet to examine.
   const std::deque<Endpoint*>& idleEndpoints() const { return idleEndpoints_; }
 
  private:
--- a/src/policy/health_checker.h
+++ b/src/policy/health_checker.h
@@ -31,10 +31,12 @@
         slowStart_(slowStart),
         zones_(zones) {}
 
+  // The pending health check of the route has ended, with whatever result.
   void recordOutcome(Route& route) {
     route.healthChecks.pending_ = false;
     queue_.addAll(route);
   }
+  // The next check that is due, marked as pending; nothing if there is none. May draw a random number.
   std::optional<Decision> next();
 
  private:
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -33,6 +33,8 @@
 
   // Something was heard of an attempt: those seen in this round are looked at again.
   void resetScan() { cursor_ = {}; }
+  // The next hedge that is due and has an endpoint; nothing if there is none. Then the clock wakes the policy
+  // when one is due.
   std::optional<PlannedAttempt> next();
 
  private:
--- a/src/policy/idempotency.h
+++ b/src/policy/idempotency.h
@@ -11,7 +11,7 @@
 inline bool mayHaveExecuted(const Attempt& attempt) {
   return attempt.pending || !attempt.provablyNotExecuted;
 }
-bool mayHaveExecuted(const Message& message);
+bool mayHaveExecuted(const Message& message);  // any of its attempts
 
 // Whether another attempt is allowed at any endpoint (if not forbidden by its zone).
 bool mayAttempt(const DeploymentSettings& settings, const Message& message, Millis now);
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -24,7 +24,9 @@
       : settings_(settings), clock_(clock), latencies_(latencies), zones_(zones), messages_(messages) {}
 
   void recordAccepted(MessageId id, const Message& message);
+  // It may have no attempt left, since an earlier process has sent some.
   void recordEarlierAttempt(MessageId id);
+  // Call after the attempt is marked as ended.
   void recordAttemptEnd(MessageId id, const Message& message);
 
   // Ends a message whose time is up: at its deadline, or when no attempt can be answered in time.
--- a/src/policy/message_registry.h
+++ b/src/policy/message_registry.h
@@ -44,6 +44,7 @@
   // Forgets the message if it is finished and has no pending attempt.
   void forgetFinished(MessageId id);
 
+  // Null for an id that is not registered.
   Message* find(MessageId id);
   const Message* find(MessageId id) const;
   // The id must be registered.
@@ -53,6 +54,7 @@
 
   // Messages without a final answer.
   int inFlight() const { return inFlight_; }
+  // Changed by updateIndexes(), finish() and accept().
   const std::set<MessageId>& withPendingAttempts() const { return withPendingAttempts_; }
   // The order is not stable from run to run; results must not depend on it.
   const std::set<Destination*>& destinationsWithWaiting() const { return destinationsWithWaiting_; }
--- a/src/policy/ordering.h
+++ b/src/policy/ordering.h
@@ -20,6 +20,7 @@
   // Both outlive it.
   Ordering(const DeploymentSettings& settings, RoundClock& clock) : settings_(settings), clock_(clock) {}
 
+  // Puts the message at the end of its queue, if its type is ordered and it has a key.
   void recordAccepted(MessageId id, const Message& message) {
     if (isOrdered(message)) queues_[message.orderingKey].messages.push_back(id);
   }
@@ -40,6 +41,7 @@
     if (queue.messages.empty() || queue.messages.front() != id) return false;
     return clock_.isReached(queue.pausedUntil);
   }
+  // The message is finished: the next one in its queue may be sent, once its pause has ended.
   void forget(MessageId id, const Message& message) {
     auto found = queues_.find(message.orderingKey);
     if (found == queues_.end()) return;
@@ -48,6 +50,7 @@
   }
   // Ordering keys that it keeps a queue for.
   std::size_t queueCount() const { return queues_.size(); }
+  // Forgets queues that are empty and whose pause has ended.
   void forgetUnused() {
     std::erase_if(queues_, [this](const auto& entry) { return isUnused(entry.second); });
   }
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -31,8 +31,11 @@
   // A failed connection counts as enough failures to eject at once: it holds a request for the whole
   // time-out, and is no chance.
   void recordFailure(Endpoint& endpoint, AttemptOutcome outcome);
+  // Counts as one failure, whatever its outcome.
   void recordHealthCheckFailure(Endpoint& endpoint);
+  // A message was delivered there: ends an ejection.
   void recordDelivery(Endpoint& endpoint);
+  // The same, but nothing was delivered.
   void recordHealthCheckSuccess(Endpoint& endpoint);
   // An attempt sent at that time was cancelled, since no response came.
   void recordTimeout(Endpoint& endpoint, Millis sentAt) const;
@@ -42,6 +45,7 @@
   // Failing while others of its destination work: until a health check succeeds or, with none allowed, for a
   // while.
   bool isEjected(const Endpoint& endpoint) const;
+  // When an endpoint that fails may be tried again.
   Millis ejectionEndsAt(const Endpoint& endpoint) const;
 
   // Finds routes and endpoints that went silent: a hung endpoint gives no late response to learn from. Scans
--- a/src/policy/rate_pacer.cpp
+++ b/src/policy/rate_pacer.cpp
@@ -104,8 +104,8 @@
 // for the route counts: limits are made for what comes. Not all of it, since surges and retries by clients
 // are accepted too.
 double RatePacer::capacityShare(const Route& route) const {
-  auto part =
-      static_cast<double>(route.endpoints.size()) / std::max<double>(1, route.destination->ranking.size());
+  auto part = static_cast<double>(route.endpoints.size()) /
+              std::max(1.0, static_cast<double>(route.destination->ranking.size()));
   double accepted = kAcceptedShare * part * route.destination->acceptedCount /
                     std::max(settings_.slowStartDuration, clock_.uptime());
   return std::max({reportedRateShare(route), accepted * 1000, kMinRate});
--- a/src/policy/rate_pacer.h
+++ b/src/policy/rate_pacer.h
@@ -29,11 +29,15 @@
   // Whether a request may go by this module's rules; if not, the clock wakes the policy when it may.
   bool mayRequest(const Route& route);
 
+  // A request goes out. May draw a random number.
   void recordRequest(Route& route);
   // retryAfter: milliseconds from now; 0 where the response holds none.
   void recordRetryAfter(Route& route, Millis retryAfter);
+  // Of an attempt sent at that time. Draws a random number.
   void recordRejection(Route& route, Millis retryAfter, Millis sentAt);
+  // Of an attempt sent at that time: shortens the backoff.
   void recordSuccess(Route& route, Millis sentAt);
+  // An outage has ended: what was rejected in it says nothing any more.
   void clearRejections(Route& route) { route.pacing.consecutiveRejections_ = 0; }
   // The endpoint may have left the list since, and its route may have no endpoint left.
   void recordLoadReport(Route& route, const Endpoint& endpoint, LoadReport report);
--- a/src/policy/request_tracker.h
+++ b/src/policy/request_tracker.h
@@ -33,7 +33,7 @@
     ++inFlight_;
   }
 
-  // One more message joins the request that was opened last at the endpoint.
+  // One more message joins the request that was opened last at the endpoint. It must still be in flight.
   void join(Endpoint& endpoint) {
     ++endpoint.requests.batchSize_;
     ++requests_[endpoint.requests.batchRequestId_].pendingAttempts;
--- a/src/policy/round_clock.h
+++ b/src/policy/round_clock.h
@@ -13,6 +13,7 @@
 
 class RoundClock {
  public:
+  // now does not run backwards.
   void beginRound(Millis now) {
     now_ = now;
     ++round_;
@@ -24,6 +25,7 @@
   Millis now() const { return now_; }
   // Milliseconds since the first round.
   Millis uptime() const { return now_ - startedAt_; }
+  // Counts from 1; 0 before the first round.
   int round() const { return round_; }
 
   // Whether that time has come; if not, the policy is to be called again then.
@@ -38,6 +40,7 @@
   // route or the endpoint list, nothing comes due before the time that the last round asked to be woken at;
   // until then no scan over the pending attempts is needed.
   bool isQuiet() { return !isReached(quietUntil_); }
+  // Something was learned of an attempt, a route or the endpoint list: pending attempts are scanned again.
   void endQuiet() { quietUntil_ = -1; }
 
   void recordAttemptSent() { lastAttemptRound_ = round_; }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -22,12 +22,17 @@
             HealthCheckQueue& healthChecks)
       : settings_(settings), clock_(clock), random_(random), pacer_(pacer), healthChecks_(healthChecks) {}
 
+  // An attempt sent at that time succeeded: ends an outage, with a warm-up where it lasted and a failure
+  // confirmed it. May draw a random number.
   void recordSuccess(Route& route, Millis sentAt);
-  // A failed connection counts for more than another failure.
+  // An attempt sent at that time failed; enough of them begin an outage. A failed connection counts for more
+  // than another failure. May draw a random number, as the next four.
   void recordFailure(Route& route, Millis sentAt, AttemptOutcome outcome);
-  // Call after RatePacer has recorded the rejection.
+  // retryAfter: milliseconds from now. Call after RatePacer has recorded the rejection.
   void recordRejection(Route& route, Millis retryAfter);
+  // Ends an outage.
   void recordHealthCheckSuccess(Route& route, const Endpoint& endpoint);
+  // Confirms an outage, if there is one.
   void recordHealthCheckFailure(Route& route) { route.recovery.outageConfirmed_ = true; }
   // Nothing was heard for long: an outage that a first success ends without slow start, unless a failure
   // confirms it before.
