--- a/tests/delivery/attempt_sender_test.cpp
+++ b/tests/delivery/attempt_sender_test.cpp
@@ -44,8 +44,8 @@
   ::setrlimit(RLIMIT_NOFILE, &before);
   EXPECT_FALSE(harness.isPending("one"));
   EXPECT_TRUE(harness.attemptsOf("one").at(0).provablyNotExecuted);
-  EXPECT_EQ(harness.policy.state().endpoints.begin()->second.consecutiveFailures, 0);
-  EXPECT_FALSE(harness.policy.state().routes.begin()->second.outage);
+  EXPECT_EQ(harness.policy.state().endpoints.begin()->second.failures.consecutiveFailures(), 0);
+  EXPECT_FALSE(harness.policy.state().routes.begin()->second.recovery.isOutage());
   EXPECT_TRUE(eventually(1000, [&] {
     harness.turn();
     harness.sendDecided();
@@ -62,7 +62,7 @@
   for (pollfd waiting{harness.listener, POLLIN, 0}; ::poll(&waiting, 1, 100) > 0; ++connections)
     ::close(::accept(harness.listener, nullptr, nullptr));
   EXPECT_EQ(connections, 8);
-  EXPECT_EQ(harness.policy.state().endpoints.at(id).consecutiveFailures, 0);
+  EXPECT_EQ(harness.policy.state().endpoints.at(id).failures.consecutiveFailures(), 0);
 }
 
 // A descriptor is made free where possible, and the attempt is sent at once.
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -18,7 +18,7 @@
     harness.finishAttempt(harness.decisions<SendAttempt>().at(0), AttemptOutcome::reset);
     harness.completeMessages(2, 5000 + 10 * id);
   }
-  EXPECT_FALSE(harness.firstRoute().outage);
+  EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
 }
 
 TEST(OutlierDetector, EjectsAFailingEndpointUntilAHealthCheckSucceeds) {
@@ -57,7 +57,7 @@
     harness.advanceTo(harness.now + 100);
     harness.decisions<SendAttempt>();
   }
-  EXPECT_TRUE(harness.firstRoute().outage);
+  EXPECT_TRUE(harness.firstRoute().recovery.isOutage());
 }
 
 // One endpoint of several hangs, the others complete, and the route as a whole never looks unresponsive.
@@ -77,7 +77,7 @@
   }
   EXPECT_EQ(attemptsLater[unresponsive], 0);
   EXPECT_EQ(attemptsLater.size(), 2u);
-  EXPECT_FALSE(harness.firstRoute().outage);
+  EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
 }
 
 // With all concurrent requests in use, attempts are cancelled after a few p95 and retried. None is pending
@@ -104,7 +104,7 @@
           harness.finishAttempt(*send, AttemptOutcome::completed, 5);
       }
     }
-    EXPECT_EQ(harness.firstRoute().outage, !onlyOne);
+    EXPECT_EQ(harness.firstRoute().recovery.isOutage(), !onlyOne);
     EXPECT_EQ(attemptsLater[unresponsive], 0);
     EXPECT_EQ(attemptsLater[endpointId(3 - unresponsive.value)] > 50, onlyOne);
   }
@@ -119,10 +119,10 @@
   const Route& route = harness.firstRoute();
   harness.accept(1);
   EndpointId unresponsive = harness.decisions<SendAttempt>().at(0).endpoint;
-  for (; !route.outage && harness.now < 20000; harness.advanceTo(harness.now + 50))
+  for (; !route.recovery.isOutage() && harness.now < 20000; harness.advanceTo(harness.now + 50))
     harness.decisions<SendAttempt>();
-  ASSERT_TRUE(route.outage);
-  for (; route.outage && harness.now < 40000; harness.advanceTo(harness.now + 20)) {
+  ASSERT_TRUE(route.recovery.isOutage());
+  for (; route.recovery.isOutage() && harness.now < 40000; harness.advanceTo(harness.now + 20)) {
     for (const SendHealthCheck& check : harness.decisions<SendHealthCheck>()) {
       harness.policy.recordHealthCheckOutcome(
           check.endpoint,
@@ -134,7 +134,7 @@
     for (const SendAttempt& sent : harness.decisions<SendAttempt>()) {
       if (sent.endpoint != unresponsive) harness.finishAttempt(sent, AttemptOutcome::completed);
     }
-    EXPECT_FALSE(route.outage);
+    EXPECT_FALSE(route.recovery.isOutage());
     harness.advanceTo(harness.now + 50);
   }
 }
--- a/tests/policy/rate_pacer_test.cpp
+++ b/tests/policy/rate_pacer_test.cpp
@@ -28,7 +28,7 @@
     last = harness.now;
     harness.finishAttempt(attempts[0], AttemptOutcome::rejected, 10, 300);
   }
-  EXPECT_FALSE(harness.firstRoute().outage);
+  EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
   EXPECT_GE(intervals.size(), 2u);
   EXPECT_LT(intervals.size(), 9u);  // each Retry-After alone would let 13 pass
 }
@@ -58,7 +58,7 @@
     if (sent.endpoint != unresponsive)
       harness.finishAttempt(sent, std::exchange(outcome, AttemptOutcome::rejected), 10);
   }
-  EXPECT_GT(harness.firstRoute().consecutiveRejections, 0);
+  EXPECT_GT(harness.firstRoute().pacing.consecutiveRejections(), 0);
   std::size_t attempts = 0;
   for (int round = 0; round < 12; ++round) {
     harness.advanceTo(harness.now + 100);
@@ -139,7 +139,7 @@
     harness.advanceTo(harness.now + 200);
   }
   EXPECT_EQ(used.size(), 2u);
-  EXPECT_LE(harness.firstRoute().rateHalvings, 0);
+  EXPECT_LE(harness.firstRoute().pacing.rateHalvings(), 0);
 }
 
 // A report is read by the settings of its route's first endpoint, and the route has none any more.
@@ -154,7 +154,7 @@
   harness.policy.recordAttemptOutcome(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0,
                                       {4, 1});
   // A batch never exceeds the even share.
-  EXPECT_EQ(harness.firstRoute().rateHalvings, 0);
+  EXPECT_EQ(harness.firstRoute().pacing.rateHalvings(), 0);
 }
 
 }  // namespace
--- a/tests/policy/retry_after_test.cpp
+++ b/tests/policy/retry_after_test.cpp
@@ -24,7 +24,7 @@
     harness.completeMessages(60);
     harness.accept(1);
     harness.finishAttempt(harness.decisions<SendAttempt>().at(0), AttemptOutcome::rejected, 10, retryAfter);
-    EXPECT_EQ(harness.firstRoute().outage, retryAfter > 2000);
+    EXPECT_EQ(harness.firstRoute().recovery.isOutage(), retryAfter > 2000);
   }
 }
 
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -77,7 +77,7 @@
       breaking.finishAttempt(sent, AttemptOutcome::reset, 1);
     }
   }
-  EXPECT_FALSE(breaking.firstRoute().outage);
+  EXPECT_FALSE(breaking.firstRoute().recovery.isOutage());
   for (bool outageLasts : {false, true}) {
     PolicyHarness harness;
     harness.completeMessages(60);
@@ -85,8 +85,8 @@
     harness.advanceTo(harness.now + (outageLasts ? 6000 : 1000));
     for (const SendHealthCheck& check : harness.decisions<SendHealthCheck>())
       harness.policy.recordHealthCheckOutcome(check.endpoint, AttemptOutcome::completed, {});
-    EXPECT_FALSE(harness.firstRoute().outage);
-    EXPECT_EQ(harness.firstRoute().warmingUp, outageLasts);
+    EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
+    EXPECT_EQ(harness.firstRoute().recovery.isWarmingUp(), outageLasts);
   }
 }
 
--- a/tests/policy/state_expiry_test.cpp
+++ b/tests/policy/state_expiry_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_LE(state.endpoints.size(),
             43u);  // those of four slow start durations, and the one with a pending attempt
   EXPECT_LE(state.routes.size(), 43u);
-  EXPECT_LE(state.orderedQueues.size(), 3u);
+  EXPECT_LE(state.orderedQueueCount, 3u);
   EXPECT_TRUE(state.endpoints.contains(endpointId(1000)));
   harness.finishAttempt(pending, AttemptOutcome::reset);
 }
--- a/tests/support/policy_harness.h
+++ b/tests/support/policy_harness.h
@@ -98,7 +98,7 @@
   // Fails connections until the policy sees an outage of the destination.
   void failUntilOutage() {
     accept(1);
-    while (!firstRoute().outage) {
+    while (!firstRoute().recovery.isOutage()) {
       for (const SendAttempt& attempt : decisions<SendAttempt>()) {
         finishAttempt(attempt, AttemptOutcome::connectFailed);
       }
