--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -33,7 +33,7 @@
 
 template <class Step>
 void InstanceHost::runGuarded(std::uint32_t number, Step step) {
-  Instance& instance = instances_.at(number);
+  Instance& instance = instancesByNumber_.at(number);
   if (instance.hasFailed) return;
   try {
     step(*instance.policy);
@@ -49,8 +49,8 @@
 }
 
 InstanceHost::Instance* InstanceHost::beginRound(std::uint32_t number) {
-  auto found = instances_.find(number);
-  if (found == instances_.end()) return nullptr;
+  auto found = instancesByNumber_.find(number);
+  if (found == instancesByNumber_.end()) return nullptr;
   if (std::find(instancesInBatch_.begin(), instancesInBatch_.end(), number) == instancesInBatch_.end()) {
     instancesInBatch_.push_back(number);
     runGuarded(number, [this](DispatchPolicy& policy) { policy.beginRound(now_); });
@@ -71,13 +71,13 @@
   const auto fields = readNameTables(event.settings).loadReportFields;
   created.rateLimitPlace = placeOf(fields, kRateLimitField);
   created.remainingSharePlace = placeOf(fields, kRemainingShareField);
-  instances_.insert_or_assign(event.instance, std::move(created));
+  instancesByNumber_.insert_or_assign(event.instance, std::move(created));
   std::erase(instancesInBatch_, event.instance);
   beginRound(event.instance);
 }
 
 void InstanceHost::handle(const wire::InstanceStopped& event) {
-  instances_.erase(event.instance);
+  instancesByNumber_.erase(event.instance);
   std::erase(instancesInBatch_, event.instance);
 }
 
--- a/src/adapter/instance_host.h
+++ b/src/adapter/instance_host.h
@@ -57,7 +57,7 @@
   void runGuarded(std::uint32_t number, Step step);
   static LoadReport loadReportOf(const Instance& instance, const wire::LoadReportValues& values);
 
-  std::map<std::uint32_t, Instance> instances_;
+  std::map<std::uint32_t, Instance> instancesByNumber_;
   std::array<std::optional<std::vector<wire::EndpointListRow>>, wire::kEndpointListPages> endpointLists_;
   std::vector<std::uint32_t> instancesInBatch_;  // in the order of their first event; replies keep that order
   Millis now_{};                                 // the simulator's clock at this batch
--- a/src/adapter/wire_codes.h
+++ b/src/adapter/wire_codes.h
@@ -8,29 +8,29 @@
 
 // Records from the simulator.
 enum class EventCode : std::uint16_t {
-  alarm = 1,
-  vanished = 2,
-  underWay = 3,
-  mail = 4,
-  create = 5,
-  stop = 6,
-  completed = 7,
-  view = 8,
-  demand = 9,
-  probeResult = 10,
-  snapshotRows = 11,
+  timerFired = 1,
+  clientDisconnected = 2,
+  responseStarted = 3,
+  peerNote = 4,
+  instanceCreated = 5,
+  instanceStopped = 6,
+  attemptCompleted = 7,
+  endpointListShown = 8,
+  messageSubmitted = 9,
+  healthCheckCompleted = 10,
+  endpointListPage = 11,
 };
 
 // Records to the simulator.
 enum class ActionCode : std::uint16_t {
-  exception = 65,
-  dropConnections = 67,
-  after = 68,
-  withdraw = 69,
-  turnAway = 70,
-  attempt = 71,
-  test = 74,
-  respondError = 75,
+  instanceFailed = 65,
+  closeIdleConnection = 67,
+  setTimer = 68,
+  cancelAttempt = 69,
+  shedMessage = 70,
+  sendAttempt = 71,
+  sendHealthCheck = 74,
+  failMessage = 75,
 };
 
 inline constexpr std::size_t kHeaderBytes = 20;        // of a batch of events
--- a/src/adapter/wire_events.h
+++ b/src/adapter/wire_events.h
@@ -6,7 +6,8 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "settings/deployment_settings.h"
+#include "policy/attempt_outcome.h"
+#include "policy/endpoint_state.h"
 
 // What the simulator tells, one type a record. Times are milliseconds; the wire's seconds end in the reader.
 namespace stonewing::wire {
--- a/src/adapter/wire_reader.cpp
+++ b/src/adapter/wire_reader.cpp
@@ -73,28 +73,28 @@
 Event Reader::next() {
   const auto code = bytes_.get<std::uint16_t>("code");
   const auto event = static_cast<EventCode>(code);
-  if (event == EventCode::snapshotRows) return endpointListPage();
-  if (event == EventCode::view) return endpointListShown();
-  if (event < EventCode::alarm || event > EventCode::snapshotRows) {
+  if (event == EventCode::endpointListPage) return endpointListPage();
+  if (event == EventCode::endpointListShown) return endpointListShown();
+  if (event < EventCode::timerFired || event > EventCode::endpointListPage) {
     throw ProtocolError("unknown record code " + std::to_string(code));
   }
   const auto instance = bytes_.get<std::uint32_t>("who");
   switch (event) {
-    case EventCode::alarm:
+    case EventCode::timerFired:
       return timerFired(instance);
-    case EventCode::vanished:
+    case EventCode::clientDisconnected:
       return clientDisconnected(instance);
-    case EventCode::underWay:
+    case EventCode::responseStarted:
       return responseStarted(instance);
-    case EventCode::mail:
+    case EventCode::peerNote:
       return peerNote(instance);
-    case EventCode::create:
+    case EventCode::instanceCreated:
       return instanceCreated(instance);
-    case EventCode::completed:
+    case EventCode::attemptCompleted:
       return attemptCompleted(instance);
-    case EventCode::demand:
+    case EventCode::messageSubmitted:
       return messageSubmitted(instance);
-    case EventCode::probeResult:
+    case EventCode::healthCheckCompleted:
       return healthCheckCompleted(instance);
     default:
       return InstanceStopped{instance};
--- a/src/adapter/wire_writer.cpp
+++ b/src/adapter/wire_writer.cpp
@@ -30,35 +30,35 @@
 void Writer::write(std::uint32_t instance, const Decision& decision) {
   std::visit(Overloaded{
                  [&](const SendAttempt& attempt) {
-                   beginRecord(ActionCode::attempt, instance);
+                   beginRecord(ActionCode::sendAttempt, instance);
                    put(attempt.message.value);
                    putEndpoint(attempt.endpoint);
                    putSeconds(attempt.timeout);
                  },
                  [&](const CancelAttempt& cancellation) {
-                   beginRecord(ActionCode::withdraw, instance);
+                   beginRecord(ActionCode::cancelAttempt, instance);
                    put(cancellation.message.value);
                    put(static_cast<std::uint8_t>(cancellation.attempt));
                  },
                  [&](const ShedMessage& shed) {
-                   beginRecord(ActionCode::turnAway, instance);
+                   beginRecord(ActionCode::shedMessage, instance);
                    put(shed.message.value);
                    putSeconds(shed.retryAfter);
                  },
                  [&](const FailMessage& failure) {
-                   beginRecord(ActionCode::respondError, instance);
+                   beginRecord(ActionCode::failMessage, instance);
                    put(failure.message.value);
                  },
                  [&](const SendHealthCheck& check) {
-                   beginRecord(ActionCode::test, instance);
+                   beginRecord(ActionCode::sendHealthCheck, instance);
                    putEndpoint(check.endpoint);
                  },
                  [&](const CloseIdleConnection& idle) {
-                   beginRecord(ActionCode::dropConnections, instance);
+                   beginRecord(ActionCode::closeIdleConnection, instance);
                    putEndpoint(idle.endpoint);
                  },
                  [&](const SetTimer& timer) {
-                   beginRecord(ActionCode::after, instance);
+                   beginRecord(ActionCode::setTimer, instance);
                    put(kTimerLabel);
                    putSeconds(timer.at);
                  },
@@ -68,7 +68,7 @@
 
 void Writer::writeFailure(std::uint32_t instance, std::string_view text) {
   text = text.substr(0, kMaxFailureBytes);
-  beginRecord(ActionCode::exception, instance);
+  beginRecord(ActionCode::instanceFailed, instance);
   put(static_cast<std::uint16_t>(text.size()));
   body_.append(text);
 }
--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -20,11 +20,6 @@
 
 namespace stonewing {
 
-// The earlier name of parseLoadReport, which tests still use.
-inline LoadReport reportIn(std::string_view header, const std::vector<std::string>& knownFields) {
-  return parseLoadReport(header, knownFields);
-}
-
 // Sends attempts and health checks to endpoints over HTTP/1.1, and records how each ended with the policy and
 // the message store.
 //
--- a/src/delivery/outcome_recorder.cpp
+++ b/src/delivery/outcome_recorder.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A message's deadline counts from when its client sent it, and our clock from when we read it. That is so
-// much later at the most, in milliseconds: a longer delay is noticed (EventLoop::heldUpFor).
+// much later at the most, in milliseconds: a longer delay is noticed (EventLoop::stalledFor).
 constexpr Millis kMaxReadDelay = 100;
 
 bool isProvablyNotExecuted(AttemptOutcome outcome) {
--- a/src/discovery/endpoint_list_parser.h
+++ b/src/discovery/endpoint_list_parser.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "discovery/discovered_endpoint.h"
+#include "policy/endpoint_state.h"
 #include "settings/settings_reader.h"
 
 // Reads discovery's answers. The spelling of the endpoint list stands here and nowhere else.
--- a/src/dispatcher/command_handler.cpp
+++ b/src/dispatcher/command_handler.cpp
@@ -76,7 +76,7 @@
 }
 
 RespServer::CommandReply CommandHandler::accept(StoredMessage message, Millis receivedWall) {
-  message.deadlineWall -= loop_.heldUpFor();  // its time counts from when the client sent it
+  message.deadlineWall -= loop_.stalledFor();  // its time counts from when the client sent it
   const Millis deadline = loop_.now() + (message.deadlineWall - receivedWall);
   const std::optional<MessageId> id = store_.accept(std::move(message));
   if (!id) return {busyReply(admission_.recordRejection(loop_.now()))};
--- a/src/dispatcher/config.cpp
+++ b/src/dispatcher/config.cpp
@@ -69,13 +69,13 @@
   return seed;
 }
 
-bool readUsesWriterThread(const json& file) {
+JournalWriter readJournalWriter(const json& file) {
   const json journal = file.value("journal", json::object());
   if (!journal.is_object()) throw ConfigError(R"('journal' must be an object, such as {"writer": "aside"})");
   const std::string writer = journal.value("writer", "loop");
   if (writer != "loop" && writer != "aside")
     throw ConfigError("'journal.writer' is '" + writer + R"('; it must be "loop" or "aside")");
-  return writer == "aside";
+  return writer == "aside" ? JournalWriter::backgroundThread : JournalWriter::callingThread;
 }
 
 std::size_t readMegabytes(const json& limits, const char* key, double defaultMegabytes) {
@@ -94,7 +94,7 @@
   config.sockets = limits.value("sockets", kDefaultSockets);
   config.diskBytes = readMegabytes(limits, "disk_mb", kDefaultDiskMegabytes);
   config.memoryBytes = readMegabytes(limits, "memory_mb", kDefaultMemoryMegabytes);
-  config.usesWriterThread = readUsesWriterThread(file);
+  config.journalWriter = readJournalWriter(file);
   if (file.contains("rooms")) config.zoneFailover = file["rooms"].dump();
   if (!file.contains("settings")) throw ConfigError("the configuration lacks 'settings'");
   config.settings = file["settings"].dump();
--- a/src/dispatcher/config.h
+++ b/src/dispatcher/config.h
@@ -10,6 +10,7 @@
 
 #include "admission/admission_controller.h"
 #include "settings/deployment_settings.h"
+#include "storage/journal.h"
 
 // The configuration of one dispatcher: what it consists of, and how it is read from the start file, the
 // operator's file and the environment. The spelling of its keys is known here only.
@@ -17,18 +18,18 @@
 
 // What a dispatcher is configured with at its start. Plain values; nothing in it refers to anything else.
 struct DispatcherConfig {
-  std::string name;              // of this dispatcher, for the log; may be empty
-  std::string listen;            // address and port for clients, such as "10.0.0.4:6379"
-  std::string discovery;         // address and port of discovery and of the platform
-  std::string state;             // folder of the journal
-  std::uint64_t seed{};          // of all random draws
-  std::size_t sockets{};         // descriptors that the process may hold
-  std::size_t diskBytes{};       // that the journal may take
-  std::size_t memoryBytes{};     // that the process may take
-  std::string settings;          // of the deployment, JSON text (settings/settings_reader.h)
-  std::string known;             // endpoint list to start from, in discovery's format; empty for none
-  std::string zoneFailover;      // the operator's zone failover settings, JSON text; empty for none
-  bool usesWriterThread{false};  // a thread of its own writes the journal, in place of the event loop
+  std::string name;           // of this dispatcher, for the log; may be empty
+  std::string listen;         // address and port for clients, such as "10.0.0.4:6379"
+  std::string discovery;      // address and port of discovery and of the platform
+  std::string state;          // folder of the journal
+  std::uint64_t seed{};       // of all random draws
+  std::size_t sockets{};      // descriptors that the process may hold
+  std::size_t diskBytes{};    // that the journal may take
+  std::size_t memoryBytes{};  // that the process may take
+  std::string settings;       // of the deployment, JSON text (settings/settings_reader.h)
+  std::string known;          // endpoint list to start from, in discovery's format; empty for none
+  std::string zoneFailover;   // the operator's zone failover settings, JSON text; empty for none
+  JournalWriter journalWriter{JournalWriter::callingThread};
 };
 
 // Looks up a variable of the environment; returns an empty text where it is not set.
--- a/src/dispatcher/config_reloader.cpp
+++ b/src/dispatcher/config_reloader.cpp
@@ -40,7 +40,7 @@
 bool ConfigReloader::needsRestart(const DispatcherConfig& config) const {
   return config.listen != started_.listen || config.state != started_.state ||
          config.settings != started_.settings || config.zoneFailover != started_.zoneFailover ||
-         config.usesWriterThread != started_.usesWriterThread;
+         config.journalWriter != started_.journalWriter;
 }
 
 }  // namespace stonewing
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -40,7 +40,7 @@
       names_(readNameTables(config_.settings)),
       policy_(withinBudget(settings_, descriptors_), config_.seed),
       admission_(admissionSettings(settings_), config_.seed + kAdmissionSeedOffset),
-      store_(names_, config_.state, config_.diskBytes, config_.usesWriterThread),
+      store_(names_, config_.state, config_.diskBytes, config_.journalWriter),
       discovery_(loop_, policy_, names_, requireAddress(config_.discovery, "discovery"), config_.discovery,
                  config_.seed + kDiscoverySeedOffset),
       sender_(loop_, policy_, store_, discovery_, settings_, names_, descriptors_.endpointConnections,
--- a/src/dispatcher/main.cpp
+++ b/src/dispatcher/main.cpp
@@ -24,7 +24,7 @@
   command.add_option("-c,--config", options.configPath, configHelp);
   command
       .add_option("-o,--operator", options.operatorPath,
-                  "what the operator adds (JSON; docs/rooms.md, docs/overload.md)")
+                  "what the operator adds (JSON; docs/zones.md, docs/overload.md)")
       ->check(CLI::ExistingFile);
 }
 
--- a/src/dispatcher/signal_handler.cpp
+++ b/src/dispatcher/signal_handler.cpp
@@ -18,6 +18,14 @@
   return signals;
 }
 
+UniqueFd openSignalDescriptor() {
+  blockSignals();
+  sigset_t signals = handledSignals();
+  UniqueFd descriptor(::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
+  if (!descriptor) throw std::system_error(errno, std::generic_category(), "signalfd");
+  return descriptor;
+}
+
 }  // namespace
 
 void blockSignals() {
@@ -27,16 +35,8 @@
   ::sigprocmask(SIG_BLOCK, &signals, nullptr);
 }
 
-SignalHandler::SignalDescriptor::SignalDescriptor() {
-  blockSignals();
-  sigset_t signals = handledSignals();
-  descriptor_ = ::signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
-  if (descriptor_ < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
-}
-
-SignalHandler::SignalDescriptor::~SignalDescriptor() { ::close(descriptor_); }
-
-SignalHandler::SignalHandler(EventLoop& loop) : registration_(loop, descriptor_.get(), *this) {}
+SignalHandler::SignalHandler(EventLoop& loop)
+    : descriptor_(openSignalDescriptor()), registration_(loop, descriptor_.get(), *this) {}
 
 bool SignalHandler::takeReloadRequest() { return std::exchange(reloadRequested_, false); }
 
--- a/src/dispatcher/signal_handler.h
+++ b/src/dispatcher/signal_handler.h
@@ -2,8 +2,9 @@
 
 #include <cstdint>
 
-#include "dispatcher/loop_registration.h"
+#include "base/unique_fd.h"
 #include "net/event_loop.h"
+#include "net/loop_registration.h"
 
 // Signals as events of the loop: SIGTERM and SIGINT request the end, SIGHUP a reload of the configuration.
 namespace stonewing {
@@ -27,20 +28,7 @@
   void onEvents(std::uint32_t events) override;
 
  private:
-  // A descriptor from which our signals are read; closed with this object.
-  class SignalDescriptor {
-   public:
-    SignalDescriptor();
-    ~SignalDescriptor();
-    SignalDescriptor(const SignalDescriptor&) = delete;
-    SignalDescriptor& operator=(const SignalDescriptor&) = delete;
-    int get() const { return descriptor_; }
-
-   private:
-    int descriptor_;
-  };
-
-  SignalDescriptor descriptor_;
+  UniqueFd descriptor_;            // the signals are read from it
   LoopRegistration registration_;  // ends before descriptor_ is closed
   bool endRequested_{false};
   bool reloadRequested_{false};
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -9,6 +9,8 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "policy/endpoint_state.h"
+
 namespace stonewing::lab {
 namespace {
 
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -10,6 +10,7 @@
 #include "base/bytes.h"
 #include "lab/policy.h"
 #include "policy/dispatch_policy.h"
+#include "policy/endpoint_state.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -8,6 +8,7 @@
 #include <set>
 
 #include "net/http_client_connection.h"
+#include "policy/endpoint_state.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -12,6 +12,7 @@
 #include "lab/server.h"
 #include "lab/town.h"
 #include "lab/trace.h"
+#include "policy/endpoint_state.h"
 
 namespace stonewing::lab {
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -22,11 +22,9 @@
 }  // namespace
 
 EventLoop::EventLoop() : epoll_(epoll_create1(EPOLL_CLOEXEC)), now_(steadyNow()), turnBegan_(now_) {
-  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-EventLoop::~EventLoop() { ::close(epoll_); }
-
 EventLoop::EventTag EventLoop::makeTag(int fd, std::uint32_t serial) {
   return std::uint64_t{serial} << 32 | static_cast<std::uint32_t>(fd);
 }
@@ -36,13 +34,13 @@
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.u64 = makeTag(fd, serial);
-  if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0) return false;
+  if (epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0) return false;
   registrations_[fd] = {&handler, serial};
   return true;
 }
 
 void EventLoop::unwatch(int fd) {
-  if (registrations_.erase(fd) > 0) epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
+  if (registrations_.erase(fd) > 0) epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
 }
 
 void EventLoop::reschedule(int fd) {
@@ -75,7 +73,7 @@
 void EventLoop::collectEvents(int timeoutMs) {
   for (int call = 0; call < kMaxCallsPerTurn; ++call) {
     std::array<epoll_event, kMaxEventsPerCall> events;
-    int count = epoll_wait(epoll_, events.data(), kMaxEventsPerCall, timeoutMs);
+    int count = epoll_wait(epoll_.get(), events.data(), kMaxEventsPerCall, timeoutMs);
     if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
     for (int i = 0; i < count; ++i) {
       const epoll_event& event = events[static_cast<std::size_t>(i)];
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "base/ids.h"
+#include "base/unique_fd.h"
 #include "net/address.h"
 #include "net/buffers.h"
 #include "net/clock.h"
@@ -31,7 +32,6 @@
  public:
   // Throws std::system_error where the kernel grants no epoll descriptor.
   EventLoop();
-  ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
@@ -65,7 +65,7 @@
   Millis now() const { return now_; }
   // How long this turn's events may have waited because the process itself was stopped or starved; 0 where it
   // was not.
-  Millis heldUpFor() const { return stalledFor_; }
+  Millis stalledFor() const { return stalledFor_; }
 
  private:
   // A descriptor and the serial number of its registration, in one word as epoll stores it. The kernel reuses
@@ -84,7 +84,7 @@
   void collectEvents(int timeoutMs);
   void deliver(EventTag tag, std::uint32_t events);
 
-  int epoll_;  // owned
+  UniqueFd epoll_;
   Millis now_;
   Millis turnBegan_;
   Millis stalledFor_{0};
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -23,10 +23,6 @@
 
   // `bytes`: all that has arrived for this response, from its first byte on.
   Progress parse(std::string_view bytes, StreamState stream);
-  // As above, with true for a stream that has ended.
-  Progress parse(std::string_view bytes, bool hasEnded) {
-    return parse(bytes, hasEnded ? StreamState::ended : StreamState::open);
-  }
 
   // The status code; 0 until the status line is whole.
   int status() const { return status_; }
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -61,7 +61,7 @@
 
   std::size_t position = header.end;
   for (std::size_t i = 0; i < header.count; ++i) {
-    CountLine length = parseCountLine(bytes, position, kBulkStringSign, kBodyMost);
+    CountLine length = parseCountLine(bytes, position, kBulkStringSign, kMaxWordBytes);
     if (length.result != RespParseResult::complete) return length.result;
     RespParseResult word = checkWord(bytes, length.end, length.count);
     if (word != RespParseResult::complete) return word;
--- a/src/net/resp_parser.h
+++ b/src/net/resp_parser.h
@@ -5,13 +5,13 @@
 #include <vector>
 
 // The requests of RESP2, the Redis protocol: a command is an array of bulk strings. Limits: 16 words to a
-// command and kBodyMost bytes to a word.
+// command and kMaxWordBytes bytes to a word.
 namespace stonewing {
 
 // The most bytes of a message's body, and of any other word of a command.
-inline constexpr std::size_t kBodyMost = 64 * 1024;
+inline constexpr std::size_t kMaxWordBytes = 64 * 1024;
 // The most bytes of a whole command: a body and what stands around it.
-inline constexpr std::size_t kMaxCommandBytes = kBodyMost + 8 * 1024;
+inline constexpr std::size_t kMaxCommandBytes = kMaxWordBytes + 8 * 1024;
 
 enum class RespParseResult {
   needsMore,  // the command is not whole
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -3,6 +3,8 @@
 #include <variant>
 
 #include "base/ids.h"
+#include "policy/attempt_outcome.h"
+#include "policy/endpoint_state.h"
 
 // What the policy asks its host to do: one alternative of Decision for each kind. Durations are milliseconds.
 namespace stonewing {
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,6 +1,8 @@
 #pragma once
 
 #include "base/ids.h"
+#include "policy/attempt_outcome.h"
+#include "policy/endpoint_state.h"
 #include "policy/latency_reservoir.h"
 #include "settings/deployment_settings.h"
 
--- /dev/null
+++ b/src/policy/endpoint_state.h
@@ -0,0 +1,12 @@
+#pragma once
+
+namespace stonewing {
+
+// Whether an endpoint may be used, as the endpoint list says.
+enum class EndpointState {
+  removed,  // no longer in the list
+  ready,
+  draining  // accepts no further attempts
+};
+
+}  // namespace stonewing
--- a/src/server/resp_server.cpp
+++ b/src/server/resp_server.cpp
@@ -174,7 +174,7 @@
   for (int count = 0; listener_.isOpen(); ++count) {
     if (count == kAcceptsPerTurn) return AcceptProgress::mayHaveMore;
     retireIdlest();
-    if (!makeRoomForClient()) return AcceptProgress::done;
+    if (!evictForNewClient()) return AcceptProgress::done;
     int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       addClient(fd);
@@ -189,7 +189,7 @@
 
 // Whether there is a place for one more client. With all places taken, one is freed only where somebody waits
 // for it.
-bool RespServer::makeRoomForClient() {
+bool RespServer::evictForNewClient() {
   if (clients_.size() < maxClients_) return true;
   pollfd listener{listener_.get(), POLLIN, 0};
   if (::poll(&listener, 1, 0) == 0) return false;
--- a/src/server/resp_server.h
+++ b/src/server/resp_server.h
@@ -71,7 +71,7 @@
   void onClosed(ClientConnection& client) override;
 
   AcceptProgress acceptPending();
-  bool makeRoomForClient();
+  bool evictForNewClient();
   void addClient(int fd);
   void onAcceptFailure(int error);
   void closeListener();
--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -32,26 +32,6 @@
   halving  // by half with each further latency objective, down to the late weight share
 };
 
-// `removed`: no longer in the endpoint list. `draining`: accepts no further attempts.
-enum class EndpointState { removed, ready, draining };
-
-enum class AttemptOutcome {
-  completed,
-  error,
-  rejected,
-  timeout,
-  connectFailed,
-  reset,
-  cancelled,
-  notSent,
-  localResourceExhausted  // not sent, for want of a resource of this host, such as a descriptor
-};
-
-// Whether the attempt provably never left this host.
-constexpr bool isUnsent(AttemptOutcome outcome) {
-  return outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::localResourceExhausted;
-}
-
 // The settings of one traffic type, as far as decisions depend on them.
 struct TrafficType {
   Millis latencyObjective{};  // from acceptance; more than 0
--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -15,15 +15,11 @@
 // How long one wait for a commit lasts before it is begun again.
 constexpr Millis kCommitWaitMs = 1000;
 
-JournalWriter writerOf(bool usesWriterThread) {
-  return usesWriterThread ? JournalWriter::backgroundThread : JournalWriter::callingThread;
-}
-
 }  // namespace
 
 MessageStore::MessageStore(const NameTables& names, const std::string& folder, std::size_t maxBytes,
-                           bool usesWriterThread)
-    : names_(names), journal_(folder, maxBytes, writerOf(usesWriterThread)), schedule_(journal_.maxBytes()) {}
+                           JournalWriter writer)
+    : names_(names), journal_(folder, maxBytes, writer), schedule_(journal_.maxBytes()) {}
 
 StoredMessage MessageStore::decode(std::string_view orderingKey, std::string_view reference,
                                    std::string_view fieldList, std::string_view body,
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -32,10 +32,10 @@
 // that write throw std::system_error where the journal cannot be used any more.
 class MessageStore {
  public:
-  // `names` has to outlive the store. `maxBytes` bounds all files in `folder`. `usesWriterThread`: the
-  // journal is written by a thread of its own. Throws as Journal does.
+  // `names` has to outlive the store. `maxBytes` bounds all files in `folder`. Throws as
+  // Journal does.
   MessageStore(const NameTables& names, const std::string& folder, std::size_t maxBytes,
-               bool usesWriterThread = false);
+               JournalWriter writer = JournalWriter::callingThread);
 
   // Reads what an earlier process left; to be called once, first. Returns the bytes of an incomplete record
   // at the journal's end that were cut off. Records that cannot be used are logged and skipped. Throws as
--- a/tests/net/http_response_parser_test.cpp
+++ b/tests/net/http_response_parser_test.cpp
@@ -1,3 +1,5 @@
+#include "net/http_response_parser.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -7,7 +9,6 @@
 #include <string_view>
 #include <vector>
 
-#include "net/http_client_connection.h"
 #include "support/dispatcher_settings.h"
 
 // Responses are parsed from whatever bytes have arrived.
@@ -35,10 +36,11 @@
         Case{kHttpNoContent, "", 204, true}}) {
     HttpResponseParser parser;
     for (std::size_t length = 0; length < expected.bytes.size(); ++length) {
-      ASSERT_EQ(parser.parse(std::string_view(expected.bytes).substr(0, length), false), Progress::needsMore)
+      ASSERT_EQ(parser.parse(std::string_view(expected.bytes).substr(0, length), StreamState::open),
+                Progress::needsMore)
           << expected.bytes << length;
     }
-    ASSERT_EQ(parser.parse(expected.bytes, false), Progress::complete) << expected.bytes;
+    ASSERT_EQ(parser.parse(expected.bytes, StreamState::open), Progress::complete) << expected.bytes;
     EXPECT_EQ(parser.status(), expected.status);
     EXPECT_EQ(parser.body(expected.bytes), expected.body);
     EXPECT_EQ(parser.keepsAlive(), expected.keepsAlive);
@@ -47,8 +49,8 @@
   }
   HttpResponseParser toTheEnd;
   std::string open = "HTTP/1.1 200 OK\r\n\r\nall";
-  EXPECT_EQ(toTheEnd.parse(open, false), Progress::needsMore);
-  EXPECT_EQ(toTheEnd.parse(open, true), Progress::complete);
+  EXPECT_EQ(toTheEnd.parse(open, StreamState::open), Progress::needsMore);
+  EXPECT_EQ(toTheEnd.parse(open, StreamState::ended), Progress::complete);
   EXPECT_EQ(toTheEnd.body(open), "all");
 }
 
@@ -58,13 +60,14 @@
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 101 Go\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
-    EXPECT_EQ(HttpResponseParser().parse(malformed, false), Progress::malformed) << malformed;
+    EXPECT_EQ(HttpResponseParser().parse(malformed, StreamState::open), Progress::malformed) << malformed;
   }
-  EXPECT_EQ(HttpResponseParser().parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true),
-            Progress::malformed);
   EXPECT_EQ(
-      HttpResponseParser().parse(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'), false),
+      HttpResponseParser().parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", StreamState::ended),
       Progress::malformed);
+  EXPECT_EQ(HttpResponseParser().parse(std::string("HTTP/1.1 200 OK\r\nA: ") + std::string(20000, 'a'),
+                                       StreamState::open),
+            Progress::malformed);
 }
 
 RC_GTEST_PROP(HttpResponseParser, GivesTheSameResultWhereverTheBytesAreSplit,
@@ -75,18 +78,18 @@
   std::size_t arrived = 0;
   for (std::uint8_t size : sizes) {
     arrived = std::min(arrived + size, bytes.size());
-    RC_ASSERT(parser.parse(std::string_view(bytes).substr(0, arrived), false) ==
+    RC_ASSERT(parser.parse(std::string_view(bytes).substr(0, arrived), StreamState::open) ==
               (arrived < bytes.size() ? Progress::needsMore : Progress::complete));
   }
-  RC_ASSERT(parser.parse(bytes, false) == Progress::complete);
+  RC_ASSERT(parser.parse(bytes, StreamState::open) == Progress::complete);
   RC_ASSERT(parser.body(bytes) == body);
 }
 
 RC_GTEST_PROP(HttpResponseParser, EndsWithinItsBytesWhenTheyAreNoise, (std::string noise)) {
   std::string bytes = "HTTP/1.1 200 OK\r\n" + noise;
   HttpResponseParser parser;
-  parser.parse(bytes, false);
-  Progress end = parser.parse(bytes, true);
+  parser.parse(bytes, StreamState::open);
+  Progress end = parser.parse(bytes, StreamState::ended);
   RC_ASSERT(end != Progress::needsMore);
   if (end == Progress::complete) RC_ASSERT(parser.length() <= bytes.size());
 }
--- a/tests/net/resp_parser_test.cpp
+++ b/tests/net/resp_parser_test.cpp
@@ -1,3 +1,5 @@
+#include "net/resp_parser.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -5,7 +7,6 @@
 #include <string_view>
 #include <vector>
 
-#include "server/resp_server.h"
 #include "support/resp_commands.h"
 
 // Commands of clients are parsed from whatever bytes have arrived.
--- a/tests/storage/message_store_restart_test.cpp
+++ b/tests/storage/message_store_restart_test.cpp
@@ -31,8 +31,9 @@
 
 // Runs with the journal written by the caller and by the background writer. With the latter, more is recorded
 // while a commit is in progress.
-class MessageStoreRestart : public ::testing::TestWithParam<bool> {};
-INSTANTIATE_TEST_SUITE_P(Writers, MessageStoreRestart, ::testing::Values(false, true));
+class MessageStoreRestart : public ::testing::TestWithParam<JournalWriter> {};
+INSTANTIATE_TEST_SUITE_P(Writers, MessageStoreRestart,
+                         ::testing::Values(JournalWriter::callingThread, JournalWriter::backgroundThread));
 
 // What the directory then holds must be what the commits kept, no more and no less.
 TEST_P(MessageStoreRestart, RestoresWhatTheLastCommitKeptWhenKilledAfterIt) {
@@ -61,7 +62,9 @@
       fixture.store.beginCommit();
       committed = contentOf(fixture.store);
       isCommitting = true;
-      if (GetParam() && fixture.store.lastCommitHeldRecords() && random() % 2 == 0) continue;
+      if (GetParam() == JournalWriter::backgroundThread && fixture.store.lastCommitHeldRecords() &&
+          random() % 2 == 0)
+        continue;
     }
     while (!fixture.store.finishCommit(1000)) {
     }
--- a/tests/support/message_store_fixture.h
+++ b/tests/support/message_store_fixture.h
@@ -17,8 +17,8 @@
   NameTables names = readNameTables(kDispatcherSettings);
   MessageStore store;
 
-  explicit StoreFixture(std::size_t maxBytes = 60000, bool writesInBackground = false)
-      : store(names, directory.path.string(), maxBytes, writesInBackground) {}
+  explicit StoreFixture(std::size_t maxBytes = 60000, JournalWriter writer = JournalWriter::callingThread)
+      : store(names, directory.path.string(), maxBytes, writer) {}
 
   std::optional<MessageId> accept(const std::string& reference, std::size_t bodyBytes = 100) {
     return store.accept(
