--- a/src/adapter/wire_reader.cpp
+++ b/src/adapter/wire_reader.cpp
@@ -20,8 +20,9 @@
       return EndpointState::ready;
     case 2:
       return EndpointState::draining;
+    default:
+      throw ProtocolError("unknown phase " + std::to_string(code));
   }
-  throw ProtocolError("unknown phase " + std::to_string(code));
 }
 
 AttemptOutcome outcomeOf(std::uint16_t code) {
@@ -42,8 +43,9 @@
       return AttemptOutcome::cancelled;
     case 80:
       return AttemptOutcome::notSent;
+    default:
+      throw ProtocolError("unknown completion code " + std::to_string(code));
   }
-  throw ProtocolError("unknown completion code " + std::to_string(code));
 }
 
 EndpointListForm endpointListFormOf(std::uint8_t code) {
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -3,7 +3,7 @@
 #include <stdexcept>
 
 // The errors that end an operation. Each text says what was wrong and, where it can, what would be right.
-// They are caught where the operator, a client or the log can be told.
+// They are caught where the operator, a client or the log can learn of them.
 namespace stonewing {
 
 // The base of all errors of this program.
--- a/src/delivery/connection_pool.cpp
+++ b/src/delivery/connection_pool.cpp
@@ -136,6 +136,7 @@
 void ConnectionPool::followReusableIdleTime() {
   if (reusableIdleTime() < lastReusableIdleTime_) {
     std::vector<EndpointConnection*> idle;  // apart, since update() changes the index
+    idle.reserve(leastRecentlyUsed_.size());
     for (const TimedConnection& entry : leastRecentlyUsed_) idle.push_back(entry.connection);
     for (EndpointConnection* connection : idle) update(*connection);
   }
--- a/src/dispatcher/command_handler.cpp
+++ b/src/dispatcher/command_handler.cpp
@@ -86,7 +86,7 @@
                                   {"type", names_.trafficTypes[stored.type.value]},
                                   {"destination", stored.destination.value},
                                   {"left_ms", deadline - loop_.now()}});
-  return {kOkReply, *id};
+  return {kOkReply, id};
 }
 
 }  // namespace stonewing
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -66,7 +66,7 @@
   std::string_view digits = trimmed(line.substr(0, line.find(';')));
   std::optional<std::uint64_t> size = parseWholeNumber(digits, 16);
   if (!size || *size > kMaxChunkBytes) return std::nullopt;
-  return *size;
+  return size;
 }
 
 // What to say of a line that begins at `position` and has no end yet.
--- a/src/settings/json_access.h
+++ b/src/settings/json_access.h
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "base/errors.h"
@@ -35,7 +36,7 @@
 // The value of one key as T, or the fallback where the object lacks the key.
 template <class T>
 T valueOr(const json& object, const std::string& key, T fallback) {
-  return object.contains(key) ? require<T>(object, key) : fallback;
+  return object.contains(key) ? require<T>(object, key) : std::move(fallback);
 }
 
 // A value that the settings state in seconds.
--- a/src/settings/zone_failover_settings_reader.cpp
+++ b/src/settings/zone_failover_settings_reader.cpp
@@ -14,13 +14,15 @@
 constexpr double kMaxSpilloverPerSecond = 1e6;
 constexpr double kMaxRampSeconds = 86400;  // a day
 
+void requireKnownKey(const std::string& name, const std::string& key, const std::vector<std::string>& known) {
+  if (std::find(known.begin(), known.end(), key) != known.end()) return;
+  throw SettingsError("'" + name + "." + key + "' is not known; there are " + joined(known));
+}
+
 // Every key of the object must be known.
 void requireKnownKeys(const json& object, const std::string& name, const std::vector<std::string>& known) {
   if (!object.is_object()) throw SettingsError("'" + name + "' must be an object with " + joined(known));
-  for (const auto& [key, value] : object.items()) {
-    if (std::find(known.begin(), known.end(), key) != known.end()) continue;
-    throw SettingsError("'" + name + "." + key + "' is not known; there are " + joined(known));
-  }
+  for (const auto& [key, value] : object.items()) requireKnownKey(name, key, known);
 }
 
 struct Range {
--- a/tests/dispatcher/descriptor_budget_test.cpp
+++ b/tests/dispatcher/descriptor_budget_test.cpp
@@ -37,18 +37,18 @@
   EXPECT_THROW(descriptorBudget(27, 1), ConfigError);
 }
 
-// Idle clients hold all descriptors while discovery is silent. Without a budget nothing could be delivered,
-// notified or polled any more, though clients alone are to blame.
+// Idle clients hold all descriptors while discovery does not answer. Without a budget nothing could be
+// delivered, notified or polled any more, though clients alone are to blame.
 TEST(DescriptorBudget, IsNotExceededByIdleClients) {
   for (bool lowered : {false, true}) {
     HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
     std::string list = R"({"version":2,"full":true,"servers":)" + endpointList(endpoint) + "}";
-    enum class Mode { closes, silent, answers };
+    enum class Mode { closes, unresponsive, answers };
     std::atomic<Mode> mode{Mode::closes};
     std::atomic<int> polls{0};
     HttpServerStub platform([&](const std::string& head, const std::string& body) -> std::string {
       if (mode == Mode::closes) return confirmNotifications(head, body) + "\4";  // but confirms notifications
-      mode.wait(Mode::silent);
+      mode.wait(Mode::unresponsive);
       if (!head.starts_with("GET") || ++polls > 1) return confirmNotifications(head, body);
       return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
     });
@@ -65,7 +65,7 @@
       return endpoint.requestsContaining("X-Request-Id: before") == 1 &&
              platform.requestsContaining("GET") > 0 && platform.requestsContaining("POST") > 0;
     }));
-    mode = Mode::silent;
+    mode = Mode::unresponsive;
     std::vector<int> idle;
     for (int n = 0; n < 40; ++n) {
       idle.push_back(connectToLoopback(dispatcher.port()));
--- a/tests/server/client_connections_test.cpp
+++ b/tests/server/client_connections_test.cpp
@@ -11,7 +11,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// A whole dispatcher and clients that are silent, malformed, many or late.
+// A whole dispatcher and clients that send nothing, malformed, many or late.
 namespace stonewing::testing {
 namespace {
 
@@ -22,7 +22,7 @@
   DispatcherProcess dispatcher(kDispatcherSettings, endpointList(platform), platform.address(),
                                R"({"sockets":256,"disk_mb":3,"memory_mb":4})");
   ASSERT_TRUE(dispatcher.start());
-  int silent = connectToLoopback(dispatcher.port());
+  int silentClient = connectToLoopback(dispatcher.port());
   auto began = std::chrono::steady_clock::now();
   std::vector<int> halves;
   for (int n = 0; n < 12; ++n) {
@@ -33,10 +33,10 @@
   EXPECT_EQ(::recv(halves.front(), &byte, 1, 0),
             1);  // an error: it began first, and there is not enough memory for all
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(800));
-  EXPECT_EQ(::recv(silent, &byte, 1, 0), 0);
+  EXPECT_EQ(::recv(silentClient, &byte, 1, 0), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(3000));
   for (int fd : halves) ::close(fd);
-  ::close(silent);
+  ::close(silentClient);
 }
 
 const std::string kFields = "c=status,d=900,dest=7";
--- a/tests/server/resp_server_drain_test.cpp
+++ b/tests/server/resp_server_drain_test.cpp
@@ -78,10 +78,10 @@
   EXPECT_EQ(receiveAvailable(fd), "");
   sendBytes(fd, submitCommand("first", "c=a,d=1,dest=7"));
   EXPECT_EQ(harness.turnAndReceive(fd, 500), "+OK\r\nFIN");
-  int silent = harness.connectClient();  // not accepted yet
+  int silentClient = harness.connectClient();  // not accepted yet
   harness.server.stopListening();
   Millis began = harness.loop.now();
-  EXPECT_EQ(harness.turnAndReceive(silent, 2000), "FIN");
+  EXPECT_EQ(harness.turnAndReceive(silentClient, 2000), "FIN");
   EXPECT_LT(harness.loop.now() - began, 800);
 }
 
--- a/tests/server/resp_server_test.cpp
+++ b/tests/server/resp_server_test.cpp
@@ -22,11 +22,11 @@
   sendBytes(fd, kPing);
   harness.server.onTick();  // its time has expired, and the command is unread
   EXPECT_EQ(harness.turnAndReceive(fd, 200), kPong);
-  int silent = harness.connectClient();
-  EXPECT_EQ(harness.turnAndReceive(silent, 3000), "FIN");
-  sendBytes(silent, kPing);  // no reset, which would lose a reply
+  int silentClient = harness.connectClient();
+  EXPECT_EQ(harness.turnAndReceive(silentClient, 3000), "FIN");
+  sendBytes(silentClient, kPing);  // no reset, which would lose a reply
   for (int n = 0; n < 5; ++n) harness.turn();
-  EXPECT_EQ(receiveAvailable(silent), "FIN");
+  EXPECT_EQ(receiveAvailable(silentClient), "FIN");
 }
 
 // Its place must not be given to another client as its request arrives.
