--- a/src/policy/attempt_outcome.h
+++ b/src/policy/attempt_outcome.h
@@ -5,14 +5,15 @@
 // How an attempt or a health check ended.
 enum class AttemptOutcome {
   completed,
-  error,                  // the endpoint answered with an error; the message may have been executed
-  rejected,               // the endpoint refused it unexecuted: over its limit, or its table is full
-  timeout,                // no answer in time
-  connectFailed,          // no connection; provably not executed
-  reset,                  // the connection broke with the request on its way
-  cancelled,              // this host cancelled it
-  notSent,                // never sent, since it was no longer wanted or allowed
-  localResourceExhausted  // never sent, for want of a resource of this host, such as a descriptor
+  error,          // the endpoint answered with an error; the message may have been executed
+  rejected,       // the endpoint refused the message without executing it: it is over its rate limit, or
+                  // its connection table is full
+  timeout,        // no response in time
+  connectFailed,  // no connection was established; provably not executed
+  reset,          // the connection broke while the request was in flight
+  cancelled,      // this host cancelled the attempt
+  notSent,        // never sent: no longer wanted, or no longer allowed
+  localResourceExhausted  // never sent: this host lacked a resource, such as a file descriptor
 };
 
 // Whether the attempt provably never left this host.
--- a/src/policy/attempt_report.h
+++ b/src/policy/attempt_report.h
@@ -5,11 +5,11 @@
 
 namespace stonewing {
 
-// What a host reports of an attempt that has ended.
+// The host's report on an attempt that has ended.
 struct AttemptReport {
   AttemptOutcome outcome{};
   Millis latency{};     // from the start of the attempt
-  Millis retryAfter{};  // what the response asks for, from now; 0 for nothing
+  Millis retryAfter{};  // delay that the response asks for, in milliseconds from now; 0: none
   LoadReport report;
 };
 
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -6,33 +6,34 @@
 #include "policy/attempt_outcome.h"
 #include "policy/endpoint_state.h"
 
-// What the policy asks its host to do: one alternative of Decision for each kind. Durations are milliseconds.
+// The decisions that the policy returns for its host to carry out. Decision has one alternative for each
+// kind. Durations are in milliseconds.
 namespace stonewing {
 
-// What a response reports of the rate limit at its endpoint.
+// The rate limit of an endpoint, as one of its responses reports it.
 struct LoadReport {
-  double rateLimit{-1};       // requests a second; 0 where there is none, below 0 where nothing is reported
-  double remainingShare{-1};  // share of it that remains just now, 0 to 1; below 0 where none is reported
+  double rateLimit{-1};       // requests a second; 0: no limit, below 0: not reported
+  double remainingShare{-1};  // unused share of the limit at the moment, 0 to 1; below 0: not reported
 };
 
 // Send one attempt of a message. Attempts of one batch are decided in one round.
 struct SendAttempt {
   MessageId message{};
   EndpointId endpoint{};
-  int attempt{};     // its number among the message's attempts, from 0
+  int attempt{};     // index among the message's attempts, from 0
   Millis timeout{};  // milliseconds from now
 };
 
-// Cancel a pending attempt: it is a losing attempt, or stuck.
+// Cancel a pending attempt that is losing or stuck.
 struct CancelAttempt {
   MessageId message{};
   int attempt{};
 };
 
-// End a message with the promise that submitting it again is harmless.
+// End a message undelivered. This promises its client that submitting the message again is harmless.
 struct ShedMessage {
   MessageId message{};
-  Millis retryAfter{};  // when to submit again, milliseconds from now; 0: no time is given
+  Millis retryAfter{};  // when the client should submit it again, milliseconds from now; 0: no advice
 };
 
 // End a message as failed: it may have been executed, or no attempt is left.
@@ -50,7 +51,7 @@
   EndpointId endpoint{};
 };
 
-// Call again at that time, in milliseconds of the policy's clock. Replaces an earlier timer.
+// Call the policy again at that time, in milliseconds of its clock. Replaces an earlier timer.
 struct SetTimer {
   Millis at{};
 };
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -11,13 +11,14 @@
 struct Destination;
 struct Route;
 
-// What is known of failures at one endpoint. OutlierDetector alone writes it.
+// Recent failures and successes of one endpoint. Only OutlierDetector writes it.
 class FailureHistory {
  public:
   int consecutiveFailures() const { return consecutiveFailures_; }
   Millis lastFailureAt() const { return lastFailureAt_; }
   Millis lastSuccessAt() const { return lastSuccessAt_; }
-  // Nothing has come back for long, neither from its oldest pending requests nor from later ones.
+  // Whether the endpoint has not responded for long, neither to its oldest pending requests nor to later
+  // ones.
   bool isUnresponsive() const { return unresponsive_; }
 
  private:
@@ -25,18 +26,19 @@
   int consecutiveFailures_{0};
   Millis lastFailureAt_{0};
   Millis lastSuccessAt_{0};
-  int consecutiveTimeouts_{0};    // attempts cancelled since its last completion
-  Millis firstTimeoutSentAt_{0};  // when the first of them was sent
+  int consecutiveTimeouts_{0};    // attempts cancelled since the endpoint last completed one
+  Millis firstTimeoutSentAt_{0};  // when the first of these attempts was sent
   bool unresponsive_{false};
 };
 
-// The requests of one endpoint. RequestTracker alone writes it.
+// The requests of one endpoint. Only RequestTracker writes it.
 class EndpointRequests {
  public:
   int inFlight() const { return inFlight_; }
   int batchSize() const { return batchSize_; }
   int batchRequestId() const { return batchRequestId_; }
-  // The round in which its last request was opened; that request takes further messages in this round only.
+  // The round in which the endpoint's last request was opened. Further messages may join that request in the
+  // same round only.
   int batchRound() const { return batchRound_; }
 
  private:
@@ -47,26 +49,27 @@
   int batchSize_{0};
 };
 
-// The use of connections to one endpoint. ConnectionReuse alone writes it.
+// The use of connections to one endpoint. Only ConnectionReuse writes it.
 class ConnectionUse {
  private:
   friend class ConnectionReuse;
-  Millis lastUsedAt_{-1};           // end of its last request, while a connection may be idle; -1 for none
-  Millis lastRequestInterval_{-1};  // from its last request but one to the last; -1 before the second
+  Millis lastUsedAt_{-1};  // end of the last request, while a connection may be idle; -1: none is idle
+  Millis lastRequestInterval_{-1};  // time between the last two requests; -1 before the second request
   Millis lastRequestAt_{-1};
 };
 
-// An endpoint of a destination. EndpointRegistry owns it and writes its plain fields.
+// An endpoint of a destination. EndpointRegistry owns it and writes the fields up to removedAt; the other
+// members have their own writers, named at their classes.
 struct Endpoint {
   EndpointId id{};
   Destination* destination{};  // stays valid: destinations are never removed
-  Route* route{};              // stays valid: only a route of one endpoint is ever forgotten, with it
+  Route* route{};  // stays valid: only routes of a single endpoint are deleted, with that endpoint
   KindId kind{};
   ZoneId zone{};
   double weight{0};
   int maxBatchSize{1};  // messages in one request
   EndpointState state{EndpointState::removed};
-  Millis removedAt{-1};  // not in the endpoint list since then; -1 while it is
+  Millis removedAt{-1};  // since when the endpoint is missing from the endpoint list; -1 while it is listed
   EndpointRequests requests;
   FailureHistory failures;
   ConnectionUse connections;
--- a/src/policy/endpoint_state.h
+++ b/src/policy/endpoint_state.h
@@ -2,7 +2,7 @@
 
 namespace stonewing {
 
-// Whether an endpoint may be used, as the endpoint list says.
+// Whether an endpoint may be used, according to the endpoint list.
 enum class EndpointState {
   removed,  // no longer in the list
   ready,
--- a/src/policy/latency_reservoir.h
+++ b/src/policy/latency_reservoir.h
@@ -13,7 +13,7 @@
   Millis p50{0};
 };
 
-// A bounded random sample of latencies with its quantiles. LatencyTracker alone writes it.
+// A bounded random sample of latencies and its quantiles. Only LatencyTracker writes it.
 class LatencyReservoir {
  public:
   std::size_t size() const { return samples_.size(); }
