--- a/src/policy/attempt_canceller.cpp
+++ b/src/policy/attempt_canceller.cpp
@@ -9,10 +9,14 @@
 namespace stonewing {
 namespace {
 
-constexpr double kStuckFactor = 4;       // an attempt is stuck after so many p95, where responses come late
-constexpr double kMinStuckFactor = 1.8;  // and where they do not come at all
-constexpr double kTimeoutScaleDecrease = 0.4;     // of the timeout scale, by a stuck attempt
-constexpr double kTimeoutScaleGrowth = 1.0 / 32;  // of what is missing from 1, by a success
+// Multiples of p95 after which an attempt counts as stuck: kStuckFactor at a timeout scale of 1 (responses
+// come late), kMinStuckFactor at 0 (no responses come).
+constexpr double kStuckFactor = 4;
+constexpr double kMinStuckFactor = 1.8;
+// Each stuck attempt lowers the timeout scale by this share of it.
+constexpr double kTimeoutScaleDecrease = 0.4;
+// Each success raises the timeout scale by this share of its distance to 1.
+constexpr double kTimeoutScaleGrowth = 1.0 / 32;
 
 }  // namespace
 
@@ -43,25 +47,27 @@
     cursor_.passOver(id);
     Message& message = messages_.at(id);
     if (message.finished || message.responseStarted) continue;
-    Situation situation{.mayRetry = mayAttempt(settings_, message, clock_.now()),
-                        .isOutOfRequests = isOutOfRequests};
+    RetryContext context{.mayRetry = mayAttempt(settings_, message, clock_.now()),
+                         .isOutOfRequests = isOutOfRequests};
     for (std::size_t index = 0; index < message.attempts.size(); ++index) {
       Attempt& attempt = message.attempts[index];
-      if (!isStuck(message, attempt, situation)) continue;
+      if (!isStuck(message, attempt, context)) continue;
       attempt.cancelled = true;
       outliers_.recordTimeout(*attempt.endpoint, attempt.sentAt);
       timeoutScale_ *= 1 - kTimeoutScaleDecrease;
-      cursor_.stayAt(id);  // another attempt of it may be stuck too
+      cursor_.stayAt(id);  // another attempt of this message may be stuck too
       return CancelAttempt{id, static_cast<int>(index)};
     }
   }
   return std::nullopt;
 }
 
-// An attempt that later ones have overtaken is lost, and cancelled while a retry is still allowed. With all
-// concurrent requests in use, so is any that is long overdue, even when that ends its message. The more stay
-// unanswered the sooner: lost responses would otherwise hold all concurrent requests.
-bool AttemptCanceller::isStuck(const Message& message, const Attempt& attempt, Situation situation) {
+// An attempt without a response in the stuck time counts as lost if a later attempt at the same route has
+// succeeded meanwhile; it is then cancelled as long as a retry is allowed. While all concurrent requests are
+// in use, any attempt past the stuck time is cancelled if a retry is allowed, and a long overdue one even if
+// that ends its message. Each stuck attempt shortens the stuck time. Without this, attempts whose responses
+// were lost would occupy all concurrent requests.
+bool AttemptCanceller::isStuck(const Message& message, const Attempt& attempt, RetryContext context) {
   if (!attempt.pending || attempt.cancelled) return false;
   const Route& route = *attempt.endpoint->route;
   Millis p95 = latencies_.typicalLatency(route, trafficTypeOf(settings_, message)).p95;
@@ -69,11 +75,11 @@
       attempt.sentAt + (kMinStuckFactor + (kStuckFactor - kMinStuckFactor) * timeoutScale_) * p95;
   if (!clock_.isReached(stuckAt)) return false;
   bool isOvertaken =
-      situation.mayRetry && !route.recovery.isOutage() && route.recovery.lastSuccessSentAt() > attempt.sentAt;
+      context.mayRetry && !route.recovery.isOutage() && route.recovery.lastSuccessSentAt() > attempt.sentAt;
   if (isOvertaken) return true;
-  bool isRouteSilent = route.recovery.isOutage() || attempt.endpoint->failures.isUnresponsive();
-  Millis overdueAfter = (isRouteSilent ? kStuckFactor : 2 * kStuckFactor) * p95;
-  return situation.isOutOfRequests && (situation.mayRetry || clock_.now() - attempt.sentAt > overdueAfter);
+  bool hasNoResponses = route.recovery.isOutage() || attempt.endpoint->failures.isUnresponsive();
+  Millis overdueAfter = (hasNoResponses ? kStuckFactor : 2 * kStuckFactor) * p95;
+  return context.isOutOfRequests && (context.mayRetry || clock_.now() - attempt.sentAt > overdueAfter);
 }
 
 Millis AttemptCanceller::attemptTimeout(const Message& message, const Route& route) const {
--- a/src/policy/attempt_canceller.h
+++ b/src/policy/attempt_canceller.h
@@ -11,15 +11,17 @@
 #include "policy/scan_cursor.h"
 #include "settings/deployment_settings.h"
 
-// Decides which pending attempts are cancelled: losing attempts of finished messages, and stuck ones.
+// Decides which pending attempts are cancelled: losing attempts, whose message has already finished, and
+// stuck attempts, for which a response is no longer expected.
 //
-// Owns: the timeout scale, which falls with attempts that stay unanswered, and the progress of its scan over
-// the pending attempts. Input: successes. Queries: the next attempt to cancel, the timeout of a new attempt.
+// Owns: the timeout scale, which falls with each stuck attempt, and the progress of its scan over
+// the pending attempts. Input: successes, resets of that scan. Queries: the next attempt to cancel, the
+// timeout of a new attempt.
 namespace stonewing {
 
 class AttemptCanceller {
  public:
-  // All outlive it.
+  // All arguments must outlive the canceller.
   AttemptCanceller(const DeploymentSettings& settings, RoundClock& clock, const LatencyTracker& latencies,
                    const OutlierDetector& outliers, const RequestTracker& requests, MessageRegistry& messages)
       : settings_(settings),
@@ -29,28 +31,29 @@
         requests_(requests),
         messages_(messages) {}
 
-  // A response came; more time is given to late ones.
+  // An attempt succeeded: raises the timeout scale, which gives late responses more time.
   void recordSuccess();
-  // Something was heard of an attempt: those seen in this round are looked at again.
+  // The result of an attempt has arrived: the attempts already scanned in this round are scanned again.
   void resetScan() { cursor_ = {}; }
 
-  // The next pending attempt of a finished message, marked as cancelled; nothing if there is none.
+  // Returns the next pending attempt of a finished message and marks it as cancelled; nothing if there is
+  // none.
   std::optional<Decision> nextLosing();
-  // The next attempt that is not expected to be answered any more, marked as cancelled; nothing if there is
-  // none. Then the clock wakes the policy when one may be stuck.
+  // Returns the next stuck attempt and marks it as cancelled. If there is none, returns nothing, and the
+  // clock wakes the policy when an attempt may be stuck.
   std::optional<Decision> nextStuck();
-  // After so many milliseconds an attempt sent now is to time out, where the host cannot cancel one; where it
-  // can, at the deadline.
+  // Time-out of an attempt sent now, in milliseconds. Where the host can cancel attempts, and for
+  // non-idempotent messages, it lasts until the message's deadline.
   Millis attemptTimeout(const Message& message, const Route& route) const;
-  // From 0 to 1: how long to wait for late responses before an attempt counts as stuck.
+  // From 0 to 1: the smaller, the sooner an attempt without a response counts as stuck.
   double timeoutScale() const { return timeoutScale_; }
 
  private:
-  struct Situation {
+  struct RetryContext {
     bool mayRetry{false};         // the message has another attempt left
     bool isOutOfRequests{false};  // all concurrent requests are in use
   };
-  bool isStuck(const Message& message, const Attempt& attempt, Situation situation);
+  bool isStuck(const Message& message, const Attempt& attempt, RetryContext context);
 
   const DeploymentSettings& settings_;
   RoundClock& clock_;
@@ -60,7 +63,7 @@
   MessageRegistry& messages_;
   double timeoutScale_{1};
   ScanCursor cursor_;
-  bool wasOutOfRequests_{false};  // in the current scan
+  bool wasOutOfRequests_{false};  // whether all concurrent requests were in use during the current scan
 };
 
 }  // namespace stonewing
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -8,13 +8,14 @@
 namespace stonewing {
 namespace {
 
-constexpr double kInitialShare = 0.5;  // of the concurrent requests
-constexpr double kMaxShare = 0.75;     // the same; one destination must not take all of them
+// Limits of a route and a destination, as shares of all concurrent requests of the dispatcher.
+constexpr double kInitialShare = 0.5;
+constexpr double kMaxShare = 0.75;  // one destination must not occupy all concurrent requests
 constexpr double kDecreaseFactor = 0.75;
 
 }  // namespace
 
-void ConcurrencyLimiter::begin(Route& route) const {
+void ConcurrencyLimiter::initialize(Route& route) const {
   route.limit.value_ = std::max(1.0, std::floor(settings_.maxConcurrentRequests * kInitialShare));
 }
 
@@ -38,9 +39,11 @@
                                      int requestsInFlight) const {
   bool oneAtATime = route.pacing.consecutiveRejections() > 0 && !pacer_.isPaced(route);
   int limit = oneAtATime ? 1 : std::max(1, static_cast<int>(route.limit.value()));
-  if (oneAtATime) {  // requests that hang say nothing of a rate limit, and must not keep the rest shut
-    for (const Endpoint* other : route.endpoints)
-      limit += other->failures.isUnresponsive() ? other->requests.inFlight() : 0;
+  if (oneAtATime) {
+    // Requests that hang at unresponsive endpoints show nothing about a rate limit. Unless they are left out
+    // of the count, they block the route's other endpoints until they end.
+    for (const Endpoint* routeEndpoint : route.endpoints)
+      limit += routeEndpoint->failures.isUnresponsive() ? routeEndpoint->requests.inFlight() : 0;
   }
   if (requestsInFlight >= settings_.maxConcurrentRequests || route.requestsInFlight >= limit) return false;
   int maxForDestination = std::max(1, static_cast<int>(settings_.maxConcurrentRequests * kMaxShare));
--- a/src/policy/concurrency_limiter.h
+++ b/src/policy/concurrency_limiter.h
@@ -4,26 +4,28 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// Decides whether one more request fits at a route: additive increase, multiplicative decrease (AIMD).
+// Limits the concurrent requests to each route by additive increase, multiplicative decrease (AIMD).
 //
-// Owns: the ConcurrencyLimit of each route. Input: responses in time, signs of overload. Query: whether a
+// Owns: the ConcurrencyLimit of each route. Input: timely responses, signs of overload. Query: whether a
 // route has capacity for one more request.
 namespace stonewing {
 
 class ConcurrencyLimiter {
  public:
-  // All outlive it.
+  // All arguments must outlive the limiter.
   ConcurrencyLimiter(const DeploymentSettings& settings, const RoundClock& clock, const RatePacer& pacer)
       : settings_(settings), clock_(clock), pacer_(pacer) {}
 
-  // A new route begins with its initial limit.
-  void begin(Route& route) const;
-  // A response came in time: the limit grows by one for each limit's worth of them.
+  // Gives a new route its initial limit.
+  void initialize(Route& route) const;
+  // A response came in time. After as many timely responses as the limit's value, the limit grows by one.
   void recordTimelyResponse(Route& route) const;
-  // A late response, a time-out or a rejection of an attempt sent at that time. One episode decreases once:
-  // attempts sent before the last decrease belong to the same trouble.
+  // An attempt sent at that time showed overload: a late response, a failed connection, a time-out or a
+  // rejection. Ignored for attempts sent before the last decrease: they belong to the same overload, which
+  // must lower the limit only once.
   void decrease(Route& route, Millis sentAt) const;
-  // Whether one more request to that endpoint fits; requestsInFlight: those of the whole dispatcher.
+  // Whether the dispatcher, the endpoint's route and its destination have capacity for one more request.
+  // requestsInFlight: requests of the whole dispatcher.
   bool hasCapacity(const Route& route, const Endpoint& endpoint, int requestsInFlight) const;
 
  private:
--- a/src/policy/connection_reuse.cpp
+++ b/src/policy/connection_reuse.cpp
@@ -5,10 +5,14 @@
 namespace stonewing {
 namespace {
 
-constexpr double kDecreaseFactor = 0.35;  // of the reusable idle time, when a table is full or a connection
-                                          // was dead
-constexpr double kMinShare = 0.025;       // of the idle timeout; connections hardly idle also break
-constexpr double kIncreaseFactor = 1.1;   // by each connection that worked after a long idle time
+// Multiplies the reusable idle time when an endpoint's connection table is full or an idle connection was
+// dead.
+constexpr double kDecreaseFactor = 0.35;
+// The shortest reusable idle time, as a share of the idle timeout. Connections that were hardly idle break
+// too, which shows nothing about idle ones.
+constexpr double kMinShare = 0.025;
+// Multiplies the reusable idle time for each connection that worked after a long idle time.
+constexpr double kIncreaseFactor = 1.1;
 
 }  // namespace
 
@@ -17,7 +21,7 @@
   return lastUsedAt >= 0 && endpoint.requests.inFlight() == 0 ? clock_.now() - lastUsedAt : 0;
 }
 
-bool ConnectionReuse::isTooOld(const Endpoint& endpoint) const {
+bool ConnectionReuse::isIdleTooLong(const Endpoint& endpoint) const {
   Millis lastUsedAt = endpoint.connections.lastUsedAt_;
   return endpoint.requests.inFlight() == 0 && lastUsedAt >= 0 &&
          clock_.now() - lastUsedAt > reusableIdleTime_;
@@ -32,11 +36,11 @@
 
 void ConnectionReuse::recordResult(const Attempt& attempt, const AttemptReport& result) {
   Millis minIdleTime = kMinShare * settings_.connectionIdleTimeout;
-  // A new connection rejected without a report, where responses hold one: not by a rate limit, so the
-  // endpoint's connection table is full.
+  // The endpoint rejected a request on a new connection without a load report, although responses carry one:
+  // the cause is a full connection table, not a rate limit.
   bool isTableFull = result.outcome == AttemptOutcome::rejected && pacer_.hasSeenLoadReport() &&
                      result.report.rateLimit < 0 && result.retryAfter <= 0 && attempt.connectionIdleTime <= 0;
-  // A connection that fails where others complete: the same.
+  // A failed connection to a route where attempts have completed recently also shows a full connection table.
   const RouteRecovery& recovery = attempt.endpoint->route->recovery;
   isTableFull = isTableFull || (result.outcome == AttemptOutcome::connectFailed &&
                                 recovery.lastSuccessAt() > clock_.now() - settings_.slowStartDuration);
@@ -51,9 +55,10 @@
   reusableIdleTime_ = std::max(reusableIdleTime_, minIdleTime);
 }
 
-// A connection is kept only where the next request is expected while it is still good: after the last time
-// between two requests there or, not known, by our requests spread over all endpoints.
-Endpoint* ConnectionReuse::popToClose(std::size_t endpointCount) {
+// An idle connection stays open only if the next request to its endpoint is expected within the reusable idle
+// time. The expected interval is the time between the last two requests there. While that is unknown, it is
+// the average interval if this dispatcher's requests were spread evenly over all endpoints.
+Endpoint* ConnectionReuse::popEndpointToClose(std::size_t endpointCount) {
   while (!idleEndpoints_.empty()) {
     Endpoint& endpoint = *idleEndpoints_.front();
     idleEndpoints_.pop_front();
--- a/src/policy/decision.h
+++ b/src/policy/decision.h
@@ -30,7 +30,7 @@
   int attempt{};
 };
 
-// End a message undelivered. This promises its client that submitting the message again is harmless.
+// End a message and promise its client that submitting it again is harmless.
 struct ShedMessage {
   MessageId message{};
   Millis retryAfter{};  // when the client should submit it again, milliseconds from now; 0: no advice
--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -153,7 +153,7 @@
   attempt->pending = message.responseStarted = false;
   attempt->provablyNotExecuted = isProvablyNotExecuted(outcome);
   clock_.endQuiet();
-  if (Endpoint* idle = requests_.endAttempt(*attempt)) connections_.addIdle(*idle);
+  if (Endpoint* idle = requests_.endAttempt(*attempt)) connections_.addIdleEndpoint(*idle);
   zones_.recordAttemptEnd(attempt->isSpillover);
   connections_.recordAttemptEnd(*attempt->endpoint);
   learnFromResult(message, *attempt, result);
@@ -311,7 +311,7 @@
   std::optional<PlannedAttempt> planned = scheduler_.next();
   if (!planned) return std::nullopt;
   Endpoint& endpoint = *planned->endpoint;
-  if (connections_.isTooOld(endpoint)) {
+  if (connections_.isIdleTooLong(endpoint)) {
     connections_.recordClosed(endpoint);
     return CloseIdleConnection{endpoint.id};
   }
@@ -319,7 +319,7 @@
 }
 
 std::optional<Decision> DispatchPolicy::nextIdleConnection() {
-  const Endpoint* endpoint = connections_.popToClose(endpoints_.endpoints().size());
+  const Endpoint* endpoint = connections_.popEndpointToClose(endpoints_.endpoints().size());
   if (endpoint == nullptr) return std::nullopt;
   return CloseIdleConnection{endpoint->id};
 }
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -37,7 +37,7 @@
   bool isApart = kind < settings_.kinds.size() && settings_.kinds[kind].routesApart;
   RouteId id = isApart ? singleEndpointRoute(endpoint.id) : RouteId{endpoint.destination->id.value};
   auto [entry, isNew] = routes_.try_emplace(id);
-  if (isNew) limiter_.begin(entry->second);
+  if (isNew) limiter_.initialize(entry->second);
   return entry->second;
 }
 
