--- a/src/policy/dispatch_policy.cpp
+++ b/src/policy/dispatch_policy.cpp
@@ -12,14 +12,14 @@
 namespace stonewing {
 namespace {
 
-constexpr double kRetryDelayShare = 0.5;  // of p50, before a retry after an error
+constexpr double kRetryDelayShare = 0.5;  // delay of a retry after an error, as a share of p50
 
-// The attempt's bytes reached no server that would have executed it.
+// Whether the attempt reached no server that would have executed it.
 bool isProvablyNotExecuted(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connectFailed || isUnsent(outcome);
 }
 
-// The attempt was sent, and nobody knows whether it is still to be executed.
+// Whether the attempt was sent and may still be executed later.
 bool isUncertain(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::timeout || outcome == AttemptOutcome::reset ||
          outcome == AttemptOutcome::cancelled;
@@ -75,30 +75,30 @@
   endpoints_.add(id, destination, kind, zone, weight, state);
 }
 
-void DispatchPolicy::commitEndpointList(bool isWhole) {
+void DispatchPolicy::commitEndpointList(bool isComplete) {
   clock_.endQuiet();
-  endpoints_.commitList(isWhole ? ListScope::complete : ListScope::partial);
+  endpoints_.commitList(isComplete ? ListScope::complete : ListScope::partial);
   for (const auto& [id, endpoint] : endpoints_.endpoints()) {
     bool isImpaired = endpoint.route->recovery.isOutage() || endpoint.failures.consecutiveFailures() > 0;
     if (endpoint.state == EndpointState::ready && isImpaired) healthCheckQueue_.add(id);
   }
   for (auto& [id, route] : endpoints_.routes()) pacer_.beginPacing(route);
-  forgetUnused();
+  eraseUnusedState();
 }
 
-void DispatchPolicy::forgetUnused() {
+void DispatchPolicy::eraseUnusedState() {
   const std::deque<Endpoint*>& idle = connections_.idleEndpoints();
   std::set<const Endpoint*> inUse(idle.begin(), idle.end());
   for (const auto& [id, message] : messages_.all()) {
     for (const Attempt& attempt : message.attempts) inUse.insert(attempt.endpoint);
   }
-  endpoints_.forgetRemoved(inUse);
+  endpoints_.eraseRemoved(inUse);
   ordering_.forgetUnused();
 }
 
 void DispatchPolicy::acceptMessage(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
                                    DestinationId destination, Millis deadline) {
-  // The text goes out on the adapter's wire, in its words.
+  // The adapter sends this text to its client, so the text keeps the terms of that protocol.
   if (type.value >= settings_.types.size()) throw std::out_of_range("a callback of an unknown traffic type");
   Message& message = messages_.accept(id, type, tenant, key, endpoints_.destination(destination), deadline);
   message.overQuota = quota_.recordAccepted(tenant);
@@ -107,8 +107,8 @@
   shedder_.recordAccepted(id, message);
 }
 
-// After a restart: what was pending may have been executed, which counts for idempotency and for the number
-// of attempts.
+// After a restart, an attempt that was pending may have been executed. So it counts for idempotency and for
+// the number of attempts.
 void DispatchPolicy::recordEarlierAttempt(MessageId id, EndpointId endpoint, Millis sentAt,
                                           bool provablyNotExecuted) {
   Message& message = messages_.at(id);
@@ -153,10 +153,10 @@
   attempt->pending = message.responseStarted = false;
   attempt->provablyNotExecuted = isProvablyNotExecuted(outcome);
   clock_.endQuiet();
-  if (Endpoint* idle = requests_.endAttempt(*attempt)) connections_.addIdleEndpoint(*idle);
+  if (Endpoint* idleEndpoint = requests_.endAttempt(*attempt)) connections_.addIdleEndpoint(*idleEndpoint);
   zones_.recordAttemptEnd(attempt->isSpillover);
   connections_.recordAttemptEnd(*attempt->endpoint);
-  learnFromResult(message, *attempt, result);
+  applyResult(message, *attempt, result);
   if (isUncertain(outcome)) ordering_.recordUncertainOutcome(message);
   message.retryNotBefore = clock_.now() + retryDelay(message, *attempt, result);
   messages_.updateIndexes(id, message);
@@ -166,47 +166,50 @@
   messages_.forgetFinished(id);
 }
 
-// What the result says of the connection, the endpoint and its route.
-void DispatchPolicy::learnFromResult(const Message& message, const Attempt& attempt,
-                                     const AttemptReport& result) {
+// Updates the state of the connection, the endpoint and its route by the result of an attempt.
+void DispatchPolicy::applyResult(const Message& message, const Attempt& attempt,
+                                 const AttemptReport& result) {
   Endpoint& endpoint = *attempt.endpoint;
   Route& route = *endpoint.route;
   connections_.recordResult(attempt, result);
   pacer_.recordLoadReport(route, endpoint, result.report);
-  // Also where only some messages of a request were rejected.
+  // Recorded for every outcome: a response that rejects only some messages of its batch may ask for a delay
+  // too.
   pacer_.recordRetryAfter(route, result.retryAfter);
   if (result.outcome == AttemptOutcome::completed) {
     recordSuccess(endpoint, attempt.sentAt, result.latency);
     return;
   }
   if (result.outcome == AttemptOutcome::rejected) {
-    learnFromRejection(attempt, result);
+    applyRejection(attempt, result);
     return;
   }
   if (result.outcome == AttemptOutcome::cancelled || isUnsent(result.outcome)) return;
   if (isStaleConnection(message, attempt, result)) return;
-  // Timed out at the message's deadline: perhaps it was only sent late.
-  bool isCutShort = result.outcome == AttemptOutcome::timeout && clock_.now() >= message.deadline;
-  Millis lateFrom = latencies_.lateFrom(route, trafficTypeOf(settings_, message));
-  if (isCutShort && clock_.now() - attempt.sentAt <= lateFrom) return;
+  // An attempt that timed out at the message's deadline may only have been sent late. It counts as a failure
+  // only if a response would have been late by then.
+  bool timedOutAtDeadline = result.outcome == AttemptOutcome::timeout && clock_.now() >= message.deadline;
+  Millis lateThreshold = latencies_.lateThreshold(route, trafficTypeOf(settings_, message));
+  if (timedOutAtDeadline && clock_.now() - attempt.sentAt <= lateThreshold) return;
   recordFailure(endpoint, attempt.sentAt, result.outcome);
 }
 
-// Without a report where the route sends one, it was rejected by this endpoint alone and not by the route's
-// rate limit.
-void DispatchPolicy::learnFromRejection(const Attempt& attempt, const AttemptReport& result) {
+// A rejection without a load report, by a route whose responses carry one, comes from this endpoint alone and
+// not from the route's rate limit.
+void DispatchPolicy::applyRejection(const Attempt& attempt, const AttemptReport& result) {
   Endpoint& endpoint = *attempt.endpoint;
   const Route& route = *endpoint.route;
-  bool isByEndpoint =
+  bool isByEndpointAlone =
       result.report.rateLimit < 0 && route.pacing.reportedRateLimit() >= 0 && result.retryAfter <= 0;
-  if (isByEndpoint && route.endpoints.size() > 1) {
+  if (isByEndpointAlone && route.endpoints.size() > 1) {
     outliers_.recordFailure(endpoint, result.outcome);
   } else {
     recordRejection(endpoint, attempt.sentAt, result.retryAfter);
   }
 }
 
-// A reset sooner than any response comes, on a reused connection. It says nothing of the endpoint.
+// A reset on a reused connection, sooner than a response usually comes, shows that the connection had already
+// ended. It shows nothing about the endpoint.
 bool DispatchPolicy::isStaleConnection(const Message& message, const Attempt& attempt,
                                        const AttemptReport& result) const {
   if (result.outcome != AttemptOutcome::reset || attempt.connectionIdleTime <= 0) return false;
@@ -217,7 +220,7 @@
 Millis DispatchPolicy::retryDelay(const Message& message, const Attempt& attempt,
                                   const AttemptReport& result) const {
   if (isStaleConnection(message, attempt, result)) return 0;
-  // What the host lacked it may lack still, so that is no reason to retry at once.
+  // A host that lacked a resource may still lack it, so the retry is delayed although nothing was executed.
   if (attempt.provablyNotExecuted && result.outcome != AttemptOutcome::localResourceExhausted) return 0;
   const TrafficType& type = trafficTypeOf(settings_, message);
   return kRetryDelayShare * latencies_.typicalLatency(*attempt.endpoint->route, type).p50;
@@ -239,7 +242,7 @@
 
 void DispatchPolicy::recordFailure(Endpoint& endpoint, Millis sentAt, AttemptOutcome outcome) {
   outliers_.recordFailure(endpoint, outcome);
-  // An error or a reset says nothing of load.
+  // An error or a reset shows nothing about the load.
   if (outcome == AttemptOutcome::connectFailed || outcome == AttemptOutcome::timeout)
     limiter_.decrease(*endpoint.route, sentAt);
   slowStart_.recordFailure(*endpoint.route, sentAt, outcome);
@@ -271,7 +274,8 @@
   }
 }
 
-// A response changes what the pending attempts are compared with.
+// A response changes the latencies and times of success that pending attempts are compared with, so the
+// modules have to scan the pending attempts again.
 void DispatchPolicy::resetScans() {
   outliers_.resetScan();
   canceller_.resetScan();
@@ -287,7 +291,8 @@
          mayStillAttempt(settings_, *message, attempt, clock_.now());
 }
 
-// In the order of urgency: final answers, then what frees requests, then what takes them.
+// Asks the modules in the order of urgency: first for final answers to clients, then for cancellations, which
+// free requests, then for attempts and health checks, which occupy requests.
 std::optional<Decision> DispatchPolicy::nextDecision() {
   outliers_.detectUnresponsive(messages_, slowStart_);
   if (auto decision = shedder_.nextDueAnswer()) return decision;
@@ -335,7 +340,7 @@
   Endpoint& endpoint = *planned.endpoint;
   const Route& route = *endpoint.route;
   Millis idleTime = connections_.idleTime(endpoint);
-  sendInRequest(endpoint);
+  joinOrOpenRequest(endpoint);
   if (message.attempts.empty()) {
     retryBudget_.recordFirstAttempt();
   } else if (kind == AttemptKind::hedge || mayHaveExecuted(message)) {
@@ -357,8 +362,8 @@
   return SendAttempt{planned.message, endpoint.id, attemptNumber, timeout};
 }
 
-// Joins the request that was opened there in this round, or opens one.
-void DispatchPolicy::sendInRequest(Endpoint& endpoint) {
+// Adds a message to the request opened at the endpoint in this round, or opens a new request.
+void DispatchPolicy::joinOrOpenRequest(Endpoint& endpoint) {
   Route& route = *endpoint.route;
   if (selector_.mayJoinBatch(endpoint)) {
     requests_.join(endpoint);
--- a/src/policy/dispatch_policy.h
+++ b/src/policy/dispatch_policy.h
@@ -30,87 +30,90 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Every decision about messages of one dispatcher, and the only part of src/policy/ that hosts call.
+// Makes every decision about the messages of one dispatcher, and is the only part of src/policy/ that hosts
+// call.
 //
-// For each batch of events: call beginRound(now), then the inputs in the order in which they came, which only
-// update what is known, then nextDecision() until it returns nothing, and carry out each decision in order.
-// It has no sockets, files, clock, threads or log of its own; the same settings, seed and inputs give the
-// same decisions. Not thread-safe: one thread calls it. Times and durations are in milliseconds.
+// For each batch of events, the host calls beginRound(now), then the input functions in the order in which
+// the events came, then nextDecision() until it returns nothing, and carries out each decision in order. The
+// input functions only update the policy's state. The policy has no sockets, files, clock, threads or log of
+// its own; the same settings, seed and inputs give the same decisions. Not thread-safe: a single thread calls
+// it. Times and durations are in milliseconds.
 namespace stonewing {
 
 class DispatchPolicy {
  public:
   DispatchPolicy(DeploymentSettings settings, std::uint64_t seed);
-  // Its modules refer to each other.
+  // Not copyable: its modules hold references to each other.
   DispatchPolicy(const DispatchPolicy&) = delete;
   DispatchPolicy& operator=(const DispatchPolicy&) = delete;
 
-  // Time does not run backwards.
+  // now must not be earlier than in the round before.
   void beginRound(Millis now);
 
-  // An endpoint list, or a part of it: begin, then addEndpoint for each endpoint, then commit. isWhole:
-  // endpoints that were not added are removed.
+  // For an endpoint list, or a part of one, call beginEndpointList(), addEndpoint() for each endpoint, then
+  // commitEndpointList(). isComplete: endpoints that were not added are removed.
   void beginEndpointList();
   void addEndpoint(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight,
                    EndpointState state);
-  void commitEndpointList(bool isWhole);
+  void commitEndpointList(bool isComplete);
 
   // Throws std::out_of_range for an unknown traffic type.
   void acceptMessage(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
                      DestinationId destination, Millis deadline);
-  // Of a message just accepted: an attempt by an earlier process, in the order of its attempts. Message and
-  // endpoint must be known.
+  // Adds an attempt that an earlier process made, to a message that was just accepted. Call it in the order
+  // of the attempts. Message and endpoint must be known.
   void recordEarlierAttempt(MessageId id, EndpointId endpoint, Millis sentAt, bool provablyNotExecuted);
-  // The client no longer wants it.
+  // The client no longer wants the message.
   void cancelMessage(MessageId id);
 
-  // Messages that are no longer known are ignored by all of these.
+  // The next four functions ignore messages that are no longer known.
+
   // How long the connection of an attempt that was just decided had been idle, where the host knows it.
   // Throws std::out_of_range for an unknown attempt of a known message.
   void recordConnectionIdleTime(MessageId id, int attempt, Millis idleTime);
-  // The attempt, delayed since it was decided, is sent now. Throws as above.
+  // An attempt that was decided earlier is sent only now. Throws as recordConnectionIdleTime() does.
   void recordSendTime(MessageId id, int attempt);
-  // Unknown attempts are ignored by these two.
+  // This function and the next ignore unknown attempts.
   void recordResponseStarted(MessageId id, int attempt);
-  // latency: from its start. isFinal: no further attempt is wanted, whatever the outcome. retryAfter: what
-  // the response asks for, from now; 0 for nothing.
+  // latency: from the start of the attempt. isFinal: the message gets no further attempt, whatever the
+  // outcome. retryAfter: the delay that the response asks for, from now; 0 for none.
   void recordAttemptOutcome(MessageId id, int attempt, AttemptOutcome outcome, Millis latency, bool isFinal,
                             Millis retryAfter, LoadReport report);
   void recordHealthCheckOutcome(EndpointId id, AttemptOutcome outcome, LoadReport report);
   void recordTimerFired();
 
-  // The next thing to do in this round; nothing when the round has ended.
+  // Returns the next decision of this round; nothing when the round has ended.
   std::optional<Decision> nextDecision();
 
-  // Whether a tenant is over its quota here, as of its last message.
+  // Whether a tenant was over its quota at this dispatcher when its last message was accepted.
   bool isOverQuota(TenantId tenant) const { return quota_.isOver(tenant); }
-  // Whether an attempt that was decided earlier may still be sent. It begins when its connection is up, which
-  // may be late, and must be one that would be allowed now.
+  // Whether an attempt that was decided earlier may still be sent. It is sent once its connection is
+  // established. That may be late, when a new attempt at the endpoint would no longer be allowed.
   bool mayStartAttempt(MessageId id, int attempt) const;
 
   PolicyState state() const;
 
  private:
   Attempt* findAttempt(MessageId id, int attempt);
-  void learnFromResult(const Message& message, const Attempt& attempt, const AttemptReport& result);
-  void learnFromRejection(const Attempt& attempt, const AttemptReport& result);
-  // Whether its connection had ended before the attempt was sent.
+  void applyResult(const Message& message, const Attempt& attempt, const AttemptReport& result);
+  void applyRejection(const Attempt& attempt, const AttemptReport& result);
+  // Whether the attempt's connection had ended before the attempt was sent.
   bool isStaleConnection(const Message& message, const Attempt& attempt, const AttemptReport& result) const;
   Millis retryDelay(const Message& message, const Attempt& attempt, const AttemptReport& result) const;
   void recordSuccess(Endpoint& endpoint, Millis sentAt, Millis latency);
   void recordFailure(Endpoint& endpoint, Millis sentAt, AttemptOutcome outcome);
   void recordRejection(Endpoint& endpoint, Millis sentAt, Millis retryAfter);
   void resetScans();
-  void forgetUnused();
+  void eraseUnusedState();
 
   std::optional<Decision> nextHedge();
   std::optional<Decision> nextAttempt();
   std::optional<Decision> nextIdleConnection();
   std::optional<Decision> nextTimer();
   Decision sendAttempt(const PlannedAttempt& planned, AttemptKind kind);
-  void sendInRequest(Endpoint& endpoint);
+  void joinOrOpenRequest(Endpoint& endpoint);
 
-  // The modules refer to those above them.
+  // Each module may hold references only to members declared above it.
   DeploymentSettings settings_;
   RandomSource random_;
   RoundClock clock_;
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -9,11 +9,13 @@
 namespace stonewing {
 namespace {
 
-constexpr double kForgetAfterDurations = 4;  // slow-start durations after which nothing known of an endpoint
-                                             // that was removed is true any more
-constexpr std::uint64_t kSingleEndpointRoute = std::uint64_t{1} << 63;  // apart from destinations' ids
+// A removed endpoint is deleted after so many slow-start durations: by then, the state recorded for it is out
+// of date.
+constexpr double kRetentionSlowStarts = 4;
+// Set in the id of a route that has a single endpoint, which keeps these ids apart from ids of destinations.
+constexpr std::uint64_t kSingleEndpointRouteBit = std::uint64_t{1} << 63;
 
-RouteId singleEndpointRoute(EndpointId id) { return RouteId{id.value | kSingleEndpointRoute}; }
+RouteId singleEndpointRoute(EndpointId id) { return RouteId{id.value | kSingleEndpointRouteBit}; }
 
 }  // namespace
 
@@ -34,8 +36,8 @@
 
 Route& EndpointRegistry::routeOf(const Endpoint& endpoint) {
   std::size_t kind = endpoint.kind.value;
-  bool isApart = kind < settings_.kinds.size() && settings_.kinds[kind].routesApart;
-  RouteId id = isApart ? singleEndpointRoute(endpoint.id) : RouteId{endpoint.destination->id.value};
+  bool hasOwnRoute = kind < settings_.kinds.size() && settings_.kinds[kind].routesApart;
+  RouteId id = hasOwnRoute ? singleEndpointRoute(endpoint.id) : RouteId{endpoint.destination->id.value};
   auto [entry, isNew] = routes_.try_emplace(id);
   if (isNew) limiter_.initialize(entry->second);
   return entry->second;
@@ -56,8 +58,10 @@
   for (auto& [id, destination] : destinations_) rankEndpoints(destination);
 }
 
-// Fixed for each destination and dispatcher. The own zone goes first, since crossing zones takes time and is
-// priced; among equals each dispatcher has an order of its own, so that together they spread.
+// Sorts the endpoints into an order that is fixed for each destination and dispatcher. Zones of better
+// priority go first, by default this dispatcher's own zone, since traffic between zones takes time
+// and costs money. Within a priority, each dispatcher has a different order: with one order for all
+// dispatchers, their requests would concentrate on the same endpoints.
 void EndpointRegistry::rankEndpoints(Destination& destination) const {
   auto rank = [&](const Endpoint* endpoint) {
     return std::tuple(zones_.priority(endpoint->destination->id, endpoint->zone),
@@ -67,8 +71,8 @@
             [&](const Endpoint* left, const Endpoint* right) { return rank(left) < rank(right); });
 }
 
-void EndpointRegistry::forgetRemoved(const std::set<const Endpoint*>& inUse) {
-  Millis forgetAfter = kForgetAfterDurations * settings_.slowStartDuration;
+void EndpointRegistry::eraseRemoved(const std::set<const Endpoint*>& inUse) {
+  Millis retentionPeriod = kRetentionSlowStarts * settings_.slowStartDuration;
   for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
     Endpoint& endpoint = entry->second;
     if (endpoint.state != EndpointState::removed) {
@@ -76,7 +80,7 @@
     } else if (endpoint.removedAt < 0) {
       endpoint.removedAt = clock_.now();
     }
-    bool isExpired = endpoint.removedAt >= 0 && clock_.now() - endpoint.removedAt >= forgetAfter;
+    bool isExpired = endpoint.removedAt >= 0 && clock_.now() - endpoint.removedAt >= retentionPeriod;
     if (!isExpired || inUse.contains(&endpoint)) {
       ++entry;
       continue;
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -12,35 +12,35 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// The endpoints, routes and destinations as the endpoint list names them, and the order of preference among
-// endpoints.
+// Holds the endpoints, routes and destinations of the endpoint list, and the order of preference among the
+// endpoints of a destination.
 //
-// Owns: these three. Its maps' nodes are stable: pointers to destinations stay valid for good, pointers to
-// endpoints and routes until forgetRemoved() forgets them.
+// Owns: the endpoints, routes and destinations. The maps' nodes are stable: pointers to destinations stay
+// valid as long as the registry exists, pointers to endpoints and routes until eraseRemoved() deletes them.
 namespace stonewing {
 
-// complete: endpoints that were not added are removed. partial: they stay as they are.
+// complete: endpoints that were not added are removed. partial: those endpoints stay as they are.
 enum class ListScope { complete, partial };
 
 class EndpointRegistry {
  public:
-  // All outlive it.
+  // All arguments must outlive the registry.
   EndpointRegistry(const DeploymentSettings& settings, const RoundClock& clock, ZoneFailover& zones,
                    const ConcurrencyLimiter& limiter)
       : settings_(settings), clock_(clock), zones_(zones), limiter_(limiter) {}
 
-  // One list, or one part of it, is given by beginList(), an add() for each endpoint, and commitList().
+  // For an endpoint list, or a part of one, call beginList(), add() for each endpoint, then commitList().
   void beginList() { listed_.clear(); }
   void add(EndpointId id, DestinationId destination, KindId kind, ZoneId zone, double weight,
            EndpointState state);
   void commitList(ListScope scope);
-  // Endpoints come and go all day under new ids. Forgets those that no list has named for long and that are
-  // not in use, with their routes.
-  void forgetRemoved(const std::set<const Endpoint*>& inUse);
+  // Deletes the endpoints that have been removed for long and are not in use, with the routes that only they
+  // have. New endpoints get new ids all day, so without this the maps would grow without bound.
+  void eraseRemoved(const std::set<const Endpoint*>& inUse);
 
-  // Created when it is first named.
+  // Creates the destination at its first use.
   Destination& destination(DestinationId id);
-  // Null for an id that is not known.
+  // Returns null for an id that is not known.
   Endpoint* find(EndpointId id);
   // The id must be known.
   Endpoint& at(EndpointId id) { return endpoints_.at(id); }
@@ -60,7 +60,7 @@
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<RouteId, Route> routes_;
   std::map<DestinationId, Destination> destinations_;
-  std::set<EndpointId> listed_;  // by the list that is being given
+  std::set<EndpointId> listed_;  // endpoints added since beginList()
 };
 
 }  // namespace stonewing
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -9,9 +9,12 @@
 namespace stonewing {
 namespace {
 
-constexpr int kSpareRequestsForHedge = 2;  // below the limit; a hedge must not fill a route
+// Requests that a route must have free below its limit for a hedge, which must not take the last one.
+constexpr int kSpareRequestsForHedge = 2;
 
-bool wasUsed(const Message& message, const Endpoint& endpoint, AttemptKind kind) {
+// A hedge avoids every endpoint that the message has an attempt at, other attempts only those where one is
+// pending.
+bool hasConflictingAttempt(const Message& message, const Endpoint& endpoint, AttemptKind kind) {
   return std::any_of(message.attempts.begin(), message.attempts.end(), [&](const Attempt& attempt) {
     return attempt.endpoint == &endpoint && (kind == AttemptKind::hedge || attempt.pending);
   });
@@ -23,27 +26,27 @@
   const std::vector<Endpoint*>& ranking = message.destination->ranking;
   auto rankingSize = static_cast<double>(ranking.size());
   Endpoint* best = nullptr;
-  std::tuple<bool, bool, int> bestPlace;
+  std::tuple<bool, bool, int> lowestCost;
   for (Endpoint* candidate : ranking) {
     const Endpoint& endpoint = *candidate;
-    if (wasUsed(message, endpoint, kind)) continue;
+    if (hasConflictingAttempt(message, endpoint, kind)) continue;
     if (!mayAttemptAt(settings_, message, endpoint, clock_.now())) continue;
-    if (kind == AttemptKind::hedge && !isFitForHedge(endpoint)) continue;
+    if (kind == AttemptKind::hedge && !mayHedgeAt(endpoint)) continue;
     if (!mayUseZone(endpoint) || !isOpen(endpoint)) continue;
-    // An endpoint's part of the limit is enough for it; beyond that the next in the ranking goes first.
-    int enough = std::max(1, static_cast<int>(std::ceil(endpoint.route->limit.value() / rankingSize)));
+    // An endpoint that has its share of the route's limit in flight is used only after those that have less.
+    int endpointShare = std::max(1, static_cast<int>(std::ceil(endpoint.route->limit.value() / rankingSize)));
     int inFlight = endpoint.requests.inFlight();
-    bool hasEnough = !mayJoinBatch(endpoint) && inFlight >= enough;
-    auto place = std::tuple(outliers_.isEjected(endpoint), hasEnough, hasEnough ? inFlight : 0);
-    if (best == nullptr || place < bestPlace) {
+    bool hasFullShare = !mayJoinBatch(endpoint) && inFlight >= endpointShare;
+    auto cost = std::tuple(outliers_.isEjected(endpoint), hasFullShare, hasFullShare ? inFlight : 0);
+    if (best == nullptr || cost < lowestCost) {
       best = candidate;
-      bestPlace = place;
+      lowestCost = cost;
     }
   }
   return best;
 }
 
-bool EndpointSelector::isFitForHedge(const Endpoint& endpoint) const {
+bool EndpointSelector::mayHedgeAt(const Endpoint& endpoint) const {
   const Route& route = *endpoint.route;
   return !route.recovery.isLimited() && route.pacing.consecutiveRejections() <= 0 &&
          route.limit.value() >= route.requestsInFlight + kSpareRequestsForHedge &&
@@ -63,9 +66,9 @@
          limiter_.hasCapacity(route, endpoint, requests_.inFlight());
 }
 
-// A lost zone gets nothing, one that returns is fed along its ramp, and messages of other zones keep to their
-// part of a zone. How long a message has to wait is not known, so it is asked again within an overload
-// window.
+// A lost zone gets no attempts, a recovering zone as many as its ramp allows, and spillover from other zones
+// is limited. The time from which an attempt is allowed may change with later events, so the policy checks
+// again within an overload window.
 bool EndpointSelector::mayUseZone(const Endpoint& endpoint) {
   return clock_.isReached(std::min(zones_.attemptAllowedFrom(endpoint.destination->id, endpoint.zone),
                                    clock_.now() + settings_.overloadWindow));
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -10,15 +10,16 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Decides which endpoint the next attempt of a message goes to: the first in the destination's ranking,
-// unless it has enough requests or fails while others work.
+// Decides which endpoint gets the next attempt of a message: the first in the destination's ranking. An
+// endpoint that is ejected, or that has its share of the route's limit in flight, is used only after the
+// others.
 //
 // Owns nothing; queries the modules that limit endpoints, routes and zones.
 namespace stonewing {
 
 enum class AttemptKind { regular, hedge };
 
-// An attempt that the policy wants to send. The endpoint stays valid until the next endpoint list.
+// An attempt that the policy plans to send. The endpoint stays valid until the next endpoint list.
 struct PlannedAttempt {
   MessageId message{};
   Endpoint* endpoint{};
@@ -26,7 +27,7 @@
 
 class EndpointSelector {
  public:
-  // All outlive it.
+  // All arguments must outlive the selector.
   EndpointSelector(const DeploymentSettings& settings, RoundClock& clock, const RequestTracker& requests,
                    const ConcurrencyLimiter& limiter, RatePacer& pacer, SlowStart& slowStart,
                    const OutlierDetector& outliers, const ZoneFailover& zones)
@@ -39,16 +40,16 @@
         outliers_(outliers),
         zones_(zones) {}
 
-  // Null where no endpoint may be used now; then the clock wakes the policy when one may.
+  // Returns null if no endpoint may be used now; then the clock wakes the policy when one may be used.
   Endpoint* select(const Message& message, AttemptKind kind);
   // Whether a message may join the request that was opened at the endpoint in this round.
   bool mayJoinBatch(const Endpoint& endpoint) const;
-  // Whether a message may go to the endpoint now, in a request of its own or another's.
+  // Whether a message may go to the endpoint now, in a new request or in one that it joins.
   bool isOpen(const Endpoint& endpoint);
 
  private:
   bool mayUseZone(const Endpoint& endpoint);
-  bool isFitForHedge(const Endpoint& endpoint) const;
+  bool mayHedgeAt(const Endpoint& endpoint) const;
 
   const DeploymentSettings& settings_;
   RoundClock& clock_;
--- a/src/policy/health_checker.cpp
+++ b/src/policy/health_checker.cpp
@@ -25,8 +25,8 @@
   return std::nullopt;
 }
 
-// One at a time in a route; the others are looked at again when that has ended. In an outage the endpoints
-// take turns, else only those that fail are checked.
+// A route has one health check at a time; recordOutcome() has its other endpoints examined again. In an
+// outage the endpoints of the route take turns, otherwise only failing endpoints are checked.
 bool HealthChecker::needsCheck(const Endpoint& endpoint) const {
   const Route& route = *endpoint.route;
   if (endpoint.state != EndpointState::ready || route.healthChecks.pending_) return false;
@@ -36,10 +36,12 @@
 
 Millis HealthChecker::dueAt(const Endpoint& endpoint) const {
   const Route& route = *endpoint.route;
-  // All dispatchers together check an endpoint about once in an overload window.
-  Millis rest = std::min(settings_.slowStartDuration, settings_.overloadWindow * settings_.dispatcherCount);
-  Millis restsUntil = std::max(outliers_.ejectionEndsAt(endpoint), endpoint.failures.lastFailureAt() + rest);
-  return std::max({route.recovery.isLimited() ? route.recovery.nextSendAt() : restsUntil,
+  // With this interval, all dispatchers together check an endpoint about once in an overload window.
+  Millis checkInterval =
+      std::min(settings_.slowStartDuration, settings_.overloadWindow * settings_.dispatcherCount);
+  Millis nextCheckAt =
+      std::max(outliers_.ejectionEndsAt(endpoint), endpoint.failures.lastFailureAt() + checkInterval);
+  return std::max({route.recovery.isLimited() ? route.recovery.nextSendAt() : nextCheckAt,
                    route.pacing.retryAfterUntil(), route.pacing.backoffUntil(),
                    zones_.healthCheckAllowedFrom(endpoint.zone)});
 }
--- a/src/policy/health_checker.h
+++ b/src/policy/health_checker.h
@@ -11,15 +11,15 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Decides when which endpoint gets a health check. Whether a route has recovered is tested by one check at a
-// time, so that no message is bound to an attempt that is likely lost.
+// Decides which endpoint gets a health check, and when. One health check at a time tests whether a route has
+// recovered. If messages were sent as this test, their attempts would probably be lost.
 //
 // Owns: the RouteHealthChecks of each route. Input: outcomes of health checks. Query: the next check.
 namespace stonewing {
 
 class HealthChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the health checker.
   HealthChecker(const DeploymentSettings& settings, RoundClock& clock, HealthCheckQueue& queue,
                 EndpointRegistry& endpoints, const OutlierDetector& outliers, SlowStart& slowStart,
                 ZoneFailover& zones)
@@ -31,12 +31,13 @@
         slowStart_(slowStart),
         zones_(zones) {}
 
-  // The pending health check of the route has ended, with whatever result.
+  // The pending health check of the route has ended, with any outcome.
   void recordOutcome(Route& route) {
     route.healthChecks.pending_ = false;
     queue_.addAll(route);
   }
-  // The next check that is due, marked as pending; nothing if there is none. May draw a random number.
+  // Returns the next health check that is due and marks it as pending; nothing if none is due. May draw a
+  // random number.
   std::optional<Decision> next();
 
  private:
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -6,14 +6,16 @@
 namespace stonewing {
 namespace {
 
-constexpr double kMinDelayShare = 0.3;    // of the latency objective; a hedge sent earlier is mostly wasted
-constexpr double kMaxDelayShare = 1.5;    // the same; one sent later comes too late to help
-constexpr double kMaxRequestShare = 0.5;  // no hedges with more of the concurrent requests in flight
+// Bounds of the delay of a hedge, as shares of the latency objective.
+constexpr double kMinDelayShare = 0.3;  // a hedge sent earlier is mostly wasted
+constexpr double kMaxDelayShare = 1.5;  // a hedge sent later comes too late to help
+// No hedges while this share of the concurrent requests, or more, is in flight.
+constexpr double kMaxRequestShare = 0.5;
 
 }  // namespace
 
 std::optional<PlannedAttempt> Hedging::next() {
-  bool isAllowed = mayHedgeAny();
+  bool isAllowed = areHedgesAllowed();
   if ((std::exchange(wasAllowed_, isAllowed) && clock_.isQuiet()) || !isAllowed) return std::nullopt;
   cursor_.begin(clock_.round());
   const std::set<MessageId>& pending = messages_.withPendingAttempts();
@@ -28,8 +30,9 @@
   return std::nullopt;
 }
 
-// Hedges are the first to stop: while concurrent requests are short they would take what first attempts need.
-bool Hedging::mayHedgeAny() const {
+// Hedges stop earlier than other attempts: when concurrent requests run short, a hedge would occupy a request
+// that the first attempt of another message needs.
+bool Hedging::areHedgesAllowed() const {
   return settings_.mayHedge && budget_.mayHedge() &&
          requests_.inFlight() < settings_.maxConcurrentRequests * kMaxRequestShare;
 }
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -11,7 +11,7 @@
 #include "policy/scan_cursor.h"
 #include "settings/deployment_settings.h"
 
-// Decides when a hedge of a slow message is due, and where it goes.
+// Decides when a hedge of a slow message is due, and which endpoint gets it.
 //
 // Owns: the progress of its scan over the pending attempts, and whether hedges were allowed at the last
 // query. Input: resets of that scan. Query: the next hedge.
@@ -19,7 +19,7 @@
 
 class Hedging {
  public:
-  // All outlive it.
+  // All arguments must outlive this object.
   Hedging(const DeploymentSettings& settings, RoundClock& clock, const LatencyTracker& latencies,
           const RequestTracker& requests, const RetryBudget& budget, const MessageRegistry& messages,
           EndpointSelector& selector)
@@ -31,14 +31,14 @@
         messages_(messages),
         selector_(selector) {}
 
-  // Something was heard of an attempt: those seen in this round are looked at again.
+  // The result of an attempt has arrived: the attempts already scanned in this round are scanned again.
   void resetScan() { cursor_ = {}; }
-  // The next hedge that is due and has an endpoint; nothing if there is none. Then the clock wakes the policy
-  // when one is due.
+  // Returns the next hedge that is due and has an endpoint. If there is none, returns nothing, and the clock
+  // wakes the policy when a hedge is due.
   std::optional<PlannedAttempt> next();
 
  private:
-  bool mayHedgeAny() const;
+  bool areHedgesAllowed() const;
   bool mayHedge(const Message& message) const;
   Millis dueAt(const Message& message, const Attempt& attempt) const;
 
--- a/src/policy/idempotency.cpp
+++ b/src/policy/idempotency.cpp
@@ -5,21 +5,23 @@
 namespace stonewing {
 namespace {
 
-constexpr double kWindowMargin = 0.1;  // of a deduplication window left unused, for a retry that arrives late
+// Share of the deduplication window in which no retry is sent, since it could arrive after the window's end.
+constexpr double kWindowMargin = 0.1;
 
 Millis windowClosesAt(const TrafficType& type, const Attempt& attempt) {
   return attempt.sentAt + type.deduplicationWindow * (1 - kWindowMargin);
 }
 
-// endpoint: null where any will do. self: an attempt that is left out, or null.
+// endpoint: null to check the message without regard to the endpoint. excluded: an attempt of the message
+// that does not count, or null.
 bool isAllowed(const DeploymentSettings& settings, const Message& message, const Endpoint* endpoint,
-               const Attempt* self, Millis now) {
+               const Attempt* excluded, Millis now) {
   const TrafficType& type = trafficTypeOf(settings, message);
-  int attemptCount = static_cast<int>(message.attempts.size()) - (self != nullptr);
+  int attemptCount = static_cast<int>(message.attempts.size()) - (excluded != nullptr);
   if (attemptCount >= settings.maxAttempts) return false;
   if (type.idempotency == Idempotency::idempotent) return true;
   for (const Attempt& earlier : message.attempts) {
-    if (!mayHaveExecuted(earlier) || &earlier == self) continue;
+    if (!mayHaveExecuted(earlier) || &earlier == excluded) continue;
     if (type.idempotency == Idempotency::nonIdempotent) return false;
     if (now >= windowClosesAt(type, earlier)) return false;
     if (endpoint != nullptr && type.deduplicationScope == DeduplicationScope::zone &&
--- a/src/policy/idempotency.h
+++ b/src/policy/idempotency.h
@@ -4,29 +4,30 @@
 #include "policy/message.h"
 #include "settings/deployment_settings.h"
 
-// Whether another attempt of a message is allowed, and until when: no message may take effect twice. Pure
-// functions of a message and its attempts; now is in milliseconds of the policy's clock.
+// Decides whether another attempt of a message is allowed, and until when, since no message may take effect
+// twice. Pure functions of a message and its attempts; now is in milliseconds of the policy's clock.
 namespace stonewing {
 
 inline bool mayHaveExecuted(const Attempt& attempt) {
   return attempt.pending || !attempt.provablyNotExecuted;
 }
-bool mayHaveExecuted(const Message& message);  // any of its attempts
+bool mayHaveExecuted(const Message& message);  // whether any of its attempts may have been executed
 
-// Whether another attempt is allowed at any endpoint (if not forbidden by its zone).
+// Whether another attempt is allowed at all. The deduplication scope may still forbid endpoints in other
+// zones.
 bool mayAttempt(const DeploymentSettings& settings, const Message& message, Millis now);
-// Whether one is allowed at this endpoint.
+// Whether another attempt is allowed at this endpoint.
 bool mayAttemptAt(const DeploymentSettings& settings, const Message& message, const Endpoint& endpoint,
                   Millis now);
 // Whether an attempt that was decided earlier is still allowed.
 bool mayStillAttempt(const DeploymentSettings& settings, const Message& message, const Attempt& attempt,
                      Millis now);
 
-// Whether the message may be shed: that promises its client that submitting it again is harmless.
+// Whether the message may be shed, which promises its client that submitting it again is harmless.
 bool mayShed(const DeploymentSettings& settings, const Message& message, Millis now);
 
-// When a message without a pending attempt may have no further attempt left: now, its deadline, or when the
-// deduplication window of an attempt that may have been executed closes.
+// The time from which a message without a pending attempt may not get another one: now, its deadline, or
+// shortly before the end of the deduplication window of an attempt that may have been executed.
 Millis retriesExhaustedAt(const DeploymentSettings& settings, const Message& message, Millis now);
 
 }  // namespace stonewing
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -7,19 +7,26 @@
 namespace stonewing {
 namespace {
 
-constexpr std::size_t kMaxSamples = 512;       // of a reservoir; bounds its memory and the cost of a quantile
-constexpr std::size_t kEnoughSamples = 32;     // of an endpoint or a dispatcher; fewer say little of a p95
-constexpr std::size_t kEnoughForRoute = 12;    // fewer, since one dispatcher sends few messages to a route
-constexpr Millis kRecomputeIntervalMs = 2000;  // quantiles cost too much to compute at each response
+// Per reservoir; bounds its memory and the cost of computing a quantile.
+constexpr std::size_t kMaxSamples = 512;
+// For an endpoint or the dispatcher; fewer samples give no reliable p95.
+constexpr std::size_t kMinSamples = 32;
+// For a route; fewer than kMinSamples, since one dispatcher sends few messages to a route.
+constexpr std::size_t kMinRouteSamples = 12;
+// Computing the quantiles at each response would cost too much.
+constexpr Millis kRecomputeIntervalMs = 2000;
 constexpr double kHighQuantile = 0.95;
 constexpr double kMedian = 0.5;
-constexpr double kUnknownP95Share = 0.6;  // of the latency objective, while nothing was measured
-constexpr double kLateFactor = 2;         // a late response takes so many p95 of its route
+// p95 while there are too few samples, as a share of the latency objective.
+constexpr double kDefaultP95Share = 0.6;
+// A response is late if it takes more than this multiple of its route's p95.
+constexpr double kLateFactor = 2;
 
-Millis quantileOf(std::vector<Millis> samples, double share) {
-  auto place = samples.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(samples.size()) * share);
-  std::nth_element(samples.begin(), place, samples.end());
-  return *place;
+Millis quantileOf(std::vector<Millis> samples, double fraction) {
+  auto position =
+      samples.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(samples.size()) * fraction);
+  std::nth_element(samples.begin(), position, samples.end());
+  return *position;
 }
 
 }  // namespace
@@ -27,7 +34,7 @@
 void LatencyTracker::recordSuccess(Endpoint& endpoint, Route& route, Millis latency) {
   add(endpoint.latencies, latency);
   add(route.latencies, latency);
-  add(all_, latency);
+  add(ofDispatcher_, latency);
 }
 
 void LatencyTracker::add(LatencyReservoir& reservoir, Millis latency) {
@@ -36,7 +43,7 @@
   } else {
     reservoir.samples_[random_.index(kMaxSamples)] = latency;
   }
-  bool isSmall = reservoir.samples_.size() <= kEnoughSamples;
+  bool isSmall = reservoir.samples_.size() <= kMinSamples;
   if (!isSmall && clock_.now() - reservoir.computedAt_ < kRecomputeIntervalMs) return;
   reservoir.computedAt_ = clock_.now();
   reservoir.quantiles_ = {quantileOf(reservoir.samples_, kHighQuantile),
@@ -44,24 +51,24 @@
 }
 
 LatencyQuantiles LatencyTracker::typicalLatency(const Route& route, const TrafficType& type) const {
-  if (route.latencies.size() >= kEnoughForRoute) return route.latencies.quantiles();
-  LatencyQuantiles known{type.latencyObjective * kUnknownP95Share,
-                         type.latencyObjective * kUnknownP95Share / kLateFactor};
-  if (all_.size() >= kEnoughSamples) known = all_.quantiles();
-  return {std::max(known.p95, route.latencies.quantiles().p95), known.p50};
+  if (route.latencies.size() >= kMinRouteSamples) return route.latencies.quantiles();
+  LatencyQuantiles fallback{type.latencyObjective * kDefaultP95Share,
+                            type.latencyObjective * kDefaultP95Share / kLateFactor};
+  if (ofDispatcher_.size() >= kMinSamples) fallback = ofDispatcher_.quantiles();
+  return {std::max(fallback.p95, route.latencies.quantiles().p95), fallback.p50};
 }
 
 Millis LatencyTracker::typicalP95(const Endpoint& endpoint, const TrafficType& type) const {
-  if (endpoint.latencies.size() >= kEnoughSamples) return endpoint.latencies.quantiles().p95;
+  if (endpoint.latencies.size() >= kMinSamples) return endpoint.latencies.quantiles().p95;
   return typicalLatency(*endpoint.route, type).p95;
 }
 
 bool LatencyTracker::isLate(const Route& route, Millis latency) {
-  bool isKnown = route.latencies.size() >= kEnoughForRoute;
-  return isKnown && latency > kLateFactor * route.latencies.quantiles().p95;
+  bool hasEnoughSamples = route.latencies.size() >= kMinRouteSamples;
+  return hasEnoughSamples && latency > kLateFactor * route.latencies.quantiles().p95;
 }
 
-Millis LatencyTracker::lateFrom(const Route& route, const TrafficType& type) const {
+Millis LatencyTracker::lateThreshold(const Route& route, const TrafficType& type) const {
   return kLateFactor * typicalLatency(route, type).p95;
 }
 
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -4,36 +4,37 @@
 #include "policy/round_clock.h"
 #include "policy/route.h"
 
-// Knows what latency is typical of an endpoint, of a route and of everything that this dispatcher sends.
+// Tracks the typical latency of each endpoint, of each route and of the whole dispatcher.
 //
 // Owns: the latency samples. Input: the latency of each successful attempt. Queries: quantiles.
 namespace stonewing {
 
 class LatencyTracker {
  public:
-  // Both outlive it.
+  // Both arguments must outlive the tracker.
   LatencyTracker(const RoundClock& clock, RandomSource& random) : clock_(clock), random_(random) {}
 
-  // A message was delivered after so many milliseconds. May draw random numbers.
+  // A message was delivered with this latency, in milliseconds. May draw random numbers.
   void recordSuccess(Endpoint& endpoint, Route& route, Millis latency);
 
-  // By the route's own samples, by those of the whole dispatcher or, with too few of both, by the latency
-  // objective of the traffic type.
+  // From the route's own samples or, while it has too few, from those of the whole dispatcher or, while that
+  // has too few, from the latency objective of the traffic type.
   LatencyQuantiles typicalLatency(const Route& route, const TrafficType& type) const;
-  // The same of one endpoint; its route's while it has too few samples.
+  // p95 of an endpoint, or of its route while the endpoint has too few samples.
   Millis typicalP95(const Endpoint& endpoint, const TrafficType& type) const;
 
-  // Whether a response that took so long is late by what the route usually takes.
+  // Whether a response with this latency is late compared with other responses of the route. False while the
+  // route has too few samples.
   static bool isLate(const Route& route, Millis latency);
-  // From this latency on a response is late.
-  Millis lateFrom(const Route& route, const TrafficType& type) const;
+  // A response with a latency above this is late.
+  Millis lateThreshold(const Route& route, const TrafficType& type) const;
 
  private:
   void add(LatencyReservoir& reservoir, Millis latency);
 
   const RoundClock& clock_;
   RandomSource& random_;
-  LatencyReservoir all_;
+  LatencyReservoir ofDispatcher_;
 };
 
 }  // namespace stonewing
