--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -4,7 +4,7 @@
 
 #include "support/policy_harness.h"
 
-// How many requests may be pending, in all and at one destination.
+// Tests how many requests may be pending, in total and for one destination.
 namespace stonewing::testing {
 namespace {
 
@@ -27,7 +27,8 @@
   EXPECT_EQ(harness.decisions<SendAttempt>().size(), 2u);
   harness.advanceTo(harness.now + 1000);
   EXPECT_FALSE(harness.decisions<CancelAttempt>().empty());
-  EXPECT_LT(harness.policy.state().timeoutScale, 1);  // what stays unanswered from now on is cancelled sooner
+  // Attempts that get no response are cancelled sooner from now on.
+  EXPECT_LT(harness.policy.state().timeoutScale, 1);
 }
 
 TEST(ConcurrencyLimiter, KeepsOneDestinationBelowThreeQuartersOfAllConcurrentRequests) {
--- a/tests/policy/connection_reuse_test.cpp
+++ b/tests/policy/connection_reuse_test.cpp
@@ -4,7 +4,7 @@
 
 #include "support/policy_harness.h"
 
-// For how long an idle connection is trusted, and which are closed.
+// Tests for how long an idle connection may be reused, and which idle connections are closed.
 namespace stonewing::testing {
 namespace {
 
@@ -33,7 +33,7 @@
   dead.advanceTo(dead.now + 1200);
   dead.accept(2);
   EXPECT_FALSE(dead.decisions<CloseIdleConnection>().empty());  // before an attempt would go out on it
-  // An endpoint that is busy on one connection has others that are idle, and those die.
+  // An endpoint with a request on one connection may have other connections that are idle and die.
   PolicyHarness busy;
   busy.completeMessages(20);
   busy.accept(1);
@@ -41,8 +41,8 @@
   busy.policy.recordConnectionIdleTime(first.message, first.attempt, 2000);
   busy.finishAttempt(first, AttemptOutcome::reset);
   EXPECT_LE(busy.policy.state().reusableIdleTime, 1000);
-  // Connections that break while they are hardly idle, or while they are established, say nothing of idle
-  // ones.
+  // Connections that break when they were hardly idle, or while they are being established, show nothing
+  // about idle ones.
   PolicyHarness broken;
   broken.completeMessages(20);
   for (std::uint32_t id = 1; id <= 20; ++id) {
@@ -60,17 +60,18 @@
   EXPECT_GE(broken.policy.state().reusableIdleTime, 250);
 }
 
-// An endpoint has capacity for ten connections and hundreds of dispatchers want one. Those that have one
-// keep it idle, and all others are rejected for ever: on counter-desk, split+mass, an endpoint with a limit
-// of 540 requests a second rejected 4,740 requests with no report and completed 236, of 43 dispatchers of
-// 318.
+// Guards against idle connections that exclude other dispatchers. An endpoint has capacity for ten
+// connections and hundreds of dispatchers want one. If the dispatchers that have one keep it idle, the
+// endpoint rejects all others for ever: on counter-desk, split+mass, an endpoint with a limit of 540 requests
+// a second rejected 4,740 requests without a load report and completed 236, from 43 of the 318
+// dispatchers.
 TEST(ConnectionReuse, TrustsIdleConnectionsForLessTimeWhenNewOnesAreRejectedWithoutAReport) {
   struct Case {
     const char* name;
     bool hasReports, onIdleConnection;
     Millis retryAfter;
     LoadReport report;
-    bool shortens;
+    bool shortensIdleTime;
   };
   for (const Case& rejection : {Case{"no capacity for connections", true, false, 0, {}, true},
                                 {"no reports in this deployment", false, false, 0, {}, false},
@@ -90,7 +91,7 @@
                                             rejection.onIdleConnection ? 1000 : 0);
     harness.policy.recordAttemptOutcome(second.message, second.attempt, AttemptOutcome::rejected, 40, false,
                                         rejection.retryAfter, rejection.report);
-    EXPECT_EQ(harness.policy.state().reusableIdleTime < 10000, rejection.shortens) << rejection.name;
+    EXPECT_EQ(harness.policy.state().reusableIdleTime < 10000, rejection.shortensIdleTime) << rejection.name;
   }
 }
 
--- a/tests/policy/health_checker_test.cpp
+++ b/tests/policy/health_checker_test.cpp
@@ -4,13 +4,14 @@
 
 #include "support/policy_harness.h"
 
-// When an endpoint gets a health check.
+// Tests when an endpoint gets a health check.
 namespace stonewing::testing {
 namespace {
 
-// What the host cannot send for lack of its own resources would be decided again at once, over and over.
+// Guards against a busy loop: if the host lacks resources to send a health check or an attempt, a policy
+// without a pause would decide it again at once, over and over.
 TEST(HealthChecker, PausesAndLearnsNothingWhenLocalResourcesAreExhausted) {
-  for (bool outage : {false, true}) {  // a check of a route in outage, and of one endpoint that fails
+  for (bool outage : {false, true}) {  // a check of a route in outage, and of one failing endpoint
     PolicyHarness harness;
     if (outage) {
       harness.failUntilOutage();
@@ -48,7 +49,8 @@
   EXPECT_TRUE(harness.decisions<SendAttempt>().empty());
   EXPECT_EQ(harness.policy.state().endpoints.at(first.endpoint).failures.consecutiveFailures(), 0);
   harness.advanceTo(harness.now + 500);
-  EXPECT_EQ(harness.decisions<SendAttempt>().size(), 1u);  // it was not executed
+  // A retry is allowed, since the attempt was not executed.
+  EXPECT_EQ(harness.decisions<SendAttempt>().size(), 1u);
 }
 
 }  // namespace
--- a/tests/policy/hedging_test.cpp
+++ b/tests/policy/hedging_test.cpp
@@ -2,7 +2,7 @@
 
 #include "support/policy_harness.h"
 
-// When a message gets a second attempt beside a pending one.
+// Tests when a message gets a hedge, a second attempt while the first is pending.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/policy/idempotency_test.cpp
+++ b/tests/policy/idempotency_test.cpp
@@ -5,7 +5,7 @@
 
 #include "support/policy_harness.h"
 
-// Whether another attempt is allowed, and until when.
+// Tests whether another attempt is allowed, and until when.
 namespace stonewing::testing {
 namespace {
 
@@ -30,7 +30,7 @@
   }
 }
 
-// After a restart nothing is known of the attempts that were pending, and they may have been executed.
+// After a restart the outcome of attempts that were pending is unknown: they may have been executed.
 TEST(Idempotency, CountsTheAttemptsOfAnEarlierProcess) {
   for (auto [idempotency, notExecuted, retried] : {std::tuple{Idempotency::nonIdempotent, false, false},
                                                    {Idempotency::nonIdempotent, true, true},
@@ -58,7 +58,8 @@
   EXPECT_EQ(ordered.decisions<SendAttempt>().size(), 1u);
 }
 
-// Where a connection is established late, the endpoint sees the request when its bytes arrive.
+// Guards against double execution: when a connection is established late, the endpoint receives the attempt
+// so late that it may no longer be allowed.
 TEST(Idempotency, StartsAnAttemptDecidedEarlierOnlyIfItIsStillAllowed) {
   DeploymentSettings settings = testSettings(Idempotency::idempotentWithKey);
   settings.maxAttempts = 2;
@@ -73,7 +74,7 @@
   ASSERT_EQ(harness.decisions<SendAttempt>().size(), 1u);
   harness.advanceTo(4599);
   EXPECT_TRUE(mayStart(1));
-  harness.advanceTo(4600);  // nine tenths of the window after the first, which may have been executed
+  harness.advanceTo(4600);  // nine tenths of the window after the first attempt, which may have been executed
   EXPECT_FALSE(mayStart(1));
   harness.advanceTo(4599);
   for (std::uint64_t number : {1, 2}) harness.setEndpoint(number, EndpointState::draining);
@@ -93,7 +94,7 @@
   auto retries = harness.decisions<SendAttempt>();
   ASSERT_EQ(retries.size(), 1u);
   harness.finishAttempt(retries[0], AttemptOutcome::error);
-  harness.advanceTo(4950);  // 3,950 ms after the first attempt that may have been executed, of 4,000
+  harness.advanceTo(4950);  // 3,950 ms after the first attempt, which may have been executed; window 4,000 ms
   EXPECT_TRUE(harness.decisions<SendAttempt>().empty());
 }
 
--- a/tests/policy/reference_model_test.cpp
+++ b/tests/policy/reference_model_test.cpp
@@ -11,7 +11,7 @@
 
 #include "support/policy_harness.h"
 
-// The policy and the reference model on generated days.
+// Checks the policy against the reference model on generated sequences of events.
 namespace stonewing::testing {
 namespace {
 
@@ -35,10 +35,10 @@
   return settings;
 }
 
-// One generated day, given to the policy and to the model alike.
-class GeneratedDay {
+// One generated sequence of events, applied to both the policy and the model.
+class GeneratedScenario {
  public:
-  GeneratedDay() : harness_(settings_, 0) {
+  GeneratedScenario() : harness_(settings_, 0) {
     model_.settings = settings_;
     changeEndpointList(true);
   }
@@ -50,15 +50,15 @@
     if (event >= 1 && event <= 9) acceptMessage();
     if (event == 10 && !healthChecks_.empty()) finishHealthCheck();
     finishSomeAttempts();
-    judgeDecisions();
+    verifyDecisions();
     for (const auto& [id, message] : model_.messages) {
       RC_ASSERT(harness_.now < message.deadline || message.finalOutcomes == 1);
     }
   }
 
  private:
-  // Four endpoints at most, of which some change. isWhole: the others are removed.
-  void changeEndpointList(bool isWhole) {
+  // Lists some of at most four endpoints, with a new state each. isComplete: the others are removed.
+  void changeEndpointList(bool isComplete) {
     harness_.policy.beginEndpointList();
     std::set<EndpointId> listed;
     for (std::uint64_t number = 1; number <= 4; ++number) {
@@ -71,9 +71,9 @@
       listed.insert(endpointId(number));
     }
     for (auto& [id, endpoint] : model_.endpoints) {
-      if (isWhole && !listed.contains(id)) endpoint.state = EndpointState::removed;
+      if (isComplete && !listed.contains(id)) endpoint.state = EndpointState::removed;
     }
-    harness_.policy.commitEndpointList(isWhole);
+    harness_.policy.commitEndpointList(isComplete);
   }
 
   void acceptMessage() {
@@ -85,7 +85,7 @@
     ++nextId_;
   }
 
-  // Some messages were accepted by an earlier process, and attempted.
+  // Gives the message an attempt by an earlier process.
   void recordEarlierAttempt() {
     EndpointId endpoint = model_.endpoints.rbegin()->first;
     Millis sentAt = harness_.now - *rc::gen::element(20.0, 2500.0, 6000.0);
@@ -125,15 +125,15 @@
     harness_.finishAttempt(attempt.decision, outcome, harness_.now - attempt.sentAt, retryAfter);
   }
 
-  void judgeDecisions() {
+  void verifyDecisions() {
     while (auto decision = harness_.policy.nextDecision()) {
-      if (const auto* send = std::get_if<SendAttempt>(&*decision)) judgeZone(*send);
-      model_.judge(*decision, harness_.now);
+      if (const auto* send = std::get_if<SendAttempt>(&*decision)) verifyZone(*send);
+      model_.verify(*decision, harness_.now);
       if (const auto* check = std::get_if<SendHealthCheck>(&*decision)) healthChecks_.push_back(*check);
     }
   }
 
-  void judgeZone(const SendAttempt& send) {
+  void verifyZone(const SendAttempt& send) {
     RC_ASSERT(!harness_.policy.state().zones.isLost(ZoneId{model_.endpoints.at(send.endpoint).zone}));
     int spillover = 0;
     for (const auto& [id, message] : harness_.policy.state().messages) {
@@ -152,9 +152,9 @@
 TEST(ReferenceModel, AllowsEveryDecisionOfThePolicy) {
   ASSERT_TRUE(kIsSeeded);
   EXPECT_TRUE(rc::check([] {
-    GeneratedDay day;
+    GeneratedScenario scenario;
     int steps = *rc::gen::inRange(20, 250);
-    for (int step = 0; step < steps; ++step) day.step();
+    for (int step = 0; step < steps; ++step) scenario.step();
   }));
 }
 
--- a/tests/policy/state_expiry_test.cpp
+++ b/tests/policy/state_expiry_test.cpp
@@ -4,11 +4,12 @@
 
 #include "support/policy_harness.h"
 
-// State ends with what it belongs to.
+// Tests that the policy deletes the state of endpoints and ordering keys that are no longer used.
 namespace stonewing::testing {
 namespace {
 
-// Endpoints and ordering keys are new all day, and what is kept for each would fill the memory.
+// Guards against unbounded growth of memory: new endpoints and ordering keys appear all day, and the policy
+// keeps state for each.
 TEST(StateExpiry, RemovesTheStateOfRemovedEndpointsAndUnusedOrderingKeys) {
   DeploymentSettings settings = testSettings();
   settings.kinds = {{true, 1}};
@@ -17,7 +18,7 @@
   harness.setEndpoint(1000);
   harness.policy.commitEndpointList(true);
   harness.accept(1);
-  SendAttempt pending = harness.decisions<SendAttempt>().at(0);  // on a connection with no response all day
+  SendAttempt pending = harness.decisions<SendAttempt>().at(0);  // gets no response until the end of the test
   for (std::uint64_t number = 1; number <= 200; ++number) {
     harness.policy.beginEndpointList();
     harness.setEndpoint(number);
@@ -28,8 +29,8 @@
     harness.advanceTo(harness.now + 1000);
   }
   const PolicyState& state = harness.policy.state();
-  EXPECT_LE(state.endpoints.size(),
-            43u);  // those of four slow start durations, and the one with a pending attempt
+  // Endpoints of four slow-start durations, and the one with a pending attempt.
+  EXPECT_LE(state.endpoints.size(), 43u);
   EXPECT_LE(state.routes.size(), 43u);
   EXPECT_LE(state.orderedQueueCount, 3u);
   EXPECT_TRUE(state.endpoints.contains(endpointId(1000)));
--- a/tests/policy/timer_test.cpp
+++ b/tests/policy/timer_test.cpp
@@ -2,7 +2,7 @@
 
 #include "support/policy_harness.h"
 
-// The timer by which the policy asks its host to call it again.
+// Tests the timer by which the policy asks its host to call it again.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/policy/unknown_ids_test.cpp
+++ b/tests/policy/unknown_ids_test.cpp
@@ -2,7 +2,7 @@
 
 #include "support/policy_harness.h"
 
-// Inputs about messages and endpoints that the policy does not know, or no longer.
+// Tests inputs about messages and endpoints that the policy does not know or no longer knows.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/support/compare_decisions.h
+++ b/tests/support/compare_decisions.h
@@ -8,7 +8,7 @@
 
 namespace stonewing::testing {
 
-// Every field of a decision, to compare it by.
+// Returns all fields of a decision, for comparison.
 inline auto fieldsOf(const SendAttempt& decision) {
   return std::tuple(decision.message, decision.endpoint, decision.attempt, decision.timeout);
 }
--- a/tests/support/policy_harness.h
+++ b/tests/support/policy_harness.h
@@ -43,8 +43,8 @@
 
 constexpr EndpointId endpointId(std::uint64_t number) { return EndpointId{number}; }
 
-// One policy under test and its time. Destination 1 has the endpoints 1 to endpointCount, all
-// in zone 0 unless a test sets them anew.
+// One policy under test and its time. Destination 1 has the endpoints 1 to endpointCount, all in zone 0
+// unless a test changes them.
 struct PolicyHarness {
   explicit PolicyHarness(DeploymentSettings settings = testSettings(), int endpointCount = 2)
       : policy(std::move(settings), 7) {
@@ -75,7 +75,7 @@
                                 outcome == AttemptOutcome::completed, retryAfter, {});
   }
 
-  // Takes all decisions that are due and returns those of one kind.
+  // Gets all decisions of the round and returns those of one kind.
   template <class Kind>
   std::vector<Kind> decisions() {
     std::vector<Kind> found;
@@ -85,7 +85,7 @@
     return found;
   }
 
-  // Completes that many messages after 100 ms each, which gives the policy its latency samples.
+  // Completes count messages after 100 ms each, which gives the policy latency samples.
   void completeMessages(int count, std::uint32_t firstMessage = 1000) {
     for (int index = 0; index < count; ++index) {
       accept(firstMessage + static_cast<std::uint32_t>(index));
@@ -95,7 +95,7 @@
     }
   }
 
-  // Fails connections until the policy sees an outage of the destination.
+  // Fails connections until the policy detects an outage of the destination.
   void failUntilOutage() {
     accept(1);
     while (!firstRoute().recovery.isOutage()) {
@@ -106,7 +106,7 @@
     }
   }
 
-  // The route with the lowest id; it stays valid while the destination has it.
+  // The route with the lowest id. The reference stays valid until the policy deletes the route.
   const Route& firstRoute() const { return policy.state().routes.begin()->second; }
 
   Millis now = 1000;
--- a/tests/support/reference_model.h
+++ b/tests/support/reference_model.h
@@ -10,8 +10,8 @@
 
 #include "support/policy_harness.h"
 
-// A slow, plain model of what the policy may decide. It keeps all that happened and judges each decision by
-// going through it from the start; what breaks a rule fails the RapidCheck case.
+// A slow, simple model of the rules that decisions of the policy must follow. It records every event and
+// verifies each decision against all earlier events; a decision that breaks a rule fails the RapidCheck case.
 namespace stonewing::testing {
 
 struct ReferenceAttempt {
@@ -19,7 +19,7 @@
   Millis sentAt;
   bool pending = true;
   bool provablyNotExecuted = false;
-  bool mayStillBeExecuting = false;  // after its end
+  bool mayStillBeExecuting = false;  // after the attempt has ended
   Millis endedAt = 0;
 };
 
@@ -39,21 +39,21 @@
 class ReferenceModel {
  public:
   DeploymentSettings settings;
-  std::map<std::uint32_t, ReferenceMessage> messages;  // ids rise in the order of acceptance
+  std::map<std::uint32_t, ReferenceMessage> messages;  // ids increase in the order of acceptance
   std::map<EndpointId, ReferenceEndpoint> endpoints;
 
-  // Fails where the decision is not allowed; then notes what it does.
-  void judge(const Decision& decision, Millis now) {
+  // Fails if the decision is not allowed; otherwise records its effect.
+  void verify(const Decision& decision, Millis now) {
     if (const auto* timer = std::get_if<SetTimer>(&decision)) RC_ASSERT(timer->at > now);
     if (const auto* shed = std::get_if<ShedMessage>(&decision)) {
       RC_ASSERT(isRetryHarmless(messages.at(shed->message.value), nullptr, now));
-      judgeFinalOutcome(shed->message);
+      verifyFinalOutcome(shed->message);
     }
-    if (const auto* fail = std::get_if<FailMessage>(&decision)) judgeFinalOutcome(fail->message);
-    if (const auto* send = std::get_if<SendAttempt>(&decision)) judgeAttempt(*send, now);
+    if (const auto* fail = std::get_if<FailMessage>(&decision)) verifyFinalOutcome(fail->message);
+    if (const auto* send = std::get_if<SendAttempt>(&decision)) verifyAttempt(*send, now);
   }
 
-  // Notes the end of a pending attempt.
+  // Records the end of a pending attempt.
   void recordOutcome(ReferenceMessage& message, ReferenceAttempt& attempt, AttemptOutcome outcome,
                      Millis retryAfter, Millis now) {
     attempt.pending = false;
@@ -74,7 +74,7 @@
     return attempt.pending || !attempt.provablyNotExecuted;
   }
 
-  // Whether one more execution does no harm: at that endpoint, or at any where there is none.
+  // Whether one more execution does no harm at the endpoint or, where that is null, at every endpoint.
   bool isRetryHarmless(const ReferenceMessage& message, const EndpointId* endpoint, Millis now) const {
     if (message.type.idempotency == Idempotency::idempotent) return true;
     for (const ReferenceAttempt& attempt : message.attempts) {
@@ -90,7 +90,7 @@
     return true;
   }
 
-  // Whether no other message with its ordering key keeps this one back.
+  // Whether no other message with the same ordering key delays this message.
   bool isOrderingKeyFree(std::uint32_t id, Millis now) const {
     const ReferenceMessage& message = messages.at(id);
     if (!message.type.ordered || message.orderingKey == 0 || !message.attempts.empty()) return true;
@@ -105,13 +105,13 @@
     return true;
   }
 
-  void judgeFinalOutcome(MessageId id) {
+  void verifyFinalOutcome(MessageId id) {
     ReferenceMessage& message = messages.at(id.value);
     RC_ASSERT(message.finalOutcomes == 0);
     ++message.finalOutcomes;
   }
 
-  void judgeAttempt(const SendAttempt& send, Millis now) {
+  void verifyAttempt(const SendAttempt& send, Millis now) {
     ReferenceMessage& message = messages.at(send.message.value);
     RC_ASSERT(message.finalOutcomes == 0);
     RC_ASSERT(now < message.deadline);
