--- a/src/lab/gates.cpp
+++ b/src/lab/admission_scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/gates.h"
+#include "lab/admission_scenario.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 #include "admission/admission_controller.h"
 #include "base/bytes.h"
-#include "lab/draw.h"
+#include "lab/random_draws.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/clients.cpp
+++ b/src/lab/arrival_model.cpp
@@ -1,4 +1,4 @@
-#include "lab/clients.h"
+#include "lab/arrival_model.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/clients.h
+++ b/src/lab/arrival_model.h
@@ -5,8 +5,8 @@
 #include <tuple>
 #include <vector>
 
-#include "lab/draw.h"
-#include "lab/plan.h"
+#include "lab/experiment.h"
+#include "lab/random_draws.h"
 #include "lab/trace.h"
 
 // The clients as one: which messages are due when, and when they come again. The day that is due is drawn
--- a/src/lab/audit.h
+++ b/src/lab/audit.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 #include "lab/trace.h"
 
 // The six rules, judged from what the far side saw and from nothing else. No clock, no files.
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "base/bytes.h"
-#include "lab/policy.h"
+#include "lab/lab_policy.h"
 #include "policy/dispatch_policy.h"
 #include "policy/endpoint_state.h"
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/dispatcher_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet.h"
+#include "lab/dispatcher_process.h"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/src/lab/fleet.h
+++ b/src/lab/dispatcher_process.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 
 namespace stonewing::lab {
 
--- a/src/lab/world.cpp
+++ b/src/lab/emulated_servers.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "lab/emulated_servers.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/lab/world.h
+++ b/src/lab/emulated_servers.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/agenda.h"
-#include "lab/plan.h"
-#include "lab/server.h"
-#include "lab/town.h"
+#include "lab/endpoint_model.h"
+#include "lab/experiment.h"
+#include "lab/http_server.h"
+#include "lab/timer_queue.h"
 #include "lab/trace.h"
 #include "policy/endpoint_state.h"
 
--- a/src/lab/town.cpp
+++ b/src/lab/endpoint_model.cpp
@@ -1,9 +1,9 @@
-#include "lab/town.h"
+#include "lab/endpoint_model.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/draw.h"
+#include "lab/random_draws.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/town.h
+++ b/src/lab/endpoint_model.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 #include "lab/trace.h"
 #include "policy/decision.h"
 
--- a/src/lab/plan.cpp
+++ b/src/lab/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/plan.h"
+#include "lab/experiment.h"
 
 #include <toml++/toml.h>
 
--- a/src/lab/server.cpp
+++ b/src/lab/http_server.cpp
@@ -1,4 +1,4 @@
-#include "lab/server.h"
+#include "lab/http_server.h"
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
--- a/src/lab/load.cpp
+++ b/src/lab/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "lab/load_generator.h"
 
 #include <hiredis/hiredis.h>
 #include <netinet/tcp.h>
@@ -13,7 +13,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "lab/world.h"
+#include "lab/emulated_servers.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/load.h
+++ b/src/lab/load_generator.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/agenda.h"
-#include "lab/clients.h"
+#include "lab/arrival_model.h"
+#include "lab/timer_queue.h"
 #include "lab/trace.h"
 #include "net/event_loop.h"
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -12,10 +12,10 @@
 #include <nlohmann/json.hpp>
 
 #include "base/bytes.h"
+#include "lab/admission_scenario.h"
 #include "lab/compare.h"
-#include "lab/gates.h"
+#include "lab/lab_policy.h"
 #include "lab/model.h"
-#include "lab/policy.h"
 #include "lab/report.h"
 
 namespace {
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -9,9 +9,9 @@
 #include <variant>
 
 #include "base/overloaded.h"
-#include "lab/clients.h"
-#include "lab/policy.h"
-#include "lab/town.h"
+#include "lab/arrival_model.h"
+#include "lab/endpoint_model.h"
+#include "lab/lab_policy.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/model.h
+++ b/src/lab/model.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 #include "lab/trace.h"
 
 namespace stonewing::lab {
--- a/src/lab/draw.h
+++ b/src/lab/random_draws.h
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 
 // Chance in the laboratory. Everything is drawn from std::mt19937, so that a seed reproduces a whole day.
 namespace stonewing::lab {
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -10,7 +10,7 @@
 #include <sstream>
 
 #include "base/bytes.h"
-#include "lab/draw.h"
+#include "lab/random_draws.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -6,7 +6,7 @@
 
 #include "lab/audit.h"
 #include "lab/run.h"
-#include "lab/tally.h"
+#include "lab/run_summary.h"
 
 namespace stonewing::lab {
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -13,11 +13,11 @@
 #include <system_error>
 #include <utility>
 
-#include "lab/agenda.h"
-#include "lab/clients.h"
-#include "lab/load.h"
-#include "lab/town.h"
-#include "lab/world.h"
+#include "lab/arrival_model.h"
+#include "lab/emulated_servers.h"
+#include "lab/endpoint_model.h"
+#include "lab/load_generator.h"
+#include "lab/timer_queue.h"
 
 namespace stonewing::lab {
 namespace {
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet.h"
-#include "lab/plan.h"
+#include "lab/dispatcher_process.h"
+#include "lab/experiment.h"
 #include "lab/trace.h"
 
 namespace stonewing::lab {
--- a/src/lab/tally.cpp
+++ b/src/lab/run_summary.cpp
@@ -1,4 +1,4 @@
-#include "lab/tally.h"
+#include "lab/run_summary.h"
 
 #include <algorithm>
 #include <boost/histogram.hpp>
--- a/src/lab/tally.h
+++ b/src/lab/run_summary.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 #include "lab/trace.h"
 
 // What a day came to, from its trace.
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/plan.h"
+#include "lab/experiment.h"
 
 // What was seen at the far side of the dispatchers: by clients, endpoints and the platform. The audit and the
 // reports are made from it alone.
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -6,15 +6,15 @@
 #include <fstream>
 
 #include "base/bytes.h"
+#include "lab/admission_scenario.h"
+#include "lab/arrival_model.h"
 #include "lab/audit.h"
-#include "lab/clients.h"
 #include "lab/compare.h"
-#include "lab/gates.h"
+#include "lab/endpoint_model.h"
+#include "lab/lab_policy.h"
 #include "lab/model.h"
-#include "lab/policy.h"
 #include "lab/report.h"
 #include "lab/run.h"
-#include "lab/town.h"
 #include "support/temporary_directory.h"
 
 namespace stonewing::lab {
