--- a/src/lab/admission_scenario.cpp
+++ b/src/lab/admission_scenario.cpp
@@ -175,27 +175,27 @@
 
 class Play {
  public:
-  Play(const GatePlan& plan, const std::string& name)
-      : plan_(plan),
-        gate_(gateNamed(name, plan.seed)),
-        chance_(static_cast<std::mt19937::result_type>(plan.seed)) {
+  Play(const GatePlan& scenario, const std::string& name)
+      : scenario_(scenario),
+        gate_(gateNamed(name, scenario.seed)),
+        randomEngine_(static_cast<std::mt19937::result_type>(scenario.seed)) {
     result_.gate = name;
-    for (Millis t = 0; t < plan.duration;) {
-      bool surge = t >= plan.surgeFrom && t < plan.surgeUntil;
-      t += -std::log(1 - uniform(chance_)) * 1000 / (plan.perSecond * (surge ? plan.surge : 1));
+    for (Millis t = 0; t < scenario.duration;) {
+      bool surge = t >= scenario.surgeFrom && t < scenario.surgeUntil;
+      t += -std::log(1 - uniform(randomEngine_)) * 1000 / (scenario.perSecond * (surge ? scenario.surge : 1));
       due_.push({t, static_cast<std::uint32_t>(clients_.size()), false, 0});
       clients_.push_back({t});
     }
   }
 
   GateResult play() {
-    Millis end = plan_.duration + kTail;
-    bool stalled = plan_.stallAt < 0;
+    Millis end = scenario_.duration + kTail;
+    bool stalled = scenario_.stallAt < 0;
     while (now_ < end) {
       clientsUntil(now_);
-      if (!stalled && now_ >= plan_.stallAt) {
+      if (!stalled && now_ >= scenario_.stallAt) {
         stalled = true;
-        now_ += plan_.stallFor;
+        now_ += scenario_.stallFor;
         continue;
       }
       if (unread_.empty() && (ends_.empty() || ends_.front() > now_)) {
@@ -218,9 +218,9 @@
     Millis began = now_;
     std::vector<std::pair<Command, Verdict>> answers;
     std::size_t many = std::min(unread_.size(), kReadMost);
-    Millis work = plan_.turn;
+    Millis work = scenario_.turn;
     for (; !ends_.empty() && ends_.front() <= began; ends_.pop_front()) {
-      work += plan_.end;
+      work += scenario_.end;
       --held_;
       gate_->ended(began);
     }
@@ -230,7 +230,7 @@
       // Whose client has left by then is refused unseen, as the dispatcher does.
       bool left = !waitsFor(command);
       Verdict verdict = left ? Verdict{false, 0} : gate_->asked(began, began - command.at, held_, work);
-      work += plan_.read + (verdict.take ? plan_.take : plan_.refuse);
+      work += scenario_.read + (verdict.take ? scenario_.take : scenario_.refuse);
       if (verdict.take) ++held_;
       answers.emplace_back(command, verdict);
     }
@@ -248,7 +248,7 @@
   void answer(const Command& command, const Verdict& verdict) {
     Client& c = clients_[command.callback];
     if (verdict.take) {
-      ends_.push_back(now_ + plan_.away);
+      ends_.push_back(now_ + scenario_.away);
       if (std::exchange(c.taken, true)) ++result_.doubled;
     }
     gate_->answered(now_, now_ - command.at);
@@ -260,12 +260,13 @@
       return;
     }
     ++result_.refused;
-    again(command.callback, verdict.wait > 0 ? verdict.wait : plan_.retryPause * (0.5 + uniform(chance_)));
+    again(command.callback,
+          verdict.wait > 0 ? verdict.wait : scenario_.retryPause * (0.5 + uniform(randomEngine_)));
   }
 
   void again(std::uint32_t callback, Millis wait) {
     Client& c = clients_[callback];
-    if (++c.tries > plan_.retries) {
+    if (++c.tries > scenario_.retries) {
       c.lost = true;
       return;
     }
@@ -288,10 +289,10 @@
       } else if (gate_->maySend(now_)) {
         c.sentAt = now_;
         unread_.push_back({d.callback, now_});
-        due_.push({now_ + plan_.patience, d.callback, true, d.attempt});
+        due_.push({now_ + scenario_.patience, d.callback, true, d.attempt});
       } else {
         ++result_.refused;
-        again(d.callback, plan_.retryPause * (0.5 + uniform(chance_)));
+        again(d.callback, scenario_.retryPause * (0.5 + uniform(randomEngine_)));
       }
       now_ = kept;
     }
@@ -306,11 +307,11 @@
     result_.p50 = at(0.5);
     result_.p99 = at(0.99);
     std::uint64_t inSurge = 0, keptInSurge = 0;
-    std::vector<bool> lossIn(static_cast<std::size_t>(plan_.duration / 100) + 1);
+    std::vector<bool> lossIn(static_cast<std::size_t>(scenario_.duration / 100) + 1);
     for (const Client& c : clients_) {
       ++result_.due;
       result_.kept += c.kept;
-      if (c.due >= plan_.surgeFrom && c.due < plan_.surgeUntil) {
+      if (c.due >= scenario_.surgeFrom && c.due < scenario_.surgeUntil) {
         ++inSurge;
         keptInSurge += c.kept;
       }
@@ -319,18 +320,18 @@
     result_.keptInSurge = inSurge == 0 ? 1 : static_cast<double>(keptInSurge) / static_cast<double>(inSurge);
     result_.calmAfter = -1;
     std::size_t quiet = 0;
-    for (auto n = static_cast<std::size_t>(plan_.surgeUntil / 100); n + 1 < lossIn.size(); ++n) {
+    for (auto n = static_cast<std::size_t>(scenario_.surgeUntil / 100); n + 1 < lossIn.size(); ++n) {
       quiet = lossIn[n] ? 0 : quiet + 1;
       if (quiet < 10) continue;
-      result_.calmAfter = static_cast<double>(n - 9) * 100 - plan_.surgeUntil;
+      result_.calmAfter = static_cast<double>(n - 9) * 100 - scenario_.surgeUntil;
       break;
     }
     return result_;
   }
 
-  const GatePlan& plan_;
+  const GatePlan& scenario_;
   std::unique_ptr<Gate> gate_;
-  std::mt19937 chance_;
+  std::mt19937 randomEngine_;
   Millis now_{0};
   std::vector<Client> clients_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
@@ -348,7 +349,7 @@
   return names;
 }
 
-GateResult playGate(const GatePlan& plan, const std::string& gate) { return Play(plan, gate).play(); }
+GateResult playGate(const GatePlan& scenario, const std::string& gate) { return Play(scenario, gate).play(); }
 
 std::string tableOf(const std::vector<GateResult>& rows) {
   std::string text =
--- a/src/lab/admission_scenario.h
+++ b/src/lab/admission_scenario.h
@@ -43,7 +43,7 @@
 };
 
 // "none", "work" (ours), "codel", "credits", "gradient". Throws ConfigError with the names there are.
-GateResult playGate(const GatePlan& plan, const std::string& gate);
+GateResult playGate(const GatePlan& scenario, const std::string& gate);
 const std::vector<std::string>& gateNames();
 std::string tableOf(const std::vector<GateResult>& rows);
 
--- a/src/lab/arrival_model.h
+++ b/src/lab/arrival_model.h
@@ -14,46 +14,48 @@
 // own. A message's time counts from when it was due.
 namespace stonewing::lab {
 
-class Clients {
+class ArrivalModel {
  public:
-  Clients(const Plan& plan, std::uint64_t seed, Trace& trace);
+  ArrivalModel(const Experiment& experiment, std::uint64_t seed, Trace& trace);
 
   // When the next one is to be handed in; no value: none is left.
   std::optional<Millis> due() const;
   // The next that is due by now, as its place in the trace's messages.
-  std::optional<std::uint32_t> next(Millis now);
+  std::optional<std::uint32_t> nextDue(Millis now);
   // How long a message may still be delivered.
-  Millis left(std::uint32_t callback, Millis now) const;
-  bool again(std::uint32_t callback) const { return again_[callback]; }
+  Millis timeLeft(std::uint32_t callback, Millis now) const;
+  bool isResubmission(std::uint32_t callback) const { return isResubmission_[callback]; }
 
   // Refused by -BUSY, or shed later; wait 0 where no time was told.
-  void refused(Millis now, std::uint32_t callback, Millis wait);
+  void recordRejection(Millis now, std::uint32_t callback, Millis wait);
   // No answer in the client's patience: handed in elsewhere at once.
-  void unanswered(Millis now, std::uint32_t callback);
+  void recordTimeout(Millis now, std::uint32_t callback);
 
-  static constexpr Millis kPatience = 400;
+  static constexpr Millis kClientTimeout = 400;
 
  private:
-  struct Coming {
+  struct PendingSubmission {
     Millis at{};
     std::uint32_t callback{};
-    bool operator>(const Coming& o) const { return std::tie(at, callback) > std::tie(o.at, o.callback); }
+    bool operator>(const PendingSubmission& o) const {
+      return std::tie(at, callback) > std::tie(o.at, o.callback);
+    }
   };
-  void plan();
-  void comesAgain(Millis at, std::uint32_t callback);
+  void drawNextArrival();
+  void scheduleResubmission(Millis at, std::uint32_t callback);
 
-  const Plan& plan_;
+  const Experiment& experiment_;
   Trace& trace_;
-  std::mt19937 chance_;
-  std::mt19937 chanceAgain_;
-  Arrivals arrivals_;
-  Zipf destinations_;
-  std::vector<double> typeBelow_;
-  Millis planned_{0};
-  bool ended_{false};
-  std::priority_queue<Coming, std::vector<Coming>, std::greater<>> coming_;
-  std::vector<std::uint8_t> tries_;
-  std::vector<bool> again_;
+  std::mt19937 randomEngine_;
+  std::mt19937 retryRandomEngine_;
+  ArrivalProcess arrivalProcess_;
+  ZipfDistribution destinations_;
+  std::vector<double> cumulativeTypeShares_;
+  Millis drawnUntil_{0};
+  bool allDrawn_{false};
+  std::priority_queue<PendingSubmission, std::vector<PendingSubmission>, std::greater<>> pending_;
+  std::vector<std::uint8_t> resubmissions_;
+  std::vector<bool> isResubmission_;
 };
 
 }  // namespace stonewing::lab
--- a/src/lab/audit.cpp
+++ b/src/lab/audit.cpp
@@ -28,7 +28,7 @@
 
 class Audit {
  public:
-  Audit(const Plan& plan, const Trace& trace) : plan_(plan), trace_(trace) {
+  Audit(const Experiment& experiment, const Trace& trace) : experiment_(experiment), trace_(trace) {
     index();
     for (std::size_t n = 0; n < trace.events.size(); ++n) {
       const Event& e = trace.events[n];
@@ -93,7 +93,9 @@
   };
   Span of(std::uint32_t c) const { return {places_.data() + begin_[c], places_.data() + begin_[c + 1]}; }
   const Event& event(std::size_t n) const { return trace_.events[n]; }
-  const TrafficType& type(std::uint32_t c) const { return plan_.types[trace_.callbacks[c].type].terms; }
+  const TrafficType& type(std::uint32_t c) const {
+    return experiment_.types[trace_.callbacks[c].type].settings;
+  }
 
   void report(Rule rule, std::uint32_t callback, std::string text, std::vector<std::size_t> events = {}) {
     if (events.empty()) {
@@ -138,13 +140,14 @@
     for (std::size_t n : of(c)) {
       if (event(n).what == What::handedIn) dispatcher = event(n).dispatcher;
     }
-    Millis limit = trace_.callbacks[c].due + type(c).deadlineAfter + plan_.world.answerSlack + kAuditSlack;
+    Millis limit =
+        trace_.callbacks[c].due + type(c).deadlineAfter + experiment_.environment.answerSlack + kAuditSlack;
     Millis end = 1e15;
     if (ends.delivered) end = std::min(end, event(*ends.delivered).at);
     if (ends.noticed) end = std::min(end, event(*ends.noticed).at);
     if (end > limit && last_ > limit && !disturbed(dispatcher, event(*ends.taken).at, limit)) {
       report(Rule::oneAnswer, c, end < 1e15 ? "its end came after the time for it was up" : "it has no end");
-    } else if (end >= 1e15 && last_ > limit + plan_.end()) {
+    } else if (end >= 1e15 && last_ > limit + experiment_.end()) {
       report(Rule::oneAnswer, c, "it has no end, long after its dispatcher was back");
     }
     std::set<std::int16_t> results;
@@ -162,7 +165,7 @@
       });
       if (!crossed) heard = std::min(heard, e.at);
     }
-    Millis known = heard + 2 * plan_.world.farOneWay + kAuditSlack;
+    Millis known = heard + 2 * experiment_.environment.farOneWay + kAuditSlack;
     for (std::size_t n : of(c)) {
       const Event& e = event(n);
       if (e.what != What::arrived || e.at <= known || disturbed(e.dispatcher, heard, e.at)) continue;
@@ -200,8 +203,8 @@
           at - earlier.at > t.deduplicationWindow + kAuditSlack)
         return false;
       if (t.deduplicationScope == DeduplicationScope::destination) return true;
-      return later != nullptr && plan_.roomOf(static_cast<int>(earlier.endpoint)) ==
-                                     plan_.roomOf(static_cast<int>(later->endpoint));
+      return later != nullptr && experiment_.zoneOf(static_cast<int>(earlier.endpoint)) ==
+                                     experiment_.zoneOf(static_cast<int>(later->endpoint));
     };
     for (std::size_t j = 1; j < sent.size(); ++j) {
       for (std::size_t i = 0; i < j; ++i) {
@@ -236,7 +239,8 @@
       if (e.what != What::arrived || told.empty()) continue;
       auto at = told.find({e.dispatcher, e.endpoint});
       if (at == told.end()) continue;
-      Millis limit = event(at->second).at + plan_.world.drainGrace + kAuditSlack + plan_.world.farOneWay;
+      Millis limit = event(at->second).at + experiment_.environment.drainGrace + kAuditSlack +
+                     experiment_.environment.farOneWay;
       if (e.at > limit)
         report(Rule::drains, e.callback, "launched at an endpoint that drains", {at->second, n});
     }
@@ -244,7 +248,7 @@
 
   // Rule 4: a destination that comes back cold is not pushed over by those who knew that it had been out.
   void returns() {
-    auto destinations = static_cast<std::size_t>(plan_.world.destinations);
+    auto destinations = static_cast<std::size_t>(experiment_.environment.destinations);
     std::vector<std::set<std::uint16_t>> knew(destinations);
     std::vector<bool> out(destinations, false);
     std::vector<std::vector<std::size_t>> pushes(destinations);
@@ -254,8 +258,8 @@
                         e.what == What::abandoned || e.what == What::refusedConnect;
       std::size_t d = 0;
       if (ofEndpoint) {
-        if (e.endpoint >= static_cast<std::uint32_t>(plan_.endpointCount())) continue;
-        d = static_cast<std::size_t>(plan_.destinationOf(static_cast<int>(e.endpoint)));
+        if (e.endpoint >= static_cast<std::uint32_t>(experiment_.endpointCount())) continue;
+        d = static_cast<std::size_t>(experiment_.destinationOf(static_cast<int>(e.endpoint)));
       } else if (e.what == What::out || e.what == What::back || e.what == What::fell) {
         d = e.callback;
       } else {
@@ -281,7 +285,7 @@
       std::vector<std::size_t> within;
       std::size_t told = 0;
       for (std::size_t p : pushes[d]) {
-        if (event(p).at <= e.at - plan_.world.fallSpan) continue;
+        if (event(p).at <= e.at - experiment_.environment.overloadWindow) continue;
         within.push_back(p);
         told += knew[d].contains(event(p).dispatcher) ? 1 : 0;
       }
@@ -298,7 +302,8 @@
     for (const Event& e : trace_.events) {
       if (e.what != What::handedIn || e.callback >= trace_.callbacks.size()) continue;
       const Handed& c = trace_.callbacks[e.callback];
-      if (plan_.types[c.type].terms.ordered && c.key != 0) lines[{e.dispatcher, c.key}].push_back(e.callback);
+      if (experiment_.types[c.type].settings.ordered && c.key != 0)
+        lines[{e.dispatcher, c.key}].push_back(e.callback);
     }
     for (const auto& [key, line] : lines) {
       for (std::size_t j = 1; j < line.size(); ++j) {
@@ -342,7 +347,7 @@
       if (ended > at + kAuditSlack) {
         return report(Rule::keyOrder, second, "launched while an earlier one of its key was still out", both);
       }
-      if (mayRunOn && at < ended + plan_.world.orderPause - kAuditSlack) {
+      if (mayRunOn && at < ended + experiment_.environment.orderingPause - kAuditSlack) {
         return report(Rule::keyOrder, second, "launched within the pause after one that may run on", both);
       }
     }
@@ -359,8 +364,8 @@
         continue;
       }
       if (e.what != What::replied && e.what != What::arrived) continue;
-      if (e.endpoint >= static_cast<std::uint32_t>(plan_.endpointCount())) continue;
-      std::pair key{e.dispatcher, plan_.destinationOf(static_cast<int>(e.endpoint))};
+      if (e.endpoint >= static_cast<std::uint32_t>(experiment_.endpointCount())) continue;
+      std::pair key{e.dispatcher, experiment_.destinationOf(static_cast<int>(e.endpoint))};
       if (e.what == What::replied && e.span > 0) {
         auto [at, fresh] = until.try_emplace(key, std::pair{e.at + e.span, n});
         if (fresh || e.at >= at->second.first) binds[key] = e.at + kWaitLetThrough;
@@ -376,7 +381,7 @@
     }
   }
 
-  const Plan& plan_;
+  const Experiment& experiment_;
   const Trace& trace_;
   Millis last_{0};
   std::vector<std::size_t> begin_;
@@ -387,7 +392,9 @@
 
 }  // namespace
 
-std::vector<Break> audit(const Plan& plan, const Trace& trace) { return Audit(plan, trace).all(); }
+std::vector<Break> audit(const Experiment& experiment, const Trace& trace) {
+  return Audit(experiment, trace).all();
+}
 
 const char* nameOf(Rule rule) {
   constexpr std::array names{"", "one answer", "no effect twice", "drains", "returns", "key order", "waits"};
--- a/src/lab/audit.h
+++ b/src/lab/audit.h
@@ -21,7 +21,7 @@
 // Time limits are this much longer, for what travels.
 inline constexpr Millis kAuditSlack = 50;
 
-std::vector<Break> audit(const Plan& plan, const Trace& trace);
+std::vector<Break> audit(const Experiment& experiment, const Trace& trace);
 const char* nameOf(Rule rule);
 // A break with its events, a line each.
 std::string told(const Break& found, const Trace& trace);
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -82,7 +82,7 @@
 class Textbook final : public Policy {
  public:
   Textbook(const Recipe& recipe, const DeploymentSettings& terms, std::uint64_t seed)
-      : recipe_(recipe), terms_(terms), chance_(static_cast<std::mt19937::result_type>(seed)) {}
+      : recipe_(recipe), terms_(terms), randomEngine_(static_cast<std::mt19937::result_type>(seed)) {}
 
   void roundBegins(Millis now) override { now_ = now; }
 
@@ -223,13 +223,13 @@
     std::vector<Sent> launches;
   };
 
-  double draw() { return static_cast<double>(chance_()) / 4294967296.0; }
+  double draw() { return static_cast<double>(randomEngine_()) / 4294967296.0; }
 
   void sample(Millis spent) {
     if (samples_.size() < kSamplesKept) {
       samples_.push_back(spent);
     } else {
-      samples_[chance_() % kSamplesKept] = spent;
+      samples_[randomEngine_() % kSamplesKept] = spent;
     }
     if (samples_.size() % 16 != 0) return;
     std::vector<Millis> sorted = samples_;
@@ -335,12 +335,12 @@
     if (may.empty()) return std::nullopt;
     switch (recipe_.choice) {
       case Choice::first:
-        return may[chance_() % may.size()];
+        return may[randomEngine_() % may.size()];
       case Choice::turns:
         return may[d.turn++ % may.size()];
       case Choice::twoRandom: {
-        EndpointId a = may[chance_() % may.size()];
-        EndpointId b = may[chance_() % may.size()];
+        EndpointId a = may[randomEngine_() % may.size()];
+        EndpointId b = may[randomEngine_() % may.size()];
         return endpoints_[a].out <= endpoints_[b].out ? a : b;
       }
     }
@@ -349,7 +349,7 @@
 
   const Recipe& recipe_;
   DeploymentSettings terms_;
-  std::mt19937 chance_;
+  std::mt19937 randomEngine_;
   Millis now_{0};
   Millis p95_{0};
   Millis wakeAsked_{-1};
--- a/src/lab/compare.cpp
+++ b/src/lab/compare.cpp
@@ -26,11 +26,11 @@
     return sum / static_cast<double>(all.size());
   };
   d.mean = mean(gaps);
-  std::mt19937 chance(20240229);
+  std::mt19937 randomEngine(20240229);
   std::vector<double> means;
   std::vector<double> drawn(gaps.size());
   for (int n = 0; n < kResamples; ++n) {
-    for (double& x : drawn) x = gaps[chance() % gaps.size()];
+    for (double& x : drawn) x = gaps[randomEngine() % gaps.size()];
     means.push_back(mean(drawn));
   }
   std::sort(means.begin(), means.end());
--- a/src/lab/dispatcher_process.cpp
+++ b/src/lab/dispatcher_process.cpp
@@ -20,26 +20,26 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-Process::Process(std::string binary, std::string folder, std::string preload)
+DispatcherProcess::DispatcherProcess(std::string binary, std::string folder, std::string preload)
     : binary_(std::move(binary)), folder_(std::move(folder)), preload_(std::move(preload)) {
   fs::create_directories(folder_ + "/state");
 }
 
-Process::~Process() {
+DispatcherProcess::~DispatcherProcess() {
   if (pid_ <= 0) return;
   ::kill(pid_, SIGCONT);
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, nullptr, 0);
 }
 
-void Process::configure(const std::string& text) const {
+void DispatcherProcess::configure(const std::string& text) const {
   std::ofstream out(folder_ + "/config.json", std::ios::binary);
   out << text;
 }
 
-void Process::start() {
+void DispatcherProcess::start() {
   if (running()) return;
-  expected_ = false;
+  exitExpected_ = false;
   std::string config = folder_ + "/config.json";
   std::string log = folder_ + "/log.txt";
   const char* arguments[] = {binary_.c_str(), "serve", "--config", config.c_str(), nullptr};
@@ -69,42 +69,42 @@
   pid_ = pid;
 }
 
-void Process::signal(int number) const {
+void DispatcherProcess::signal(int number) const {
   if (pid_ > 0) ::kill(pid_, number);
 }
 
-void Process::limitFiles(bool on) const {
+void DispatcherProcess::limitFileSize(bool on) const {
   if (pid_ <= 0) return;
-  std::error_code none;
-  auto size = fs::file_size(folder_ + "/state/journal", none);
+  std::error_code error;
+  auto size = fs::file_size(folder_ + "/state/journal", error);
   rlimit limit{};
   ::prlimit(pid_, RLIMIT_FSIZE, nullptr, &limit);
-  limit.rlim_cur = on && !none ? size : limit.rlim_max;
+  limit.rlim_cur = on && !error ? size : limit.rlim_max;
   ::prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr);
 }
 
-void Process::hangFiles(bool on) const {
-  std::string mark = folder_ + "/state/hang";
+void DispatcherProcess::blockJournalWrites(bool on) const {
+  std::string marker = folder_ + "/state/hang";
   if (on) {
-    std::ofstream out(mark);
+    std::ofstream out(marker);
   } else {
-    std::error_code none;
-    fs::remove(mark, none);
+    std::error_code ignored;
+    fs::remove(marker, ignored);
   }
 }
 
-bool Process::running() {
+bool DispatcherProcess::running() {
   if (pid_ <= 0) return false;
   int status = 0;
   if (::waitpid(pid_, &status, WNOHANG) != pid_) return true;
   pid_ = -1;
   bool good = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-  if (!good && !expected_) crashed_ = true;
+  if (!good && !exitExpected_) crashed_ = true;
   return false;
 }
 
-Usage Process::usage() const {
-  Usage u;
+ResourceUsage DispatcherProcess::usage() const {
+  ResourceUsage u;
   if (pid_ <= 0) return u;
   std::string proc = "/proc/" + std::to_string(pid_);
   std::ifstream stat(proc + "/stat");
@@ -120,107 +120,111 @@
   double total = 0, resident = 0;
   statm >> total >> resident;
   u.residentMegabytes = resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
-  std::error_code none;
-  for (auto at = fs::directory_iterator(proc + "/fd", none); !none && at != fs::directory_iterator();
-       at.increment(none)) {
+  std::error_code error;
+  for (auto at = fs::directory_iterator(proc + "/fd", error); !error && at != fs::directory_iterator();
+       at.increment(error)) {
     ++u.descriptors;
   }
-  for (auto at = fs::directory_iterator(folder_ + "/state", none); !none && at != fs::directory_iterator();
-       at.increment(none)) {
-    std::error_code lost;
-    auto size = at->file_size(lost);
-    if (!lost) u.diskKilobytes += static_cast<double>(size) / 1000;
+  for (auto at = fs::directory_iterator(folder_ + "/state", error); !error && at != fs::directory_iterator();
+       at.increment(error)) {
+    std::error_code sizeError;
+    auto size = at->file_size(sizeError);
+    if (!sizeError) u.diskKilobytes += static_cast<double>(size) / 1000;
   }
   return u;
 }
 
-std::string configurationOf(const Plan& plan, int dispatcher, const std::string& listen,
+std::string configurationOf(const Experiment& experiment, int dispatcher, const std::string& listen,
                             const std::string& discovery, const std::string& state,
-                            const std::string& known) {
+                            const std::string& endpointList) {
   constexpr double kSecond = 1000;
   json types = json::array();
-  for (const TypePlan& t : plan.types) {
+  for (const TrafficTypeSettings& t : experiment.types) {
     json row{{"name", t.name},
-             {"aim-s", t.terms.latencyObjective / kSecond},
-             {"deadline-s", t.terms.deadlineAfter / kSecond},
-             {"importance", t.terms.priorityWeight},
-             {"late-worth", t.terms.lateWeightShare},
-             {"keep-order", t.terms.ordered}};
-    row["effect"] = t.terms.idempotency == Idempotency::idempotent          ? "safe"
-                    : t.terms.idempotency == Idempotency::idempotentWithKey ? "keyed"
-                                                                            : "unsafe";
-    if (t.terms.idempotency == Idempotency::idempotentWithKey) {
-      row["group"] = t.terms.deduplicationScope == DeduplicationScope::zone ? "zone" : "all";
-      row["repeat-window-s"] = t.terms.deduplicationWindow / kSecond;
+             {"aim-s", t.settings.latencyObjective / kSecond},
+             {"deadline-s", t.settings.deadlineAfter / kSecond},
+             {"importance", t.settings.priorityWeight},
+             {"late-worth", t.settings.lateWeightShare},
+             {"keep-order", t.settings.ordered}};
+    row["effect"] = t.settings.idempotency == Idempotency::idempotent          ? "safe"
+                    : t.settings.idempotency == Idempotency::idempotentWithKey ? "keyed"
+                                                                               : "unsafe";
+    if (t.settings.idempotency == Idempotency::idempotentWithKey) {
+      row["group"] = t.settings.deduplicationScope == DeduplicationScope::zone ? "zone" : "all";
+      row["repeat-window-s"] = t.settings.deduplicationWindow / kSecond;
     }
     types.push_back(row);
   }
   json tenants = json::array();
-  for (int n = 0; n < plan.load.tenants; ++n) {
-    tenants.push_back({{"name", "tenant-" + std::to_string(n)}, {"quota-per-s", plan.load.quotaPerSecond}});
+  for (int n = 0; n < experiment.load.tenants; ++n) {
+    tenants.push_back(
+        {{"name", "tenant-" + std::to_string(n)}, {"quota-per-s", experiment.load.quotaPerSecond}});
   }
-  DeploymentSettings terms = plan.terms(dispatcher);
+  DeploymentSettings deployment = experiment.deploymentSettings(dispatcher);
   json settings{{"request-classes", types},
                 {"orgs", tenants},
-                {"over-share-worth", terms.overQuotaWeightShare},
+                {"over-share-worth", deployment.overQuotaWeightShare},
                 {"kinds", {"partner"}},
-                {"zones", plan.world.rooms},
-                {"zone", terms.zone.value},
-                {"replicas-of-me", terms.dispatcherCount},
-                {"me", terms.dispatcherIndex},
+                {"zones", experiment.environment.zones},
+                {"zone", deployment.zone.value},
+                {"replicas-of-me", deployment.dispatcherCount},
+                {"me", deployment.dispatcherIndex},
                 {"family-info",
-                 {{"call-slots", terms.maxConcurrentRequests},
+                 {{"call-slots", deployment.maxConcurrentRequests},
                   {"decay", "linear"},
                   {"kind-apart", {false}},
-                  {"per-call", {plan.world.perCall}}}},
+                  {"per-call", {experiment.environment.maxBatchSize}}}},
                 {"limits",
-                 {{"open-cap", terms.maxInFlight},
-                  {"max-attempts", terms.maxAttempts},
-                  {"may-duplicate", terms.mayHedge},
-                  {"cancel", terms.mayCancel},
-                  {"probes", terms.mayHealthCheck},
-                  {"retry-after", terms.mayAdviseRetryAfter},
-                  {"max-retry-after-s", terms.maxRetryAfter / kSecond},
-                  {"conn-idle-s", terms.connectionIdleTimeout / kSecond},
-                  {"connect-timeout-s", plan.fleet.connectWithin / kSecond}}},
+                 {{"open-cap", deployment.maxInFlight},
+                  {"max-attempts", deployment.maxAttempts},
+                  {"may-duplicate", deployment.mayHedge},
+                  {"cancel", deployment.mayCancel},
+                  {"probes", deployment.mayHealthCheck},
+                  {"retry-after", deployment.mayAdviseRetryAfter},
+                  {"max-retry-after-s", deployment.maxRetryAfter / kSecond},
+                  {"conn-idle-s", deployment.connectionIdleTimeout / kSecond},
+                  {"connect-timeout-s", experiment.fleet.connectTimeout / kSecond}}},
                 {"rules",
-                 {{"cold-from", terms.slowStartInitialShare},
-                  {"cold-s", terms.slowStartDuration / kSecond},
-                  {"fall-multiple", terms.overloadThreshold},
-                  {"fall-s", terms.overloadWindow / kSecond},
-                  {"drain-grace-s", plan.world.drainGrace / kSecond},
-                  {"answer-slack-s", plan.world.answerSlack / kSecond},
-                  {"order-pause-s", terms.orderingPause / kSecond}}}};
-  if (plan.world.reports) settings["report"] = {{"fields", {"x1"}}};
+                 {{"cold-from", deployment.slowStartInitialShare},
+                  {"cold-s", deployment.slowStartDuration / kSecond},
+                  {"fall-multiple", deployment.overloadThreshold},
+                  {"fall-s", deployment.overloadWindow / kSecond},
+                  {"drain-grace-s", experiment.environment.drainGrace / kSecond},
+                  {"answer-slack-s", experiment.environment.answerSlack / kSecond},
+                  {"order-pause-s", deployment.orderingPause / kSecond}}}};
+  if (experiment.environment.reportsLoad) settings["report"] = {{"fields", {"x1"}}};
   char seed[20];
   std::snprintf(
       seed, sizeof seed, "%llx",
-      static_cast<unsigned long long>(plan.seed * 1000003 + static_cast<std::uint64_t>(dispatcher)));
+      static_cast<unsigned long long>(experiment.seed * 1000003 + static_cast<std::uint64_t>(dispatcher)));
   json file{{"name", "n" + std::to_string(dispatcher)},
             {"listen", listen},
             {"discovery", discovery},
             {"state", state},
             {"seed", seed},
             {"limits",
-             {{"sockets", plan.fleet.sockets},
-              {"memory_mb", plan.fleet.memoryMegabytes},
-              {"disk_mb", plan.fleet.diskMegabytes}}},
-            {"known", json::parse(known)},
+             {{"sockets", experiment.fleet.maxSockets},
+              {"memory_mb", experiment.fleet.memoryMegabytes},
+              {"disk_mb", experiment.fleet.diskMegabytes}}},
+            {"known", json::parse(endpointList)},
             {"settings", settings}};
-  if (!terms.zoneFailover.priorities.empty()) {
-    json tiers = json::array();
-    for (const auto& tier : terms.zoneFailover.priorities) {
-      tiers.push_back(json::array());
-      for (ZoneId room : tier) tiers.back().push_back(plan.world.rooms[room.value]);
+  if (!deployment.zoneFailover.priorities.empty()) {
+    json priorities = json::array();
+    for (const auto& zones : deployment.zoneFailover.priorities) {
+      priorities.push_back(json::array());
+      for (ZoneId zone : zones) priorities.back().push_back(experiment.environment.zones[zone.value]);
     }
-    const ZoneFailoverSettings& r = terms.zoneFailover;
-    file["rooms"] = {
-        {"tiers", tiers},
-        {"spill",
-         {{"share", r.spilloverShare}, {"slots", r.spilloverRequestShare}, {"per_s", r.spilloverPerSecond}}},
-        {"return", {{"climb_s", r.recoveryRampDuration / kSecond}, {"from", r.recoveryRampInitialShare}}}};
+    const ZoneFailoverSettings& failover = deployment.zoneFailover;
+    file["rooms"] = {{"tiers", priorities},
+                     {"spill",
+                      {{"share", failover.spilloverShare},
+                       {"slots", failover.spilloverRequestShare},
+                       {"per_s", failover.spilloverPerSecond}}},
+                     {"return",
+                      {{"climb_s", failover.recoveryRampDuration / kSecond},
+                       {"from", failover.recoveryRampInitialShare}}}};
   }
-  if (plan.fleet.writesAside) file["journal"] = {{"writer", "aside"}};
+  if (experiment.fleet.separateJournalWriter) file["journal"] = {{"writer", "aside"}};
   return file.dump(1);
 }
 
--- a/src/lab/dispatcher_process.h
+++ b/src/lab/dispatcher_process.h
@@ -10,7 +10,7 @@
 namespace stonewing::lab {
 
 // What a dispatcher's process uses, as the kernel counts it.
-struct Usage {
+struct ResourceUsage {
   double cpuSeconds{0};
   double residentMegabytes{0};
   int descriptors{0};
@@ -18,27 +18,27 @@
 };
 
 // One real dispatcher as a process, started and ended at will; its folder stays.
-class Process {
+class DispatcherProcess {
  public:
   // folder: its own, made where it is missing. Its log goes to folder/log.txt.
   // preload: a library loaded into it; empty for none.
-  Process(std::string binary, std::string folder, std::string preload = {});
-  ~Process();
-  Process(const Process&) = delete;
-  Process& operator=(const Process&) = delete;
+  DispatcherProcess(std::string binary, std::string folder, std::string preload = {});
+  ~DispatcherProcess();
+  DispatcherProcess(const DispatcherProcess&) = delete;
+  DispatcherProcess& operator=(const DispatcherProcess&) = delete;
 
   void configure(const std::string& text) const;
   void start();  // throws std::system_error
   void signal(int number) const;
   // No room in its folder any more: the kernel lets none of its files grow.
-  void limitFiles(bool on) const;
+  void limitFileSize(bool on) const;
   // A write to its journal takes until this is lifted; needs the library that stands in for such a folder.
-  void hangFiles(bool on) const;
+  void blockJournalWrites(bool on) const;
   bool running();  // also takes note of an end
   // Ended by itself, with neither a signal of ours nor the code 0.
   bool crashed() const { return crashed_; }
-  void forgive() { expected_ = true; }
-  Usage usage() const;
+  void expectExit() { exitExpected_ = true; }
+  ResourceUsage usage() const;
   const std::string& folder() const { return folder_; }
 
  private:
@@ -46,12 +46,13 @@
   std::string folder_;
   std::string preload_;
   pid_t pid_{-1};
-  bool expected_{false};  // an end is
+  bool exitExpected_{false};  // an end is
   bool crashed_{false};
 };
 
 // The configuration of one dispatcher, in the form that deploy and README state.
-std::string configurationOf(const Plan& plan, int dispatcher, const std::string& listen,
-                            const std::string& discovery, const std::string& state, const std::string& known);
+std::string configurationOf(const Experiment& experiment, int dispatcher, const std::string& listen,
+                            const std::string& discovery, const std::string& state,
+                            const std::string& endpointList);
 
 }  // namespace stonewing::lab
--- a/src/lab/emulated_servers.cpp
+++ b/src/lab/emulated_servers.cpp
@@ -15,19 +15,19 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t kRefMark = 0x5705e000;  // so that a message's name is not a bare number
-constexpr Millis kWatchMost = 60000;
+constexpr std::uint32_t kReferencePrefix = 0x5705e000;  // so that a message's name is not a bare number
+constexpr Millis kMaxWatchTimeout = 60000;
 
-std::string headOf(int status, std::size_t length, const std::string& more = "") {
+std::string responseHead(int status, std::size_t length, const std::string& more = "") {
   const char* reason = status == 200 ? "OK" : status == 204 ? "No Content" : "Trouble";
   std::string head = "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n" + more;
   if (status != 204) head += "Content-Length: " + std::to_string(length) + "\r\n";
   return head + "\r\n";
 }
 
-const char* stateOf(EndpointState phase) {
-  return phase == EndpointState::ready      ? "in_service"
-         : phase == EndpointState::draining ? "terminating"
+const char* stateName(EndpointState state) {
+  return state == EndpointState::ready      ? "in_service"
+         : state == EndpointState::draining ? "terminating"
                                             : "terminated";
 }
 
@@ -40,20 +40,21 @@
 
 }  // namespace
 
-std::string World::refOf(std::uint32_t callback) {
+std::string EmulatedServers::messageReference(std::uint32_t callback) {
   char text[20];
-  std::snprintf(text, sizeof text, "%08x%08x", kRefMark, callback);
+  std::snprintf(text, sizeof text, "%08x%08x", kReferencePrefix, callback);
   return text;
 }
 
-std::optional<std::uint32_t> World::callbackOf(std::string_view ref) {
+std::optional<std::uint32_t> EmulatedServers::messageOf(std::string_view ref) {
   if (ref.size() != 16) return std::nullopt;
   std::uint64_t value = 0;
   auto [end, error] = std::from_chars(ref.data(), ref.data() + ref.size(), value, 16);
-  if (error != std::errc() || end != ref.data() + ref.size() || value >> 32 != kRefMark) return std::nullopt;
+  if (error != std::errc() || end != ref.data() + ref.size() || value >> 32 != kReferencePrefix)
+    return std::nullopt;
   auto callback = static_cast<std::uint32_t>(value);
-  constexpr std::uint32_t kTrusted = 1u << 26;
-  if (trustsNames_ && callback < kTrusted) {
+  constexpr std::uint32_t kMaxUnknownMessage = 1u << 26;
+  if (acceptsUnknownMessages_ && callback < kMaxUnknownMessage) {
     while (trace_.callbacks.size() <= callback) {
       trace_.callbacks.push_back({.origin = static_cast<std::uint32_t>(trace_.callbacks.size())});
     }
@@ -62,370 +63,392 @@
   return callback;
 }
 
-World::World(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town, Trace& trace)
-    : loop_(loop), agenda_(agenda), clock_(clock), plan_(plan), town_(town), trace_(trace) {
-  auto count = static_cast<std::size_t>(plan.endpointCount());
-  endpoints_.resize(count);
-  told_.assign(static_cast<std::size_t>(plan.fleet.dispatchers),
-               std::vector<EndpointState>(2 * count, EndpointState::ready));
-  for (int d = 0; d < plan.fleet.dispatchers; ++d) {
-    std::string net = "127.0." + std::to_string(d + 1) + ".";
-    platform_.push_back(std::make_unique<Server>(loop, *this, net + "1"));
-    places_[platform_.back().get()] = {d, -1};
-    for (int e = 0; e < plan.endpointCount(); ++e) {
-      auto& servers = endpoints_[static_cast<std::size_t>(e)];
-      servers.push_back(std::make_unique<Server>(loop, *this, net + std::to_string(plan.roomOf(e) + 1)));
-      places_[servers.back().get()] = {d, e};
+EmulatedServers::EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
+                                 const Experiment& experiment, EndpointModel& endpointModel, Trace& trace)
+    : loop_(loop),
+      timers_(timers),
+      clock_(clock),
+      experiment_(experiment),
+      endpointModel_(endpointModel),
+      trace_(trace) {
+  auto count = static_cast<std::size_t>(experiment.endpointCount());
+  endpointServers_.resize(count);
+  notifiedStates_.assign(static_cast<std::size_t>(experiment.fleet.dispatchers),
+                         std::vector<EndpointState>(2 * count, EndpointState::ready));
+  for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
+    std::string subnet = "127.0." + std::to_string(d + 1) + ".";
+    platformServers_.push_back(std::make_unique<HttpServer>(loop, *this, subnet + "1"));
+    locations_[platformServers_.back().get()] = {d, -1};
+    for (int e = 0; e < experiment.endpointCount(); ++e) {
+      auto& servers = endpointServers_[static_cast<std::size_t>(e)];
+      servers.push_back(
+          std::make_unique<HttpServer>(loop, *this, subnet + std::to_string(experiment.zoneOf(e) + 1)));
+      locations_[servers.back().get()] = {d, e};
     }
   }
   for (std::uint32_t e = 0; e < count; ++e) entries_.push_back({e, EndpointState::ready, 1});
 }
 
-World::~World() = default;
+EmulatedServers::~EmulatedServers() = default;
 
-std::string World::discovery(int dispatcher) const {
-  return platform_[static_cast<std::size_t>(dispatcher)]->address();
+std::string EmulatedServers::discoveryAddress(int dispatcher) const {
+  return platformServers_[static_cast<std::size_t>(dispatcher)]->address();
 }
 
-Millis World::oneWay(const Place& place) const {
-  int rooms = static_cast<int>(plan_.world.rooms.size());
-  bool near = place.dispatcher % rooms == plan_.roomOf(place.endpoint);
-  return near ? plan_.world.nearOneWay : plan_.world.farOneWay;
+Millis EmulatedServers::oneWayDelay(const ServerLocation& location) const {
+  int zones = static_cast<int>(experiment_.environment.zones.size());
+  bool near = location.dispatcher % zones == experiment_.zoneOf(location.endpoint);
+  return near ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
 }
 
 // ---- discovery ----
 
-std::string World::entryText(int dispatcher, const Entry& entry) const {
-  auto count = static_cast<std::uint32_t>(plan_.endpointCount());
+std::string EmulatedServers::entryText(int dispatcher, const DiscoveryEntry& entry) const {
+  auto count = static_cast<std::uint32_t>(experiment_.endpointCount());
   std::uint32_t real = entry.endpoint % count;
   bool ghost = entry.endpoint >= count;  // named by a wrong list: nobody is there
   json row{
       {"id", (ghost ? "ghost-" : "s-") + std::to_string(real)},
-      {"addr", ghost ? "127.0.0.1:1" : endpoints_[real][static_cast<std::size_t>(dispatcher)]->address()},
-      {"zone", plan_.world.rooms[static_cast<std::size_t>(plan_.roomOf(static_cast<int>(real)))]},
+      {"addr",
+       ghost ? "127.0.0.1:1" : endpointServers_[real][static_cast<std::size_t>(dispatcher)]->address()},
+      {"zone",
+       experiment_.environment.zones[static_cast<std::size_t>(experiment_.zoneOf(static_cast<int>(real)))]},
       {"kind", "partner"},
-      {"cell", plan_.destinationOf(static_cast<int>(real))},
-      {"state", stateOf(entry.phase)},
+      {"cell", experiment_.destinationOf(static_cast<int>(real))},
+      {"state", stateName(entry.state)},
       {"weight", ghost ? 1e6 : 1.0},
       {"started_ms", 0}};
   return row.dump();
 }
 
-std::string World::known(int dispatcher) const {
+std::string EmulatedServers::endpointList(int dispatcher) const {
   std::string rows;
-  for (const Entry& e : entries_) {
-    if (e.phase != EndpointState::removed) rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
+  for (const DiscoveryEntry& e : entries_) {
+    if (e.state != EndpointState::removed) rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
   }
   return R"({"version":)" + std::to_string(version_) + R"(,"full":true,"servers":[)" + rows + "]}";
 }
 
-void World::answerWatch(int dispatcher, std::int64_t since, Served& served) {
+void EmulatedServers::answerWatch(int dispatcher, std::int64_t since, HttpServerConnection& connection) {
   std::string rows;
-  for (const Entry& e : entries_) {
+  for (const DiscoveryEntry& e : entries_) {
     if (e.version <= since) continue;
     rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
-    EndpointState& told = told_[static_cast<std::size_t>(dispatcher)][e.endpoint];
-    if (told == e.phase) continue;
-    told = e.phase;
+    EndpointState& notified = notifiedStates_[static_cast<std::size_t>(dispatcher)][e.endpoint];
+    if (notified == e.state) continue;
+    notified = e.state;
     trace_.events.push_back({.at = clock_.now(),
                              .what = What::told,
                              .endpoint = e.endpoint,
                              .dispatcher = static_cast<std::uint16_t>(dispatcher),
-                             .status = static_cast<std::int16_t>(e.phase)});
+                             .status = static_cast<std::int16_t>(e.state)});
   }
   std::string body =
       R"({"version":)" + std::to_string(version_) + R"(,"full":false,"servers":[)" + rows + "]}";
-  served.answer(headOf(200, body.size()) + body);
+  connection.respond(responseHead(200, body.size()) + body);
 }
 
-void World::catalog(const Place& place, Served& served, const Request& request) {
-  if (clock_.now() < listSilentUntil_) return;  // it is there and says nothing
+void EmulatedServers::handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
+                                      const HttpRequest& request) {
+  if (clock_.now() < discoveryUnresponsiveUntil_) return;  // it is there and says nothing
   std::string since = parameter(request.target, "since");
   if (since.empty()) {
-    std::string body = known(place.dispatcher);
-    for (const Entry& e : entries_) told_[static_cast<std::size_t>(place.dispatcher)][e.endpoint] = e.phase;
-    return served.answer(headOf(200, body.size()) + body);
+    std::string body = endpointList(location.dispatcher);
+    for (const DiscoveryEntry& e : entries_)
+      notifiedStates_[static_cast<std::size_t>(location.dispatcher)][e.endpoint] = e.state;
+    return connection.respond(responseHead(200, body.size()) + body);
   }
   auto from = static_cast<std::int64_t>(parseWholeNumber(since).value_or(0));
-  if (version_ > from) return answerWatch(place.dispatcher, from, served);
+  if (version_ > from) return answerWatch(location.dispatcher, from, connection);
   auto timeout = static_cast<Millis>(parseWholeNumber(parameter(request.target, "timeout_ms")).value_or(0));
-  std::uint64_t serial = ++serial_;
-  watches_[place.dispatcher] = {&served, from, serial};
-  agenda_.at(loop_.now() + std::min(timeout, kWatchMost), [this, d = place.dispatcher, serial] {
-    auto at = watches_.find(d);
-    if (at == watches_.end() || at->second.serial != serial) return;
-    Watch watch = at->second;
-    watches_.erase(at);
-    if (clock_.now() >= listSilentUntil_) answerWatch(d, watch.since, *watch.served);
-  });
+  std::uint64_t serial = ++lastWatchSerial_;
+  watches_[location.dispatcher] = {&connection, from, serial};
+  timers_.schedule(loop_.now() + std::min(timeout, kMaxWatchTimeout),
+                   [this, d = location.dispatcher, serial] {
+                     auto at = watches_.find(d);
+                     if (at == watches_.end() || at->second.serial != serial) return;
+                     PendingWatch watch = at->second;
+                     watches_.erase(at);
+                     if (clock_.now() >= discoveryUnresponsiveUntil_)
+                       answerWatch(d, watch.since, *watch.connection);
+                   });
 }
 
-void World::publish(std::uint32_t endpoint, EndpointState phase) {
-  Millis late = std::max(listLate_, listSilentUntil_ - clock_.now());
-  agenda_.at(loop_.now() + std::max(0.0, late), [this, endpoint, phase] {
+void EmulatedServers::publish(std::uint32_t endpoint, EndpointState state) {
+  Millis late = std::max(discoveryDelay_, discoveryUnresponsiveUntil_ - clock_.now());
+  timers_.schedule(loop_.now() + std::max(0.0, late), [this, endpoint, state] {
     ++version_;
     auto at = std::find_if(entries_.begin(), entries_.end(),
-                           [&](const Entry& e) { return e.endpoint == endpoint; });
-    if (at == entries_.end()) at = entries_.insert(entries_.end(), {endpoint, phase, version_});
-    at->phase = phase;
+                           [&](const DiscoveryEntry& e) { return e.endpoint == endpoint; });
+    if (at == entries_.end()) at = entries_.insert(entries_.end(), {endpoint, state, version_});
+    at->state = state;
     at->version = version_;
-    for (auto& [d, watch] : std::exchange(watches_, {})) answerWatch(d, watch.since, *watch.served);
+    for (auto& [d, watch] : std::exchange(watches_, {})) answerWatch(d, watch.since, *watch.connection);
   });
 }
 
 // ---- notices ----
 
-void World::reports(Served& served, const Request& request) {
+void EmulatedServers::handleNotifications(HttpServerConnection& connection, const HttpRequest& request) {
   std::string_view rest = request.body;
-  struct Line {
+  struct Notification {
     std::uint32_t callback;
     int result;
     Millis wait;
   };
-  std::vector<Line> lines;
+  std::vector<Notification> notifications;
   while (!rest.empty()) {
-    std::size_t feed = std::min(rest.find('\n'), rest.size());
-    std::string_view text = rest.substr(0, feed);
-    rest.remove_prefix(std::min(rest.size(), feed + 1));
+    std::size_t lineEnd = std::min(rest.find('\n'), rest.size());
+    std::string_view text = rest.substr(0, lineEnd);
+    rest.remove_prefix(std::min(rest.size(), lineEnd + 1));
     if (text.empty()) continue;
     json row = json::parse(text, nullptr, false);
     if (!row.is_object() || !row.contains("ref") || !row.contains("result"))
-      return served.answer(headOf(400, 0));
-    auto callback = callbackOf(row.value("ref", ""));
+      return connection.respond(responseHead(400, 0));
+    auto callback = messageOf(row.value("ref", ""));
     std::string result = row.value("result", "");
-    if (!callback || (result != "dead" && result != "bounced")) return served.answer(headOf(400, 0));
-    lines.push_back({*callback, result == "dead" ? 1 : 2, row.value("wait_ms", 0.0)});
+    if (!callback || (result != "dead" && result != "bounced"))
+      return connection.respond(responseHead(400, 0));
+    notifications.push_back({*callback, result == "dead" ? 1 : 2, row.value("wait_ms", 0.0)});
   }
-  for (const Line& l : lines) {
+  for (const Notification& notification : notifications) {
     trace_.events.push_back({.at = clock_.now(),
                              .what = What::noticed,
-                             .callback = l.callback,
-                             .status = static_cast<std::int16_t>(l.result),
-                             .span = l.wait});
-    if (onNotice) onNotice(l.callback, l.result, l.wait);
+                             .callback = notification.callback,
+                             .status = static_cast<std::int16_t>(notification.result),
+                             .span = notification.wait});
+    if (onNotification) onNotification(notification.callback, notification.result, notification.wait);
   }
-  served.answer(headOf(204, 0));
+  connection.respond(responseHead(204, 0));
 }
 
 // ---- endpoints ----
 
-bool World::opened(Server& server, Served&) {
-  const Place& place = places_.at(&server);
-  if (place.endpoint < 0) return true;
-  auto endpoint = static_cast<std::uint32_t>(place.endpoint);
-  auto got = town_.connect(clock_.now(), endpoint, static_cast<std::uint16_t>(place.dispatcher));
-  table(endpoint);
-  return got == Town::Connect::up;
+bool EmulatedServers::connectionOpened(HttpServer& server, HttpServerConnection&) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint < 0) return true;
+  auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+  auto result =
+      endpointModel_.connect(clock_.now(), endpoint, static_cast<std::uint16_t>(location.dispatcher));
+  updateConnectionLimit(endpoint);
+  return result == EndpointModel::ConnectResult::accepted;
 }
 
 // A full table takes no connection: it is refused before any of a call is written.
-void World::table(std::uint32_t endpoint) {
-  bool full = town_.tableFull(endpoint);
-  for (auto& server : endpoints_[endpoint]) server->shut(full);
+void EmulatedServers::updateConnectionLimit(std::uint32_t endpoint) {
+  bool full = endpointModel_.connectionTableFull(endpoint);
+  for (auto& server : endpointServers_[endpoint]) server->setAcceptPaused(full);
 }
 
-void World::asked(Server& server, Served& served, Request request) {
-  const Place& place = places_.at(&server);
-  if (place.endpoint >= 0) {
+void EmulatedServers::requestReceived(HttpServer& server, HttpServerConnection& connection,
+                                      HttpRequest request) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint >= 0) {
     if (request.method == "POST" && request.target.starts_with("/v1/messages")) {
-      return called(place, served, request);
+      return receiveMessages(location, connection, request);
     }
     bool load = request.target == "/_load";  // the same probe, with the report as its body
     if (request.method == "GET" && (load || request.target == "/ping")) {
-      auto endpoint = static_cast<std::uint32_t>(place.endpoint);
-      int status = town_.probed(clock_.now(), endpoint, static_cast<std::uint16_t>(place.dispatcher));
-      std::string body = load && plan_.world.reports ? reportOf(endpoint) : "";
-      if (status != 0) served.answer(headOf(status, body.size()) + body);
+      auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+      int status = endpointModel_.answerHealthCheck(clock_.now(), endpoint,
+                                                    static_cast<std::uint16_t>(location.dispatcher));
+      std::string body = load && experiment_.environment.reportsLoad ? loadReportText(endpoint) : "";
+      if (status != 0) connection.respond(responseHead(status, body.size()) + body);
       return;
     }
   } else if (request.method == "GET" && request.target.starts_with("/catalog/members")) {
-    return catalog(place, served, request);
+    return handleDiscovery(location, connection, request);
   } else if (request.method == "POST" && request.target == "/reports") {
-    return reports(served, request);
+    return handleNotifications(connection, request);
   }
-  served.answer(headOf(404, 0));
+  connection.respond(responseHead(404, 0));
 }
 
-std::string World::reportOf(std::uint32_t endpoint) const {
+std::string EmulatedServers::loadReportText(std::uint32_t endpoint) const {
   char limit[64];
-  std::snprintf(limit, sizeof limit, "x1=%.3f", town_.report(clock_.now(), endpoint).rateLimit);
+  std::snprintf(limit, sizeof limit, "x1=%.3f", endpointModel_.loadReport(clock_.now(), endpoint).rateLimit);
   return limit;
 }
 
-void World::called(const Place& place, Served& served, const Request& request) {
-  Out out;
-  out.served = &served;
-  out.batch = request.target.ends_with(":batch");
-  out.dispatcher = static_cast<std::uint16_t>(place.dispatcher);
-  out.endpoint = static_cast<std::uint32_t>(place.endpoint);
+void EmulatedServers::receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
+                                      const HttpRequest& request) {
+  PendingRequest pending;
+  pending.connection = &connection;
+  pending.batch = request.target.ends_with(":batch");
+  pending.dispatcher = static_cast<std::uint16_t>(location.dispatcher);
+  pending.endpoint = static_cast<std::uint32_t>(location.endpoint);
   auto add = [&](std::string_view ref) {
-    auto callback = callbackOf(ref);
+    auto callback = messageOf(ref);
     if (!callback) return false;
-    out.callbacks.push_back(*callback);
-    out.refs.emplace_back(ref);
+    pending.callbacks.push_back(*callback);
+    pending.references.emplace_back(ref);
     return true;
   };
   bool good = true;
-  if (out.batch) {
+  if (pending.batch) {
     std::string_view rest = request.body;
     while (good && !rest.empty()) {
-      std::size_t feed = rest.find("\r\n");
-      std::string_view row = rest.substr(0, feed);
+      std::size_t lineEnd = rest.find("\r\n");
+      std::string_view row = rest.substr(0, lineEnd);
       std::size_t first = row.find(' ');
       std::size_t last = row.rfind(' ');
       auto length = last == std::string_view::npos ? std::nullopt : parseWholeNumber(row.substr(last + 1));
-      good = feed != std::string_view::npos && length && rest.size() >= feed + 4 + *length &&
+      good = lineEnd != std::string_view::npos && length && rest.size() >= lineEnd + 4 + *length &&
              add(row.substr(0, first));
-      if (good) rest.remove_prefix(feed + 4 + *length);
+      if (good) rest.remove_prefix(lineEnd + 4 + *length);
     }
-    good = good && !out.callbacks.empty();
+    good = good && !pending.callbacks.empty();
   } else {
     good = add(request.header("X-Request-Id"));
   }
-  if (!good) return served.answer(headOf(400, 0));
-  std::uint32_t call = nextCall_++;
-  callOf_[&served] = call;
-  Millis delay = oneWay(place);
-  out_[call] = std::move(out);
-  agenda_.at(loop_.now() + delay, [this, call] { arrives(call); });
+  if (!good) return connection.respond(responseHead(400, 0));
+  std::uint32_t call = nextRequest_++;
+  requestOf_[&connection] = call;
+  Millis delay = oneWayDelay(location);
+  pendingRequests_[call] = std::move(pending);
+  timers_.schedule(loop_.now() + delay, [this, call] { deliverToEndpoint(call); });
 }
 
-void World::arrives(std::uint32_t call) {
-  auto at = out_.find(call);
-  if (at == out_.end() || town_.vanished(at->second.endpoint, at->second.dispatcher)) return;
-  Out& out = at->second;
-  auto now = town_.arrived(clock_.now(), call, out.endpoint, out.dispatcher, out.callbacks);
-  if (now) reply(*now);
-  next(out.endpoint);
+void EmulatedServers::deliverToEndpoint(std::uint32_t call) {
+  auto at = pendingRequests_.find(call);
+  if (at == pendingRequests_.end() || endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher))
+    return;
+  PendingRequest& pending = at->second;
+  auto immediate = endpointModel_.receiveRequest(clock_.now(), call, pending.endpoint, pending.dispatcher,
+                                                 pending.callbacks);
+  if (immediate) scheduleResponse(*immediate);
+  scheduleAdvance(pending.endpoint);
 }
 
-void World::next(std::uint32_t endpoint) {
-  Millis due = town_.due(endpoint);
+void EmulatedServers::scheduleAdvance(std::uint32_t endpoint) {
+  Millis due = endpointModel_.due(endpoint);
   if (due < 0) return;
-  Millis& asked = townAt_.try_emplace(endpoint, -1).first->second;
-  if (asked >= 0 && asked <= due) return;
-  asked = due;
-  agenda_.at(clock_.epoch + due, [this, endpoint, due] {
-    if (townAt_[endpoint] == due) townAt_[endpoint] = -1;
-    for (const Reply& r : town_.advance(clock_.now(), endpoint)) reply(r);
-    next(endpoint);
+  Millis& scheduledAt = advanceAt_.try_emplace(endpoint, -1).first->second;
+  if (scheduledAt >= 0 && scheduledAt <= due) return;
+  scheduledAt = due;
+  timers_.schedule(clock_.epoch + due, [this, endpoint, due] {
+    if (advanceAt_[endpoint] == due) advanceAt_[endpoint] = -1;
+    for (const EndpointResponse& r : endpointModel_.advance(clock_.now(), endpoint)) scheduleResponse(r);
+    scheduleAdvance(endpoint);
   });
 }
 
-void World::reply(const Reply& r) {
-  auto at = out_.find(r.call);
-  if (at == out_.end() || r.said == Said::silence) return;
-  agenda_.at(loop_.now() + oneWay({at->second.dispatcher, static_cast<int>(at->second.endpoint)}),
-             [this, r] { write(r.call, r); });
+void EmulatedServers::scheduleResponse(const EndpointResponse& r) {
+  auto at = pendingRequests_.find(r.request);
+  if (at == pendingRequests_.end() || r.kind == ResponseKind::none) return;
+  timers_.schedule(loop_.now() + oneWayDelay({at->second.dispatcher, static_cast<int>(at->second.endpoint)}),
+                   [this, r] { writeResponse(r.request, r); });
 }
 
-void World::write(std::uint32_t call, const Reply& r) {
-  auto at = out_.find(call);
-  if (at == out_.end()) return;
+void EmulatedServers::writeResponse(std::uint32_t call, const EndpointResponse& r) {
+  auto at = pendingRequests_.find(call);
+  if (at == pendingRequests_.end()) return;
   // Called off while the reply was on its way: nobody hears it, and the end of its connection says so.
-  if (!town_.vanished(at->second.endpoint, at->second.dispatcher) && at->second.served->left()) return;
-  Out out = std::move(at->second);
-  out_.erase(at);
-  callOf_.erase(out.served);
-  if (town_.vanished(out.endpoint, out.dispatcher)) return;
-  for (std::uint32_t c : out.callbacks) {
+  if (!endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher) &&
+      at->second.connection->peerClosed())
+    return;
+  PendingRequest pending = std::move(at->second);
+  pendingRequests_.erase(at);
+  requestOf_.erase(pending.connection);
+  if (endpointModel_.unreachable(pending.endpoint, pending.dispatcher)) return;
+  for (std::uint32_t c : pending.callbacks) {
     trace_.events.push_back({.at = clock_.now(),
                              .what = What::replied,
                              .callback = c,
                              .call = call,
-                             .endpoint = out.endpoint,
-                             .dispatcher = out.dispatcher,
-                             .status = static_cast<std::int16_t>(r.said),
-                             .span = r.wait,
-                             .ran = r.ran});
+                             .endpoint = pending.endpoint,
+                             .dispatcher = pending.dispatcher,
+                             .status = static_cast<std::int16_t>(r.kind),
+                             .span = r.retryAfter,
+                             .ran = r.executed});
   }
   std::string more;
-  if (r.wait > 0)
-    more += "X-Backoff-Ms: " + std::to_string(static_cast<std::int64_t>(std::ceil(r.wait))) + "\r\n";
-  if (plan_.world.reports) more += "X-Load: " + reportOf(out.endpoint) + "\r\n";
+  if (r.retryAfter > 0)
+    more += "X-Backoff-Ms: " + std::to_string(static_cast<std::int64_t>(std::ceil(r.retryAfter))) + "\r\n";
+  if (experiment_.environment.reportsLoad) more += "X-Load: " + loadReportText(pending.endpoint) + "\r\n";
   std::string body;
-  if (out.batch && r.said == Said::ok) {
-    for (const std::string& ref : out.refs) body += ref + " ok\r\n";
+  if (pending.batch && r.kind == ResponseKind::ok) {
+    for (const std::string& ref : pending.references) body += ref + " ok\r\n";
   }
-  switch (r.said) {
-    case Said::reset:
-      return out.served->reset();
-    case Said::spoilt:
-      return out.served->answer("HTTP/1.1 2O0 ;;\r\n\x01\x02 noise\r\n\r\n");
-    case Said::cut:
-      return out.served->answer(headOf(200, body.size() + 100, more) + body, true);
+  switch (r.kind) {
+    case ResponseKind::connectionReset:
+      return pending.connection->reset();
+    case ResponseKind::malformed:
+      return pending.connection->respond("HTTP/1.1 2O0 ;;\r\n\x01\x02 noise\r\n\r\n");
+    case ResponseKind::truncated:
+      return pending.connection->respond(responseHead(200, body.size() + 100, more) + body, true);
     default:
-      return out.served->answer(headOf(static_cast<int>(r.said), body.size(), more) + body);
+      return pending.connection->respond(responseHead(static_cast<int>(r.kind), body.size(), more) + body);
   }
 }
 
-void World::closed(Server& server, Served& served) {
-  const Place& place = places_.at(&server);
-  if (place.endpoint < 0) {
-    std::erase_if(watches_, [&](const auto& w) { return w.second.served == &served; });
+void EmulatedServers::connectionClosed(HttpServer& server, HttpServerConnection& connection) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint < 0) {
+    std::erase_if(watches_, [&](const auto& w) { return w.second.connection == &connection; });
     return;
   }
-  auto endpoint = static_cast<std::uint32_t>(place.endpoint);
-  if (auto at = callOf_.find(&served); at != callOf_.end()) {
+  auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+  if (auto at = requestOf_.find(&connection); at != requestOf_.end()) {
     std::uint32_t call = at->second;
-    callOf_.erase(at);
-    Out out = std::move(out_.at(call));
-    out_.erase(call);
-    bool ran = town_.abandoned(clock_.now(), call, endpoint);
-    for (std::uint32_t c : out.callbacks) {
+    requestOf_.erase(at);
+    PendingRequest pending = std::move(pendingRequests_.at(call));
+    pendingRequests_.erase(call);
+    bool ran = endpointModel_.abandonRequest(clock_.now(), call, endpoint);
+    for (std::uint32_t c : pending.callbacks) {
       trace_.events.push_back({.at = clock_.now(),
                                .what = What::abandoned,
                                .callback = c,
                                .call = call,
                                .endpoint = endpoint,
-                               .dispatcher = out.dispatcher,
+                               .dispatcher = pending.dispatcher,
                                .ran = ran});
     }
-    next(endpoint);
+    scheduleAdvance(endpoint);
   }
-  town_.disconnected(endpoint);
-  table(endpoint);
+  endpointModel_.recordDisconnect(endpoint);
+  updateConnectionLimit(endpoint);
 }
 
-void World::strike(const TroublePlan& t, bool begins) {
+void EmulatedServers::applyFault(const Fault& t, bool begins) {
   switch (t.kind) {
-    case TroubleKind::drain:
-      for (int e : plan_.struck(t))
+    case FaultKind::drain:
+      for (int e : experiment_.affectedEndpoints(t))
         publish(static_cast<std::uint32_t>(e), begins ? EndpointState::draining : EndpointState::ready);
       return;
-    case TroubleKind::listWrong:
-      for (int e : plan_.struck(t)) {
-        if (e % plan_.world.endpoints != 0) continue;
-        publish(static_cast<std::uint32_t>(plan_.endpointCount() + e),
+    case FaultKind::discoveryWrong:
+      for (int e : experiment_.affectedEndpoints(t)) {
+        if (e % experiment_.environment.endpoints != 0) continue;
+        publish(static_cast<std::uint32_t>(experiment_.endpointCount() + e),
                 begins ? EndpointState::ready : EndpointState::removed);
       }
       return;
-    case TroubleKind::listLate:
-      listLate_ = begins ? t.factor : 0;
+    case FaultKind::discoveryDelayed:
+      discoveryDelay_ = begins ? t.factor : 0;
       return;
-    case TroubleKind::listSilent:
-      if (begins) listSilentUntil_ = t.until;
+    case FaultKind::discoveryUnresponsive:
+      if (begins) discoveryUnresponsiveUntil_ = t.until;
       return;
-    case TroubleKind::kill:
-    case TroubleKind::stop:
-    case TroubleKind::terminate:
-    case TroubleKind::diskFull:
-    case TroubleKind::diskHang:
+    case FaultKind::kill:
+    case FaultKind::stop:
+    case FaultKind::terminate:
+    case FaultKind::diskFull:
+    case FaultKind::diskHang:
       return;
     default:
       break;
   }
-  for (const Reply& r : town_.strike(clock_.now(), t, begins)) reply(r);
-  for (int n : plan_.struck(t)) {
+  for (const EndpointResponse& r : endpointModel_.applyFault(clock_.now(), t, begins)) scheduleResponse(r);
+  for (int n : experiment_.affectedEndpoints(t)) {
     auto e = static_cast<std::uint32_t>(n);
-    for (std::uint32_t d = 0; d < endpoints_[e].size(); ++d) {
-      Server& server = *endpoints_[e][d];
-      if (t.kind == TroubleKind::refuse) server.refuse(town_.refuses(e));
-      if (t.kind == TroubleKind::blackhole || t.kind == TroubleKind::cutOff)
-        server.vanish(town_.vanished(e, d));
+    for (std::uint32_t d = 0; d < endpointServers_[e].size(); ++d) {
+      HttpServer& server = *endpointServers_[e][d];
+      if (t.kind == FaultKind::refuseConnections) server.setRefusing(endpointModel_.refusesConnections(e));
+      if (t.kind == FaultKind::blackhole || t.kind == FaultKind::networkPartition)
+        server.setUnreachable(endpointModel_.unreachable(e, d));
     }
-    table(e);
-    next(e);
+    updateConnectionLimit(e);
+    scheduleAdvance(e);
   }
 }
 
--- a/src/lab/emulated_servers.h
+++ b/src/lab/emulated_servers.h
@@ -18,41 +18,42 @@
 
 // The partners' endpoints and the platform on loopback: each dispatcher reaches them at addresses of its own,
 // 127.0.<dispatcher + 1>.<room + 1>, so that it is known who calls.
-class World : public Server::Owner {
+class EmulatedServers : public HttpServer::Handler {
  public:
-  World(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Town& town, Trace& trace);
-  ~World() override;
+  EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
+                  const Experiment& experiment, EndpointModel& endpointModel, Trace& trace);
+  ~EmulatedServers() override;
 
-  std::string discovery(int dispatcher) const;
+  std::string discoveryAddress(int dispatcher) const;
   // The list that a dispatcher starts from, in discovery's form.
-  std::string known(int dispatcher) const;
+  std::string endpointList(int dispatcher) const;
   // A trouble among endpoints or in discovery begins or ends; those of dispatchers are not ours.
-  void strike(const TroublePlan& trouble, bool begins);
+  void applyFault(const Fault& fault, bool begins);
   // Messages that the platform is told of, with the result (1 failed, 2 shed) and the time to come back.
-  std::function<void(std::uint32_t callback, int result, Millis wait)> onNotice;
-  static std::string refOf(std::uint32_t callback);
+  std::function<void(std::uint32_t callback, int result, Millis wait)> onNotification;
+  static std::string messageReference(std::uint32_t callback);
   // Takes any message by a name of ours as one of the first type: a load in another process draws its own.
-  void trustNames() { trustsNames_ = true; }
+  void acceptUnknownMessages() { acceptsUnknownMessages_ = true; }
 
  private:
-  struct Place {
+  struct ServerLocation {
     int dispatcher{};
     int endpoint{-1};  // the platform where negative
   };
-  struct Entry {
+  struct DiscoveryEntry {
     std::uint32_t endpoint{};
-    EndpointState phase{EndpointState::ready};
+    EndpointState state{EndpointState::ready};
     std::int64_t version{1};
   };
-  struct Watch {
-    Served* served{};
+  struct PendingWatch {
+    HttpServerConnection* connection{};
     std::int64_t since{};
     std::uint64_t serial{};
   };
-  struct Out {
-    Served* served{};
+  struct PendingRequest {
+    HttpServerConnection* connection{};
     std::vector<std::uint32_t> callbacks;
-    std::vector<std::string> refs;
+    std::vector<std::string> references;
     bool batch{false};
     bool closed{false};
     std::uint16_t dispatcher{};
@@ -60,45 +61,47 @@
   };
 
   // No value: nobody handed in anything by that name.
-  std::optional<std::uint32_t> callbackOf(std::string_view ref);
-  bool opened(Server&, Served&) override;
-  void asked(Server&, Served&, Request) override;
-  void closed(Server&, Served&) override;
-  std::string reportOf(std::uint32_t endpoint) const;
-  void called(const Place& place, Served& served, const Request& request);
-  void arrives(std::uint32_t call);
-  void reply(const Reply& reply);
-  void write(std::uint32_t call, const Reply& reply);
-  void next(std::uint32_t endpoint);
-  void table(std::uint32_t endpoint);
-  void catalog(const Place& place, Served& served, const Request& request);
-  void answerWatch(int dispatcher, std::int64_t since, Served& served);
-  void publish(std::uint32_t endpoint, EndpointState phase);
-  void reports(Served& served, const Request& request);
-  std::string entryText(int dispatcher, const Entry& entry) const;
-  Millis oneWay(const Place& place) const;
+  std::optional<std::uint32_t> messageOf(std::string_view ref);
+  bool connectionOpened(HttpServer&, HttpServerConnection&) override;
+  void requestReceived(HttpServer&, HttpServerConnection&, HttpRequest) override;
+  void connectionClosed(HttpServer&, HttpServerConnection&) override;
+  std::string loadReportText(std::uint32_t endpoint) const;
+  void receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
+                       const HttpRequest& request);
+  void deliverToEndpoint(std::uint32_t call);
+  void scheduleResponse(const EndpointResponse& reply);
+  void writeResponse(std::uint32_t call, const EndpointResponse& reply);
+  void scheduleAdvance(std::uint32_t endpoint);
+  void updateConnectionLimit(std::uint32_t endpoint);
+  void handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
+                       const HttpRequest& request);
+  void answerWatch(int dispatcher, std::int64_t since, HttpServerConnection& connection);
+  void publish(std::uint32_t endpoint, EndpointState state);
+  void handleNotifications(HttpServerConnection& connection, const HttpRequest& request);
+  std::string entryText(int dispatcher, const DiscoveryEntry& entry) const;
+  Millis oneWayDelay(const ServerLocation& location) const;
 
   EventLoop& loop_;
-  Agenda& agenda_;
-  const Clock& clock_;
-  const Plan& plan_;
-  Town& town_;
+  TimerQueue& timers_;
+  const ExperimentClock& clock_;
+  const Experiment& experiment_;
+  EndpointModel& endpointModel_;
   Trace& trace_;
-  std::map<const Server*, Place> places_;
-  std::vector<std::vector<std::unique_ptr<Server>>> endpoints_;  // by endpoint, then dispatcher
-  std::vector<std::unique_ptr<Server>> platform_;                // by dispatcher
-  std::map<const Served*, std::uint32_t> callOf_;
-  std::map<std::uint32_t, Out> out_;
-  std::map<std::uint32_t, Millis> townAt_;
-  std::vector<Entry> entries_;
+  std::map<const HttpServer*, ServerLocation> locations_;
+  std::vector<std::vector<std::unique_ptr<HttpServer>>> endpointServers_;  // by endpoint, then dispatcher
+  std::vector<std::unique_ptr<HttpServer>> platformServers_;               // by dispatcher
+  std::map<const HttpServerConnection*, std::uint32_t> requestOf_;
+  std::map<std::uint32_t, PendingRequest> pendingRequests_;
+  std::map<std::uint32_t, Millis> advanceAt_;
+  std::vector<DiscoveryEntry> entries_;
   std::int64_t version_{1};
-  std::vector<std::vector<EndpointState>> told_;  // by dispatcher, then endpoint
-  std::map<int, Watch> watches_;                  // by dispatcher
-  std::uint64_t serial_{0};
-  std::uint32_t nextCall_{1};
-  Millis listLate_{0};
-  Millis listSilentUntil_{0};
-  bool trustsNames_{false};
+  std::vector<std::vector<EndpointState>> notifiedStates_;  // by dispatcher, then endpoint
+  std::map<int, PendingWatch> watches_;                     // by dispatcher
+  std::uint64_t lastWatchSerial_{0};
+  std::uint32_t nextRequest_{1};
+  Millis discoveryDelay_{0};
+  Millis discoveryUnresponsiveUntil_{0};
+  bool acceptsUnknownMessages_{false};
 };
 
 }  // namespace stonewing::lab
--- a/src/lab/endpoint_model.cpp
+++ b/src/lab/endpoint_model.cpp
@@ -8,118 +8,122 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr double kOutShare = 0.5;        // of the calls that fail: most of them, so the destination is out
-constexpr Millis kFastError = 1;         // an error comes at once
-constexpr double kFurtherWeight = 0.25;  // of a further message in a call, in calls
-constexpr double kChanceSlack = 2;       // calls above the budget that are put down to chance
-constexpr Millis kShutWait = 500;        // told by an endpoint that is shut
-constexpr std::size_t kReceiptsKept = 1 << 20;
+constexpr double kDownErrorShare = 0.5;  // of the calls that fail: most of them, so the destination is out
+constexpr Millis kMinServiceTime = 1;    // an error comes at once
+constexpr double kAdditionalMessageWeight = 0.25;  // of a further message in a call, in calls
+constexpr double kOverloadAllowance = 2;           // calls above the budget that are put down to chance
+constexpr Millis kRejectionRetryAfter = 500;       // told by an endpoint that is shut
+constexpr std::size_t kMaxFirstExecutions = 1 << 20;
 
 }  // namespace
 
-Town::Town(const Plan& plan, std::uint64_t seed, Trace& trace)
-    : plan_(plan),
+EndpointModel::EndpointModel(const Experiment& experiment, std::uint64_t seed, Trace& trace)
+    : experiment_(experiment),
       trace_(trace),
-      chance_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
-      endpoints_(static_cast<std::size_t>(plan.endpointCount())),
-      destinations_(static_cast<std::size_t>(plan.world.destinations)),
-      rooms_(plan.world.rooms.size()),
-      roomSizes_(plan.world.rooms.size()) {
-  for (int e = 0; e < plan.endpointCount(); ++e) ++roomSizes_[static_cast<std::size_t>(plan.roomOf(e))];
+      randomEngine_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))),
+      endpoints_(static_cast<std::size_t>(experiment.endpointCount())),
+      destinations_(static_cast<std::size_t>(experiment.environment.destinations)),
+      zones_(experiment.environment.zones.size()),
+      zoneSizes_(experiment.environment.zones.size()) {
+  for (int e = 0; e < experiment.endpointCount(); ++e)
+    ++zoneSizes_[static_cast<std::size_t>(experiment.zoneOf(e))];
 }
 
 // A room is out while all its endpoints are.
-void Town::judgeRoom(Millis now, int number) {
-  if (!plan_.world.roomsCold) return;
-  Room& r = rooms_[static_cast<std::size_t>(number)];
-  bool out = true;
-  for (int e = 0; e < plan_.endpointCount() && out; ++e) {
-    out = plan_.roomOf(e) != number || down(now, static_cast<std::uint32_t>(e));
+void EndpointModel::updateZoneState(Millis now, int number) {
+  if (!experiment_.environment.zonesReturnCold) return;
+  Zone& zone = zones_[static_cast<std::size_t>(number)];
+  bool isDown = true;
+  for (int e = 0; e < experiment_.endpointCount() && isDown; ++e) {
+    isDown = experiment_.zoneOf(e) != number || isEndpointDown(now, static_cast<std::uint32_t>(e));
   }
-  if (out == r.out) return;
-  r.out = out;
-  if (out) {
-    r.outSince = now;
+  if (isDown == zone.isDown) return;
+  zone.isDown = isDown;
+  if (isDown) {
+    zone.downSince = now;
     return;
   }
-  if (now - r.outSince > plan_.world.fallSpan) r.coldSince = now;
-  r.pushes.clear();
-  r.pushed = 0;
+  if (now - zone.downSince > experiment_.environment.overloadWindow) zone.slowStartSince = now;
+  zone.recentRequests.clear();
+  zone.recentWeight = 0;
 }
 
-double Town::roomWarmth(Millis now, std::uint32_t endpoint) {
-  if (!plan_.world.roomsCold) return 1;
-  double along = std::clamp((now - roomAt(endpoint).coldSince) / plan_.world.coldSpan, 0.0, 1.0);
-  return plan_.world.coldFrom + (1 - plan_.world.coldFrom) * along;
+double EndpointModel::zoneCapacityShare(Millis now, std::uint32_t endpoint) {
+  if (!experiment_.environment.zonesReturnCold) return 1;
+  double progress = std::clamp(
+      (now - zoneAt(endpoint).slowStartSince) / experiment_.environment.slowStartDuration, 0.0, 1.0);
+  return experiment_.environment.slowStartInitialShare +
+         (1 - experiment_.environment.slowStartInitialShare) * progress;
 }
 
 // What reaches a room, probes too. A cold one falls as a whole when it is pushed too hard, and is cold again
 // after.
-bool Town::pushRoom(Millis now, std::uint32_t endpoint, double weight) {
-  if (!plan_.world.roomsCold) return true;
-  Room& r = roomAt(endpoint);
-  if (r.out || now < r.fallenUntil) return r.out;
-  r.pushes.emplace_back(now, weight);
-  r.pushed += weight;
-  while (r.pushes.front().first <= now - plan_.world.fallSpan) {
-    r.pushed -= r.pushes.front().second;
-    r.pushes.pop_front();
+bool EndpointModel::recordZoneRequest(Millis now, std::uint32_t endpoint, double weight) {
+  if (!experiment_.environment.zonesReturnCold) return true;
+  Zone& zone = zoneAt(endpoint);
+  if (zone.isDown || now < zone.overloadedUntil) return zone.isDown;
+  zone.recentRequests.emplace_back(now, weight);
+  zone.recentWeight += weight;
+  while (zone.recentRequests.front().first <= now - experiment_.environment.overloadWindow) {
+    zone.recentWeight -= zone.recentRequests.front().second;
+    zone.recentRequests.pop_front();
   }
-  if (now >= r.coldSince + plan_.world.coldSpan) return true;
-  int number = plan_.roomOf(static_cast<int>(endpoint));
-  double whole =
-      plan_.world.parallel * roomSizes_[static_cast<std::size_t>(number)] / meanOf(plan_.world.service);
-  double budget =
-      plan_.world.fallMultiple * whole * roomWarmth(now, endpoint) * plan_.world.fallSpan + kChanceSlack;
-  if (r.pushed <= budget) return true;
+  if (now >= zone.slowStartSince + experiment_.environment.slowStartDuration) return true;
+  int number = experiment_.zoneOf(static_cast<int>(endpoint));
+  double fullCapacity = experiment_.environment.concurrency * zoneSizes_[static_cast<std::size_t>(number)] /
+                        meanOf(experiment_.environment.serviceTime);
+  double budget = experiment_.environment.overloadThreshold * fullCapacity *
+                      zoneCapacityShare(now, endpoint) * experiment_.environment.overloadWindow +
+                  kOverloadAllowance;
+  if (zone.recentWeight <= budget) return true;
   trace_.events.push_back(
       {.at = now, .what = What::roomFell, .callback = static_cast<std::uint32_t>(number)});
-  r.fallenUntil = r.coldSince = now + plan_.world.coldSpan;
-  r.pushes.clear();
-  r.pushed = 0;
+  zone.overloadedUntil = zone.slowStartSince = now + experiment_.environment.slowStartDuration;
+  zone.recentRequests.clear();
+  zone.recentWeight = 0;
   return false;
 }
 
 // What the troubles that are on make of an endpoint together.
-void Town::settle(Endpoint& e) {
+void EndpointModel::updateCondition(Endpoint& e) {
   Condition c;
-  for (const TroublePlan& t : e.on) {
-    switch (t.kind) {
-      case TroubleKind::refuse:
-        ++c.refuses;
+  for (const Fault& fault : e.activeFaults) {
+    switch (fault.kind) {
+      case FaultKind::refuseConnections:
+        ++c.refusing;
         break;
-      case TroubleKind::blackhole:
-        ++c.vanished;
+      case FaultKind::blackhole:
+        ++c.unreachable;
         break;
-      case TroubleKind::silent:
-        ++c.silent;
+      case FaultKind::noResponse:
+        ++c.unresponsive;
         break;
-      case TroubleKind::shut:
-        ++c.shut;
+      case FaultKind::rejectAll:
+        ++c.rejecting;
         break;
-      case TroubleKind::pause:
+      case FaultKind::pause:
         ++c.paused;
         break;
-      case TroubleKind::slow:
-        c.slow = std::max(c.slow, t.factor);
+      case FaultKind::slow:
+        c.slowdown = std::max(c.slowdown, fault.factor);
         break;
-      case TroubleKind::errors:
-        c.errors = std::max(c.errors, t.factor);
+      case FaultKind::errors:
+        c.errorShare = std::max(c.errorShare, fault.factor);
         break;
-      case TroubleKind::lost:
-        c.lost = std::max(c.lost, t.factor);
+      case FaultKind::lostResponse:
+        c.lostShare = std::max(c.lostShare, fault.factor);
         break;
-      case TroubleKind::reset:
-        c.reset = std::max(c.reset, t.factor);
+      case FaultKind::connectionReset:
+        c.resetShare = std::max(c.resetShare, fault.factor);
         break;
-      case TroubleKind::spoilt:
-        c.spoilt = std::max(c.spoilt, t.factor);
+      case FaultKind::malformedResponse:
+        c.malformedShare = std::max(c.malformedShare, fault.factor);
         break;
-      case TroubleKind::cut:
-        c.cut = std::max(c.cut, t.factor);
+      case FaultKind::truncatedResponse:
+        c.truncatedShare = std::max(c.truncatedShare, fault.factor);
         break;
-      case TroubleKind::table:
-        c.places = std::max(1, static_cast<int>(t.factor));
+      case FaultKind::connectionLimit:
+        c.connectionLimit = std::max(1, static_cast<int>(fault.factor));
         break;
       default:
         break;
@@ -128,132 +132,143 @@
   e.condition = c;
 }
 
-std::vector<Reply> Town::strike(Millis now, const TroublePlan& trouble, bool begins) {
-  std::vector<Reply> ended;
-  if (trouble.kind == TroubleKind::cutOff) {
-    for (int n : plan_.struck(trouble)) {
-      for (int d : trouble.dispatchers) {
-        auto at = cuts_.try_emplace({static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(n)}).first;
-        if ((at->second += begins ? 1 : -1) == 0) cuts_.erase(at);
+std::vector<EndpointResponse> EndpointModel::applyFault(Millis now, const Fault& fault, bool begins) {
+  std::vector<EndpointResponse> responses;
+  if (fault.kind == FaultKind::networkPartition) {
+    for (int n : experiment_.affectedEndpoints(fault)) {
+      for (int d : fault.dispatchers) {
+        auto at =
+            partitions_.try_emplace({static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(n)}).first;
+        if ((at->second += begins ? 1 : -1) == 0) partitions_.erase(at);
       }
     }
-    return ended;
+    return responses;
   }
-  for (int n : plan_.struck(trouble)) {
+  for (int n : experiment_.affectedEndpoints(fault)) {
     auto id = static_cast<std::uint32_t>(n);
     Endpoint& e = endpoints_[id];
     if (begins) {
-      e.on.push_back(trouble);
+      e.activeFaults.push_back(fault);
     } else {
-      auto same = [&](const TroublePlan& t) { return t.kind == trouble.kind && t.from == trouble.from; };
-      auto at = std::find_if(e.on.begin(), e.on.end(), same);
-      if (at != e.on.end()) e.on.erase(at);
+      auto same = [&](const Fault& t) { return t.kind == fault.kind && t.from == fault.from; };
+      auto at = std::find_if(e.activeFaults.begin(), e.activeFaults.end(), same);
+      if (at != e.activeFaults.end()) e.activeFaults.erase(at);
     }
     bool paused = e.condition.paused > 0;
-    settle(e);
+    updateCondition(e);
     if (!paused && e.condition.paused > 0) e.pausedAt = now;
     if (paused && e.condition.paused == 0) {
-      for (Running& r : e.running) r.until += now - e.pausedAt;
+      for (RunningRequest& r : e.running) r.endsAt += now - e.pausedAt;
     }
-    if (begins && trouble.kind == TroubleKind::refuse) {
+    if (begins && fault.kind == FaultKind::refuseConnections) {
       // The process is gone, with all that it had: what had begun may have run.
-      for (const Running& r : e.running) ended.push_back({r.call, id, Said::reset, 0, true});
-      for (const Waiting& w : e.waiting) ended.push_back({w.call, id, Said::reset, 0, false});
+      for (const RunningRequest& r : e.running)
+        responses.push_back({r.call, id, ResponseKind::connectionReset, 0, true});
+      for (const QueuedRequest& w : e.queued)
+        responses.push_back({w.call, id, ResponseKind::connectionReset, 0, false});
       e.running.clear();
-      e.waiting.clear();
+      e.queued.clear();
       e.connections = 0;
     }
-    judge(now, plan_.destinationOf(n));
+    updateDestinationState(now, experiment_.destinationOf(n));
   }
-  for (std::size_t room = 0; room < rooms_.size(); ++room) judgeRoom(now, static_cast<int>(room));
-  return ended;
+  for (std::size_t zone = 0; zone < zones_.size(); ++zone) updateZoneState(now, static_cast<int>(zone));
+  return responses;
 }
 
-bool Town::down(Millis now, std::uint32_t endpoint) const {
+bool EndpointModel::isEndpointDown(Millis now, std::uint32_t endpoint) const {
   const Condition& c = at(endpoint).condition;
-  return c.refuses > 0 || c.vanished > 0 || c.silent > 0 || c.shut > 0 || c.errors >= kOutShare ||
-         c.lost >= kOutShare || c.reset >= kOutShare || now < destinationOf(endpoint).fallenUntil;
+  return c.refusing > 0 || c.unreachable > 0 || c.unresponsive > 0 || c.rejecting > 0 ||
+         c.errorShare >= kDownErrorShare || c.lostShare >= kDownErrorShare ||
+         c.resetShare >= kDownErrorShare || now < destinationOf(endpoint).overloadedUntil;
 }
 
 // A destination is out while every endpoint of it fails most calls; when the first is back, it is cold.
-void Town::judge(Millis now, int n) {
+void EndpointModel::updateDestinationState(Millis now, int n) {
   Destination& d = destinations_[static_cast<std::size_t>(n)];
-  bool out = true;
-  for (int k = 0; k < plan_.world.endpoints; ++k) {
-    out = out && down(now, static_cast<std::uint32_t>(n * plan_.world.endpoints + k));
+  bool isDown = true;
+  for (int k = 0; k < experiment_.environment.endpoints; ++k) {
+    isDown =
+        isDown && isEndpointDown(now, static_cast<std::uint32_t>(n * experiment_.environment.endpoints + k));
   }
-  if (out == d.out) return;
-  d.out = out;
+  if (isDown == d.isDown) return;
+  d.isDown = isDown;
   auto number = static_cast<std::uint32_t>(n);
-  if (out) {
-    d.outSince = now;
+  if (isDown) {
+    d.downSince = now;
     trace_.events.push_back({.at = now, .what = What::out, .callback = number});
   } else {
-    if (now - d.outSince > plan_.world.fallSpan) d.coldSince = now;  // a blip leaves it warm
-    d.pushes.clear();
-    d.pushed = 0;
+    if (now - d.downSince > experiment_.environment.overloadWindow)
+      d.slowStartSince = now;  // a blip leaves it warm
+    d.recentRequests.clear();
+    d.recentWeight = 0;
     trace_.events.push_back({.at = now, .what = What::back, .callback = number});
   }
 }
 
-double Town::warmth(Millis now, const Destination& d) const {
-  double along = std::clamp((now - d.coldSince) / plan_.world.coldSpan, 0.0, 1.0);
-  return plan_.world.coldFrom + (1 - plan_.world.coldFrom) * along;
+double EndpointModel::capacityShare(Millis now, const Destination& d) const {
+  double progress =
+      std::clamp((now - d.slowStartSince) / experiment_.environment.slowStartDuration, 0.0, 1.0);
+  return experiment_.environment.slowStartInitialShare +
+         (1 - experiment_.environment.slowStartInitialShare) * progress;
 }
 
-double Town::capacity() const {
-  const WorldPlan& w = plan_.world;
-  double served = w.parallel * w.endpoints / meanOf(w.service);
-  return w.limitPerSecond > 0 ? std::min(served, w.limitPerSecond / 1000) : served;
+double EndpointModel::capacity() const {
+  const EnvironmentSettings& environment = experiment_.environment;
+  double serviceRate = environment.concurrency * environment.endpoints / meanOf(environment.serviceTime);
+  return environment.rateLimitPerSecond > 0 ? std::min(serviceRate, environment.rateLimitPerSecond / 1000)
+                                            : serviceRate;
 }
 
-LoadReport Town::report(Millis now, std::uint32_t endpoint) const {
-  return {capacity() * 1000 * warmth(now, destinationOf(endpoint)), -1};
+LoadReport EndpointModel::loadReport(Millis now, std::uint32_t endpoint) const {
+  return {capacity() * 1000 * capacityShare(now, destinationOf(endpoint)), -1};
 }
 
 // Counts what reaches a destination, what it turns away too. A cold one that is pushed too hard falls over.
-bool Town::push(Millis now, std::uint32_t endpoint, double weight) {
+bool EndpointModel::recordRequest(Millis now, std::uint32_t endpoint, double weight) {
   Destination& d = destinationOf(endpoint);
-  d.pushes.emplace_back(now, weight);
-  d.pushed += weight;
-  while (d.pushes.front().first <= now - plan_.world.fallSpan) {
-    d.pushed -= d.pushes.front().second;
-    d.pushes.pop_front();
+  d.recentRequests.emplace_back(now, weight);
+  d.recentWeight += weight;
+  while (d.recentRequests.front().first <= now - experiment_.environment.overloadWindow) {
+    d.recentWeight -= d.recentRequests.front().second;
+    d.recentRequests.pop_front();
   }
-  auto number = static_cast<int>(endpoint) / plan_.world.endpoints;
-  if (d.fallenUntil >= 0 && now >= d.fallenUntil) {
-    d.fallenUntil = -1;
-    judge(now, number);
+  auto number = static_cast<int>(endpoint) / experiment_.environment.endpoints;
+  if (d.overloadedUntil >= 0 && now >= d.overloadedUntil) {
+    d.overloadedUntil = -1;
+    updateDestinationState(now, number);
   }
-  if (d.out || now >= d.coldSince + plan_.world.coldSpan) return true;
-  double budget =
-      plan_.world.fallMultiple * capacity() * warmth(now, d) * plan_.world.fallSpan + kChanceSlack;
-  if (d.pushed <= budget) return true;
+  if (d.isDown || now >= d.slowStartSince + experiment_.environment.slowStartDuration) return true;
+  double budget = experiment_.environment.overloadThreshold * capacity() * capacityShare(now, d) *
+                      experiment_.environment.overloadWindow +
+                  kOverloadAllowance;
+  if (d.recentWeight <= budget) return true;
   trace_.events.push_back({.at = now, .what = What::fell, .callback = static_cast<std::uint32_t>(number)});
-  d.fallenUntil = now + plan_.world.coldSpan;
-  judge(now, number);
+  d.overloadedUntil = now + experiment_.environment.slowStartDuration;
+  updateDestinationState(now, number);
   return false;
 }
 
-Town::Connect Town::connect(Millis now, std::uint32_t id, std::uint16_t dispatcher) {
+EndpointModel::ConnectResult EndpointModel::connect(Millis now, std::uint32_t id, std::uint16_t dispatcher) {
   Endpoint& e = endpoints_[id];
-  if (vanished(id, dispatcher)) return Connect::never;
-  if (e.condition.refuses > 0 || tableFull(id)) {
+  if (unreachable(id, dispatcher)) return ConnectResult::unanswered;
+  if (e.condition.refusing > 0 || connectionTableFull(id)) {
     trace_.events.push_back(
         {.at = now, .what = What::refusedConnect, .endpoint = id, .dispatcher = dispatcher});
-    return Connect::refused;
+    return ConnectResult::refused;
   }
   ++e.connections;
-  return Connect::up;
+  return ConnectResult::accepted;
 }
 
-void Town::disconnected(std::uint32_t id) {
+void EndpointModel::recordDisconnect(std::uint32_t id) {
   Endpoint& e = endpoints_[id];
   e.connections = std::max(0, e.connections - 1);
 }
 
-std::optional<Reply> Town::arrived(Millis now, std::uint32_t call, std::uint32_t id, std::uint16_t dispatcher,
-                                   const std::vector<std::uint32_t>& callbacks) {
+std::optional<EndpointResponse> EndpointModel::receiveRequest(Millis now, std::uint32_t call,
+                                                              std::uint32_t id, std::uint16_t dispatcher,
+                                                              const std::vector<std::uint32_t>& callbacks) {
   Endpoint& e = endpoints_[id];
   for (std::uint32_t c : callbacks) {
     trace_.events.push_back({.at = now,
@@ -264,63 +279,67 @@
                              .dispatcher = dispatcher});
   }
   Destination& d = destinationOf(id);
-  double weight = 1 + kFurtherWeight * (static_cast<double>(callbacks.size()) - 1);
-  bool stands = push(now, id, weight);
-  stands = pushRoom(now, id, weight) && stands;
-  if (!stands || now < d.fallenUntil || now < roomAt(id).fallenUntil)
-    return Reply{call, id, Said::turnedAway, 0, false};
-  if (e.condition.shut > 0) return Reply{call, id, Said::turnedAway, kShutWait, false};
-  if (plan_.world.limitPerSecond > 0) {
-    auto span = static_cast<std::int64_t>(now / plan_.world.limitSpan);
-    if (span != d.span) d.inSpan = 0;
-    d.span = span;
-    double most = std::max(1.0, plan_.world.limitPerSecond * plan_.world.limitSpan / 1000 * warmth(now, d));
-    if (++d.inSpan > most) {
-      return Reply{call, id, Said::wait, (static_cast<double>(span) + 1) * plan_.world.limitSpan - now,
-                   false};
+  double weight = 1 + kAdditionalMessageWeight * (static_cast<double>(callbacks.size()) - 1);
+  bool withinCapacity = recordRequest(now, id, weight);
+  withinCapacity = recordZoneRequest(now, id, weight) && withinCapacity;
+  if (!withinCapacity || now < d.overloadedUntil || now < zoneAt(id).overloadedUntil)
+    return EndpointResponse{call, id, ResponseKind::unavailable, 0, false};
+  if (e.condition.rejecting > 0)
+    return EndpointResponse{call, id, ResponseKind::unavailable, kRejectionRetryAfter, false};
+  if (experiment_.environment.rateLimitPerSecond > 0) {
+    auto window = static_cast<std::int64_t>(now / experiment_.environment.rateLimitWindow);
+    if (window != d.rateLimitWindow) d.requestsInWindow = 0;
+    d.rateLimitWindow = window;
+    double maxRequests =
+        std::max(1.0, experiment_.environment.rateLimitPerSecond * experiment_.environment.rateLimitWindow /
+                          1000 * capacityShare(now, d));
+    if (++d.requestsInWindow > maxRequests) {
+      return EndpointResponse{
+          call, id, ResponseKind::tooManyRequests,
+          (static_cast<double>(window) + 1) * experiment_.environment.rateLimitWindow - now, false};
     }
   }
-  if (uniform(chance_) < e.condition.errors) {
+  if (uniform(randomEngine_) < e.condition.errorShare) {
     // It fails at once and holds no place for long; whether it took effect, nobody can tell.
-    return Reply{call, id, Said::error, 0, true};
+    return EndpointResponse{call, id, ResponseKind::serverError, 0, true};
   }
-  bool busy = static_cast<int>(e.running.size()) >= plan_.world.parallel;
-  if (busy && static_cast<int>(e.waiting.size()) >= plan_.world.queue) {
-    return Reply{call, id, Said::turnedAway, 0, false};
+  bool busy = static_cast<int>(e.running.size()) >= experiment_.environment.concurrency;
+  if (busy && static_cast<int>(e.queued.size()) >= experiment_.environment.queueCapacity) {
+    return EndpointResponse{call, id, ResponseKind::unavailable, 0, false};
   }
-  e.waiting.push_back({call, dispatcher, callbacks});
-  fill(now, id);
+  e.queued.push_back({call, dispatcher, callbacks});
+  startQueuedRequests(now, id);
   return std::nullopt;
 }
 
-void Town::fill(Millis now, std::uint32_t id) {
+void EndpointModel::startQueuedRequests(Millis now, std::uint32_t id) {
   Endpoint& e = endpoints_[id];
-  while (!e.waiting.empty() && e.condition.paused == 0 &&
-         static_cast<int>(e.running.size()) < plan_.world.parallel) {
-    Waiting next = std::move(e.waiting.front());
-    e.waiting.pop_front();
-    start(now, id, std::move(next));
+  while (!e.queued.empty() && e.condition.paused == 0 &&
+         static_cast<int>(e.running.size()) < experiment_.environment.concurrency) {
+    QueuedRequest next = std::move(e.queued.front());
+    e.queued.pop_front();
+    startRequest(now, id, std::move(next));
   }
 }
 
-void Town::start(Millis now, std::uint32_t id, Waiting call) {
+void EndpointModel::startRequest(Millis now, std::uint32_t id, QueuedRequest call) {
   Endpoint& e = endpoints_[id];
   const Condition& c = e.condition;
   for (std::uint32_t callback : call.callbacks) {
-    const Handed& handed = trace_.callbacks[callback];
-    const TrafficType& type = plan_.types[handed.type].terms;
-    bool fresh = true;
+    const Handed& submitted = trace_.callbacks[callback];
+    const TrafficType& type = experiment_.types[submitted.type].settings;
+    bool firstExecution = true;
     if (type.idempotency == Idempotency::idempotentWithKey) {
-      auto room = static_cast<std::uint64_t>(plan_.roomOf(static_cast<int>(id)));
-      std::uint64_t group = type.deduplicationScope == DeduplicationScope::zone ? room + 1 : 0;
-      auto [at, first] = receipts_.try_emplace(std::uint64_t{handed.origin} << 8 | group, now);
-      fresh = first || now - at->second > type.deduplicationWindow;
-      if (fresh) at->second = now;
-      if (receipts_.size() > kReceiptsKept) {
-        std::erase_if(receipts_, [&](const auto& r) { return now - r.second > 1e6; });
+      auto zone = static_cast<std::uint64_t>(experiment_.zoneOf(static_cast<int>(id)));
+      std::uint64_t scope = type.deduplicationScope == DeduplicationScope::zone ? zone + 1 : 0;
+      auto [at, inserted] = firstExecutions_.try_emplace(std::uint64_t{submitted.origin} << 8 | scope, now);
+      firstExecution = inserted || now - at->second > type.deduplicationWindow;
+      if (firstExecution) at->second = now;
+      if (firstExecutions_.size() > kMaxFirstExecutions) {
+        std::erase_if(firstExecutions_, [&](const auto& r) { return now - r.second > 1e6; });
       }
     }
-    if (!fresh) continue;
+    if (!firstExecution) continue;
     trace_.events.push_back({.at = now,
                              .what = What::effect,
                              .callback = callback,
@@ -328,71 +347,73 @@
                              .endpoint = id,
                              .dispatcher = call.dispatcher});
   }
-  Said said = Said::ok;
-  double roll = uniform(chance_);
-  for (auto [share, ends] : {std::pair{c.lost, Said::silence}, std::pair{c.reset, Said::reset},
-                             std::pair{c.spoilt, Said::spoilt}, std::pair{c.cut, Said::cut}}) {
+  ResponseKind responseKind = ResponseKind::ok;
+  double roll = uniform(randomEngine_);
+  for (auto [share, kind] :
+       {std::pair{c.lostShare, ResponseKind::none}, std::pair{c.resetShare, ResponseKind::connectionReset},
+        std::pair{c.malformedShare, ResponseKind::malformed},
+        std::pair{c.truncatedShare, ResponseKind::truncated}}) {
     if (roll < share) {
-      said = ends;
+      responseKind = kind;
       break;
     }
     roll -= share;
   }
-  if (c.silent > 0) said = Said::silence;
-  Millis service =
-      drawn(plan_.world.service, chance_) * c.slow / (warmth(now, destinationOf(id)) * roomWarmth(now, id));
-  e.running.push_back({call.call, now + std::max(kFastError, service), said});
+  if (c.unresponsive > 0) responseKind = ResponseKind::none;
+  Millis service = drawDuration(experiment_.environment.serviceTime, randomEngine_) * c.slowdown /
+                   (capacityShare(now, destinationOf(id)) * zoneCapacityShare(now, id));
+  e.running.push_back({call.call, now + std::max(kMinServiceTime, service), responseKind});
 }
 
-bool Town::abandoned(Millis now, std::uint32_t call, std::uint32_t id) {
+bool EndpointModel::abandonRequest(Millis now, std::uint32_t call, std::uint32_t id) {
   Endpoint& e = endpoints_[id];
   auto running =
       std::find_if(e.running.begin(), e.running.end(), [&](const auto& r) { return r.call == call; });
   bool ran = running != e.running.end();
   if (ran) {
     e.running.erase(running);
-    fill(now, id);
+    startQueuedRequests(now, id);
   } else {
-    std::erase_if(e.waiting, [&](const Waiting& w) { return w.call == call; });
+    std::erase_if(e.queued, [&](const QueuedRequest& w) { return w.call == call; });
   }
   return ran;
 }
 
-std::vector<Reply> Town::advance(Millis now, std::uint32_t id) {
-  std::vector<Reply> replies;
+std::vector<EndpointResponse> EndpointModel::advance(Millis now, std::uint32_t id) {
+  std::vector<EndpointResponse> responses;
   Endpoint& e = endpoints_[id];
-  if (e.condition.paused > 0) return replies;
+  if (e.condition.paused > 0) return responses;
   for (bool more = true; more;) {
     more = false;
     for (std::size_t n = 0; n < e.running.size();) {
-      if (e.running[n].until > now) {
+      if (e.running[n].endsAt > now) {
         ++n;
         continue;
       }
-      replies.push_back({e.running[n].call, id, e.running[n].said, 0, true});
+      responses.push_back({e.running[n].call, id, e.running[n].responseKind, 0, true});
       e.running.erase(e.running.begin() + static_cast<std::ptrdiff_t>(n));
       more = true;
     }
-    if (more) fill(now, id);
+    if (more) startQueuedRequests(now, id);
   }
-  return replies;
+  return responses;
 }
 
-Millis Town::due(std::uint32_t id) const {
+Millis EndpointModel::due(std::uint32_t id) const {
   const Endpoint& e = at(id);
   if (e.condition.paused > 0) return -1;
   Millis due = -1;
-  for (const Running& r : e.running) due = due < 0 ? r.until : std::min(due, r.until);
+  for (const RunningRequest& r : e.running) due = due < 0 ? r.endsAt : std::min(due, r.endsAt);
   return due;
 }
 
-int Town::probed(Millis now, std::uint32_t id, std::uint16_t dispatcher) {
-  bool stands = push(now, id, 1);
-  stands = pushRoom(now, id, 1) && stands;
+int EndpointModel::answerHealthCheck(Millis now, std::uint32_t id, std::uint16_t dispatcher) {
+  bool withinCapacity = recordRequest(now, id, 1);
+  withinCapacity = recordZoneRequest(now, id, 1) && withinCapacity;
   const Condition& c = at(id).condition;
-  int status = c.vanished > 0 || c.silent > 0 || c.paused > 0 ? 0 : 200;
-  if (!stands || c.shut > 0 || c.errors >= kOutShare || now < destinationOf(id).fallenUntil ||
-      now < roomAt(id).fallenUntil)
+  int status = c.unreachable > 0 || c.unresponsive > 0 || c.paused > 0 ? 0 : 200;
+  if (!withinCapacity || c.rejecting > 0 || c.errorShare >= kDownErrorShare ||
+      now < destinationOf(id).overloadedUntil || now < zoneAt(id).overloadedUntil)
     status = 503;
   trace_.events.push_back({.at = now,
                            .what = What::probed,
--- a/src/lab/endpoint_model.h
+++ b/src/lab/endpoint_model.h
@@ -15,146 +15,148 @@
 // world on sockets and the model in virtual time both ask it, so that they differ in the network alone.
 namespace stonewing::lab {
 
-enum class Said : std::int16_t {
-  silence = 0,
-  reset = 1,
-  spoilt = 2,
-  cut = 3,
+enum class ResponseKind : std::int16_t {
+  none = 0,
+  connectionReset = 1,
+  malformed = 2,
+  truncated = 3,
   ok = 200,
-  wait = 429,
-  error = 500,
-  turnedAway = 503,
+  tooManyRequests = 429,
+  serverError = 500,
+  unavailable = 503,
 };
 
-struct Reply {
-  std::uint32_t call{};
+struct EndpointResponse {
+  std::uint32_t request{};
   std::uint32_t endpoint{};
-  Said said{Said::ok};
-  Millis wait{0};
-  bool ran{false};
+  ResponseKind kind{ResponseKind::ok};
+  Millis retryAfter{0};
+  bool executed{false};
 };
 
-class Town {
+class EndpointModel {
  public:
-  enum class Connect { up, refused, never };
+  enum class ConnectResult { accepted, refused, unanswered };
 
   // Events of the far side are added to the trace.
-  Town(const Plan& plan, std::uint64_t seed, Trace& trace);
+  EndpointModel(const Experiment& experiment, std::uint64_t seed, Trace& trace);
 
   // A trouble begins or ends. Returns the calls that end by it.
-  std::vector<Reply> strike(Millis now, const TroublePlan& trouble, bool begins);
+  std::vector<EndpointResponse> applyFault(Millis now, const Fault& fault, bool begins);
 
   // A connection is asked for; where it comes up it takes a place in the table until disconnected.
-  Connect connect(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
-  void disconnected(std::uint32_t endpoint);
+  ConnectResult connect(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
+  void recordDisconnect(std::uint32_t endpoint);
   // Nothing comes through to it, or to it from this dispatcher.
-  bool vanished(std::uint32_t endpoint, std::uint32_t dispatcher) const {
-    return at(endpoint).condition.vanished > 0 || cuts_.contains({dispatcher, endpoint});
+  bool unreachable(std::uint32_t endpoint, std::uint32_t dispatcher) const {
+    return at(endpoint).condition.unreachable > 0 || partitions_.contains({dispatcher, endpoint});
   }
-  bool tableFull(std::uint32_t endpoint) const {
+  bool connectionTableFull(std::uint32_t endpoint) const {
     const Endpoint& e = at(endpoint);
-    return e.connections >= (e.condition.places > 0 ? e.condition.places : plan_.world.connections);
+    return e.connections >= (e.condition.connectionLimit > 0 ? e.condition.connectionLimit
+                                                             : experiment_.environment.maxConnections);
   }
-  bool refuses(std::uint32_t endpoint) const { return at(endpoint).condition.refuses > 0; }
+  bool refusesConnections(std::uint32_t endpoint) const { return at(endpoint).condition.refusing > 0; }
 
   // The last byte of a call has come, with these messages. No reply yet: it runs, or waits for its turn.
-  std::optional<Reply> arrived(Millis now, std::uint32_t call, std::uint32_t endpoint,
-                               std::uint16_t dispatcher, const std::vector<std::uint32_t>& callbacks);
+  std::optional<EndpointResponse> receiveRequest(Millis now, std::uint32_t call, std::uint32_t endpoint,
+                                                 std::uint16_t dispatcher,
+                                                 const std::vector<std::uint32_t>& callbacks);
   // Its connection ended before the reply. Returns whether it has run.
-  bool abandoned(Millis now, std::uint32_t call, std::uint32_t endpoint);
+  bool abandonRequest(Millis now, std::uint32_t call, std::uint32_t endpoint);
   // Replies that are due by now.
-  std::vector<Reply> advance(Millis now, std::uint32_t endpoint);
+  std::vector<EndpointResponse> advance(Millis now, std::uint32_t endpoint);
   Millis due(std::uint32_t endpoint) const;  // of the next; negative for none
   // 200, 503 or 0 for no answer.
-  int probed(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
+  int answerHealthCheck(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
   // What a load report tells: the destination's limit or capacity, calls a second.
-  LoadReport report(Millis now, std::uint32_t endpoint) const;
+  LoadReport loadReport(Millis now, std::uint32_t endpoint) const;
 
  private:
   // Troubles add up: a count of those that are on, or the strongest of them.
   struct Condition {
-    int refuses{0};
-    int vanished{0};
-    int silent{0};
-    int shut{0};
+    int refusing{0};
+    int unreachable{0};
+    int unresponsive{0};
+    int rejecting{0};
     int paused{0};
-    double slow{1};
-    double errors{0};
-    double lost{0};
-    double reset{0};
-    double spoilt{0};
-    double cut{0};
-    int places{0};  // of the connection table; 0: the plan's
+    double slowdown{1};
+    double errorShare{0};
+    double lostShare{0};
+    double resetShare{0};
+    double malformedShare{0};
+    double truncatedShare{0};
+    int connectionLimit{0};  // of the connection table; 0: the plan's
   };
-  struct Running {
+  struct RunningRequest {
     std::uint32_t call{};
-    Millis until{};
-    Said said{};
+    Millis endsAt{};
+    ResponseKind responseKind{};
   };
-  struct Waiting {
+  struct QueuedRequest {
     std::uint32_t call{};
     std::uint16_t dispatcher{};
     std::vector<std::uint32_t> callbacks;
   };
   struct Endpoint {
     Condition condition;
-    std::vector<TroublePlan> on;
+    std::vector<Fault> activeFaults;
     int connections{0};
     Millis pausedAt{0};
-    std::vector<Running> running;
-    std::deque<Waiting> waiting;
+    std::vector<RunningRequest> running;
+    std::deque<QueuedRequest> queued;
   };
   struct Destination {
-    bool out{false};
-    Millis outSince{0};
-    Millis coldSince{-1e15};  // warm for long
-    Millis fallenUntil{-1};
-    std::deque<std::pair<Millis, double>> pushes;  // within the last fall span, with their weight
-    double pushed{0};
-    std::int64_t span{-1};  // of the limit, and the calls in it
-    double inSpan{0};
+    bool isDown{false};
+    Millis downSince{0};
+    Millis slowStartSince{-1e15};  // warm for long
+    Millis overloadedUntil{-1};
+    std::deque<std::pair<Millis, double>> recentRequests;  // within the last fall span, with their weight
+    double recentWeight{0};
+    std::int64_t rateLimitWindow{-1};  // of the limit, and the calls in it
+    double requestsInWindow{0};
   };
 
   const Endpoint& at(std::uint32_t e) const { return endpoints_[e]; }
   Destination& destinationOf(std::uint32_t e) {
-    return destinations_[e / static_cast<std::uint32_t>(plan_.world.endpoints)];
+    return destinations_[e / static_cast<std::uint32_t>(experiment_.environment.endpoints)];
   }
   const Destination& destinationOf(std::uint32_t e) const {
-    return destinations_[e / static_cast<std::uint32_t>(plan_.world.endpoints)];
+    return destinations_[e / static_cast<std::uint32_t>(experiment_.environment.endpoints)];
   }
-  struct Room {
-    bool out{false};
-    Millis outSince{0};
-    Millis coldSince{-1e15};
-    Millis fallenUntil{-1};
-    std::deque<std::pair<Millis, double>> pushes;
-    double pushed{0};
+  struct Zone {
+    bool isDown{false};
+    Millis downSince{0};
+    Millis slowStartSince{-1e15};
+    Millis overloadedUntil{-1};
+    std::deque<std::pair<Millis, double>> recentRequests;
+    double recentWeight{0};
   };
-  Room& roomAt(std::uint32_t e) {
-    return rooms_[static_cast<std::size_t>(plan_.roomOf(static_cast<int>(e)))];
+  Zone& zoneAt(std::uint32_t e) {
+    return zones_[static_cast<std::size_t>(experiment_.zoneOf(static_cast<int>(e)))];
   }
-  void judgeRoom(Millis now, int room);
-  bool pushRoom(Millis now, std::uint32_t endpoint, double weight);
-  double roomWarmth(Millis now, std::uint32_t endpoint);
-  void settle(Endpoint& e);
-  void judge(Millis now, int destination);
-  double warmth(Millis now, const Destination& d) const;
+  void updateZoneState(Millis now, int zone);
+  bool recordZoneRequest(Millis now, std::uint32_t endpoint, double weight);
+  double zoneCapacityShare(Millis now, std::uint32_t endpoint);
+  void updateCondition(Endpoint& e);
+  void updateDestinationState(Millis now, int destination);
+  double capacityShare(Millis now, const Destination& d) const;
   double capacity() const;  // of a warm destination, calls a millisecond
-  bool push(Millis now, std::uint32_t endpoint, double weight);
-  void start(Millis now, std::uint32_t endpoint, Waiting call);
-  void fill(Millis now, std::uint32_t endpoint);
-  bool down(Millis now, std::uint32_t endpoint) const;
+  bool recordRequest(Millis now, std::uint32_t endpoint, double weight);
+  void startRequest(Millis now, std::uint32_t endpoint, QueuedRequest call);
+  void startQueuedRequests(Millis now, std::uint32_t endpoint);
+  bool isEndpointDown(Millis now, std::uint32_t endpoint) const;
 
-  const Plan& plan_;
+  const Experiment& experiment_;
   Trace& trace_;
-  std::mt19937 chance_;
+  std::mt19937 randomEngine_;
   std::vector<Endpoint> endpoints_;
   std::vector<Destination> destinations_;
-  std::vector<Room> rooms_;
+  std::vector<Zone> zones_;
   std::map<std::pair<std::uint32_t, std::uint32_t>, int>
-      cuts_;  // dispatcher and endpoint: troubles that part them
-  std::vector<int> roomSizes_;
-  std::unordered_map<std::uint64_t, Millis> receipts_;  // by key and group: when it first ran
+      partitions_;  // dispatcher and endpoint: troubles that part them
+  std::vector<int> zoneSizes_;
+  std::unordered_map<std::uint64_t, Millis> firstExecutions_;  // by key and group: when it first ran
 };
 
 }  // namespace stonewing::lab
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -20,18 +20,29 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-constexpr std::pair<const char*, TroubleKind> kTroubles[] = {
-    {"refuse", TroubleKind::refuse},       {"blackhole", TroubleKind::blackhole},
-    {"silent", TroubleKind::silent},       {"slow", TroubleKind::slow},
-    {"errors", TroubleKind::errors},       {"shut", TroubleKind::shut},
-    {"lost", TroubleKind::lost},           {"reset", TroubleKind::reset},
-    {"spoilt", TroubleKind::spoilt},       {"cut", TroubleKind::cut},
-    {"pause", TroubleKind::pause},         {"table", TroubleKind::table},
-    {"list-late", TroubleKind::listLate},  {"list-silent", TroubleKind::listSilent},
-    {"drain", TroubleKind::drain},         {"list-wrong", TroubleKind::listWrong},
-    {"kill", TroubleKind::kill},           {"stop", TroubleKind::stop},
-    {"terminate", TroubleKind::terminate}, {"cut-off", TroubleKind::cutOff},
-    {"disk-full", TroubleKind::diskFull},  {"disk-hang", TroubleKind::diskHang},
+constexpr std::pair<const char*, FaultKind> kFaultKinds[] = {
+    {"refuse", FaultKind::refuseConnections},
+    {"blackhole", FaultKind::blackhole},
+    {"silent", FaultKind::noResponse},
+    {"slow", FaultKind::slow},
+    {"errors", FaultKind::errors},
+    {"shut", FaultKind::rejectAll},
+    {"lost", FaultKind::lostResponse},
+    {"reset", FaultKind::connectionReset},
+    {"spoilt", FaultKind::malformedResponse},
+    {"cut", FaultKind::truncatedResponse},
+    {"pause", FaultKind::pause},
+    {"table", FaultKind::connectionLimit},
+    {"list-late", FaultKind::discoveryDelayed},
+    {"list-silent", FaultKind::discoveryUnresponsive},
+    {"drain", FaultKind::drain},
+    {"list-wrong", FaultKind::discoveryWrong},
+    {"kill", FaultKind::kill},
+    {"stop", FaultKind::stop},
+    {"terminate", FaultKind::terminate},
+    {"cut-off", FaultKind::networkPartition},
+    {"disk-full", FaultKind::diskFull},
+    {"disk-hang", FaultKind::diskHang},
 };
 
 // How many letters must change to make one word of the other.
@@ -61,29 +72,29 @@
   return text;
 }
 
-std::string listed(const std::vector<std::string>& words) {
+std::string commaSeparated(const std::vector<std::string>& words) {
   std::string text;
   for (const auto& w : words) text += (text.empty() ? "" : ", ") + w;
   return text;
 }
 
 // Gathers every mistake, so that a file is mended in one go.
-struct Complaints {
+struct ConfigErrors {
   std::string file;
-  std::vector<std::pair<toml::source_position, std::string>> found;
+  std::vector<std::pair<toml::source_position, std::string>> errors;
 
-  void add(const toml::source_region& where, const std::string& what) {
-    found.emplace_back(where.begin, what);
+  void add(const toml::source_region& where, const std::string& message) {
+    errors.emplace_back(where.begin, message);
   }
-  void raise() {
-    if (found.empty()) return;
-    std::stable_sort(found.begin(), found.end(), [](const auto& a, const auto& b) {
+  void throwIfAny() {
+    if (errors.empty()) return;
+    std::stable_sort(errors.begin(), errors.end(), [](const auto& a, const auto& b) {
       return std::pair(a.first.line, a.first.column) < std::pair(b.first.line, b.first.column);
     });
     std::string text;
-    for (const auto& [at, what] : found) {
+    for (const auto& [at, text_] : errors) {
       text += (text.empty() ? "" : "\n") + file + ":" + std::to_string(at.line) + ":" +
-              std::to_string(at.column) + ": " + what;
+              std::to_string(at.column) + ": " + text_;
     }
     throw ConfigError(text);
   }
@@ -92,8 +103,8 @@
 // One table of the file. Every key that is asked for is known; done() names those that nobody asked for.
 class Section {
  public:
-  Section(const toml::table& table, std::string name, Complaints& complaints)
-      : table_(table), name_(std::move(name)), complaints_(complaints) {}
+  Section(const toml::table& table, std::string name, ConfigErrors& errors)
+      : table_(table), name_(std::move(name)), errors_(errors) {}
 
   template <class T>
   void number(const char* key, T& into, double least, double most, double unit = 1) {
@@ -101,16 +112,16 @@
     if (node == nullptr) return;
     auto value = node->value<double>();
     if (node->is_boolean() || !value || !std::isfinite(*value)) {
-      return wrong(*node, quoted(key) + " must be a number");
+      return addError(*node, quoted(key) + " must be a number");
     }
     if (*value < least || *value > most) {
       std::ostringstream text;
       text << quoted(key) << " is " << *value << "; it must lie between " << least << " and " << most;
-      return wrong(*node, text.str());
+      return addError(*node, text.str());
     }
     if constexpr (std::is_integral_v<T>) {
       if (std::floor(*value) != *value) {
-        return wrong(*node, quoted(key) + " must be a whole number");
+        return addError(*node, quoted(key) + " must be a whole number");
       }
     }
     into = static_cast<T>(*value * unit);
@@ -118,16 +129,16 @@
   void flag(const char* key, bool& into) {
     const toml::node* node = find(key);
     if (node == nullptr) return;
-    if (!node->is_boolean()) return wrong(*node, quoted(key) + " must be true or false");
+    if (!node->is_boolean()) return addError(*node, quoted(key) + " must be true or false");
     into = *node->value<bool>();
   }
   void text(const char* key, std::string& into, bool needed = false) {
     const toml::node* node = find(key);
     if (node == nullptr) {
-      if (needed) wrong(table_, quoted(name_) + " needs " + quoted(key) + ", a name in quotes");
+      if (needed) addError(table_, quoted(name_) + " needs " + quoted(key) + ", a name in quotes");
       return;
     }
-    if (!node->is_string()) return wrong(*node, quoted(key) + " must be a text in quotes");
+    if (!node->is_string()) return addError(*node, quoted(key) + " must be a text in quotes");
     into = *node->value<std::string>();
   }
   template <class T, std::size_t N>
@@ -135,40 +146,40 @@
     std::string word;
     text(key, word, needed);
     if (word.empty()) return;
-    std::vector<std::string> words;
+    std::vector<std::string> names;
     for (const auto& [name, value] : known) {
       if (word == name) {
         into = value;
         return;
       }
-      words.emplace_back(name);
+      names.emplace_back(name);
     }
-    wrong(*table_.get(key), quoted(key) + " is \"" + word + "\"; it must be one of " + listed(words) +
-                                " (nearest: " + nearest(word, words) + ")");
+    addError(*table_.get(key), quoted(key) + " is \"" + word + "\"; it must be one of " +
+                                   commaSeparated(names) + " (nearest: " + nearest(word, names) + ")");
   }
-  void whole(const char* key, std::vector<int>& into, int below) {
+  void wholeNumbers(const char* key, std::vector<int>& into, int below) {
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const toml::array* rows = node->as_array();
-    if (rows == nullptr) return wrong(*node, quoted(key) + " must be a list of whole numbers");
+    if (rows == nullptr) return addError(*node, quoted(key) + " must be a list of whole numbers");
     for (const toml::node& row : *rows) {
       auto value = row.value<std::int64_t>();
       if (!row.is_integer() || !value || *value < 0 || *value >= below) {
-        wrong(row, quoted(key) + " must hold whole numbers from 0 to " + std::to_string(below - 1));
+        addError(row, quoted(key) + " must hold whole numbers from 0 to " + std::to_string(below - 1));
         continue;
       }
       into.push_back(static_cast<int>(*value));
     }
   }
-  void words(const char* key, std::vector<std::string>& into) {
+  void names(const char* key, std::vector<std::string>& into) {
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const toml::array* rows = node->as_array();
-    if (rows == nullptr || rows->empty()) return wrong(*node, quoted(key) + " must be a list of names");
+    if (rows == nullptr || rows->empty()) return addError(*node, quoted(key) + " must be a list of names");
     into.clear();
     for (const toml::node& row : *rows) {
       auto value = row.value<std::string>();
-      if (!value || value->empty()) return wrong(row, quoted(key) + " must hold names in quotes");
+      if (!value || value->empty()) return addError(row, quoted(key) + " must hold names in quotes");
       into.push_back(*value);
     }
   }
@@ -176,10 +187,10 @@
     const toml::node* node = find(key);
     if (node == nullptr) return std::nullopt;
     if (!node->is_table()) {
-      wrong(*node, quoted(key) + " must be a table");
+      addError(*node, quoted(key) + " must be a table");
       return std::nullopt;
     }
-    return Section(*node->as_table(), key, complaints_);
+    return Section(*node->as_table(), key, errors_);
   }
   std::vector<Section> tables(const char* key) {
     std::vector<Section> found;
@@ -188,24 +199,24 @@
     const toml::array* rows = node->as_array();
     if (rows == nullptr ||
         !std::all_of(rows->begin(), rows->end(), [](const auto& r) { return r.is_table(); })) {
-      wrong(*node, "write " + quoted(key) + " as [[" + key + "]], once for each");
+      addError(*node, "write " + quoted(key) + " as [[" + key + "]], once for each");
       return found;
     }
-    for (const toml::node& row : *rows) found.emplace_back(*row.as_table(), key, complaints_);
+    for (const toml::node& row : *rows) found.emplace_back(*row.as_table(), key, errors_);
     return found;
   }
-  void wrong(const toml::node& node, const std::string& what) { complaints_.add(node.source(), what); }
-  void wrong(const char* key, const std::string& what) {
+  void addError(const toml::node& node, const std::string& message) { errors_.add(node.source(), message); }
+  void addError(const char* key, const std::string& message) {
     const toml::node* node = table_.get(key);
-    wrong(node != nullptr ? *node : static_cast<const toml::node&>(table_), what);
+    addError(node != nullptr ? *node : static_cast<const toml::node&>(table_), message);
   }
-  void done() {
+  void rejectUnknownKeys() {
     for (const auto& [key, node] : table_) {
       std::string word(key.str());
       if (known_.contains(word)) continue;
       std::vector<std::string> names(known_.begin(), known_.end());
-      complaints_.add(key.source(), quoted(word) + " is not a key of " + name_ + "; did you mean " +
-                                        quoted(nearest(word, names)) + "? (keys: " + listed(names) + ")");
+      errors_.add(key.source(), quoted(word) + " is not a key of " + name_ + "; did you mean " +
+                                    quoted(nearest(word, names)) + "? (keys: " + commaSeparated(names) + ")");
     }
   }
 
@@ -216,164 +227,172 @@
   }
   const toml::table& table_;
   std::string name_;
-  Complaints& complaints_;
+  ConfigErrors& errors_;
   std::set<std::string> known_;
 };
 
 constexpr double kDay = 86400;
 
-void readSpan(Section& from, const char* key, DrawnSpan& into) {
-  auto span = from.table(key);
-  if (!span) return;
-  static constexpr std::pair<const char*, Shape> kShapes[] = {
-      {"fixed", Shape::fixed}, {"lognormal", Shape::lognormal}, {"pareto", Shape::pareto}};
-  span->choice("shape", into.shape, kShapes);
-  span->number("median_ms", into.median, 0.001, 1e6);
-  span->number("spread", into.spread, 0, 20);
-  if (into.shape == Shape::pareto && into.spread <= 1) {
-    span->wrong("spread", "a Pareto span needs 'spread' (its exponent) above 1, or it has no mean");
+void readDistribution(Section& from, const char* key, DurationDistribution& into) {
+  auto table = from.table(key);
+  if (!table) return;
+  static constexpr std::pair<const char*, DistributionShape> kShapes[] = {
+      {"fixed", DistributionShape::fixed},
+      {"lognormal", DistributionShape::lognormal},
+      {"pareto", DistributionShape::pareto}};
+  table->choice("shape", into.shape, kShapes);
+  table->number("median_ms", into.median, 0.001, 1e6);
+  table->number("spread", into.spread, 0, 20);
+  if (into.shape == DistributionShape::pareto && into.spread <= 1) {
+    table->addError("spread", "a Pareto span needs 'spread' (its exponent) above 1, or it has no mean");
   }
-  span->done();
+  table->rejectUnknownKeys();
 }
 
-void readWorld(Section& in, WorldPlan& w) {
-  in.words("rooms", w.rooms);
-  in.number("near_ms", w.nearOneWay, 0, 10000);
-  in.number("far_ms", w.farOneWay, 0, 10000);
-  in.number("destinations", w.destinations, 1, 65535);
-  in.number("endpoints", w.endpoints, 1, 1000);
-  in.number("zipf", w.zipf, 0, 5);
-  readSpan(in, "service", w.service);
-  in.number("parallel", w.parallel, 1, 1e6);
-  in.number("queue", w.queue, 0, 1e6);
-  in.number("limit_per_s", w.limitPerSecond, 0, 1e6);
-  in.number("limit_span_s", w.limitSpan, 0.01, 60, kMillisPerSecond);
-  in.number("connections", w.connections, 1, 1e6);
-  in.number("connect_ms", w.connect, 0, 10000);
-  in.number("idle_s", w.connectionIdle, 0.05, kDay, kMillisPerSecond);
-  in.number("cold_from", w.coldFrom, 0.01, 1);
-  in.number("cold_s", w.coldSpan, 0.01, 3600, kMillisPerSecond);
-  in.number("fall_multiple", w.fallMultiple, 1, 100);
-  in.number("fall_s", w.fallSpan, 0.01, 600, kMillisPerSecond);
-  in.number("drain_grace_s", w.drainGrace, 0, 60, kMillisPerSecond);
-  in.number("answer_slack_s", w.answerSlack, 0, 60, kMillisPerSecond);
-  in.number("order_pause_s", w.orderPause, 0, 60, kMillisPerSecond);
-  in.number("per_call", w.perCall, 1, 1000);
-  in.flag("reports", w.reports);
-  in.flag("rooms_cold", w.roomsCold);
-  in.done();
+void readEnvironment(Section& in, EnvironmentSettings& settings) {
+  in.names("rooms", settings.zones);
+  in.number("near_ms", settings.nearOneWay, 0, 10000);
+  in.number("far_ms", settings.farOneWay, 0, 10000);
+  in.number("destinations", settings.destinations, 1, 65535);
+  in.number("endpoints", settings.endpoints, 1, 1000);
+  in.number("zipf", settings.zipfExponent, 0, 5);
+  readDistribution(in, "service", settings.serviceTime);
+  in.number("parallel", settings.concurrency, 1, 1e6);
+  in.number("queue", settings.queueCapacity, 0, 1e6);
+  in.number("limit_per_s", settings.rateLimitPerSecond, 0, 1e6);
+  in.number("limit_span_s", settings.rateLimitWindow, 0.01, 60, kMillisPerSecond);
+  in.number("connections", settings.maxConnections, 1, 1e6);
+  in.number("connect_ms", settings.connectDelay, 0, 10000);
+  in.number("idle_s", settings.connectionIdleTimeout, 0.05, kDay, kMillisPerSecond);
+  in.number("cold_from", settings.slowStartInitialShare, 0.01, 1);
+  in.number("cold_s", settings.slowStartDuration, 0.01, 3600, kMillisPerSecond);
+  in.number("fall_multiple", settings.overloadThreshold, 1, 100);
+  in.number("fall_s", settings.overloadWindow, 0.01, 600, kMillisPerSecond);
+  in.number("drain_grace_s", settings.drainGrace, 0, 60, kMillisPerSecond);
+  in.number("answer_slack_s", settings.answerSlack, 0, 60, kMillisPerSecond);
+  in.number("order_pause_s", settings.orderingPause, 0, 60, kMillisPerSecond);
+  in.number("per_call", settings.maxBatchSize, 1, 1000);
+  in.flag("reports", settings.reportsLoad);
+  in.flag("rooms_cold", settings.zonesReturnCold);
+  in.rejectUnknownKeys();
 }
 
-void readLoad(Section& in, LoadPlan& l) {
+void readLoad(Section& in, LoadSettings& settings) {
   static constexpr std::pair<const char*, ArrivalShape> kShapes[] = {
-      {"poisson", ArrivalShape::poisson}, {"bursts", ArrivalShape::bursts}, {"dusk", ArrivalShape::dusk}};
-  in.number("per_s", l.perSecond, 0.01, 1e6);
-  in.choice("arrivals", l.arrivals, kShapes);
-  in.number("burst_factor", l.burstFactor, 1, 1000);
-  in.number("burst_on_s", l.burstOn, 0.01, kDay, kMillisPerSecond);
-  in.number("burst_off_s", l.burstOff, 0.01, kDay, kMillisPerSecond);
-  in.number("dusk_factor", l.duskFactor, 1, 1000);
-  in.number("clump_share", l.clumpShare, 0, 1);
-  in.number("clump_size", l.clumpSize, 1, 10000);
-  in.number("tenants", l.tenants, 1, 65535);
-  in.number("quota_per_s", l.quotaPerSecond, 0.01, 1e9);
-  in.number("surge_tenant", l.surgeTenant, 0, 65534);
-  in.number("surge_factor", l.surgeFactor, 1, 1000);
-  in.number("surge_from_s", l.surgeFrom, 0, kDay, kMillisPerSecond);
-  in.number("surge_until_s", l.surgeUntil, 0, kDay, kMillisPerSecond);
-  in.number("retries", l.retries, 0, 100);
-  in.number("retry_pause_s", l.retryPause, 0.001, 600, kMillisPerSecond);
-  if (l.surgeTenant >= l.tenants) in.wrong("surge_tenant", "'surge_tenant' must be below 'tenants'");
-  in.done();
+      {"poisson", ArrivalShape::poisson}, {"bursts", ArrivalShape::bursts}, {"dusk", ArrivalShape::ramp}};
+  in.number("per_s", settings.perSecond, 0.01, 1e6);
+  in.choice("arrivals", settings.arrivals, kShapes);
+  in.number("burst_factor", settings.burstFactor, 1, 1000);
+  in.number("burst_on_s", settings.burstOn, 0.01, kDay, kMillisPerSecond);
+  in.number("burst_off_s", settings.burstOff, 0.01, kDay, kMillisPerSecond);
+  in.number("dusk_factor", settings.rampFactor, 1, 1000);
+  in.number("clump_share", settings.clumpShare, 0, 1);
+  in.number("clump_size", settings.clumpSize, 1, 10000);
+  in.number("tenants", settings.tenants, 1, 65535);
+  in.number("quota_per_s", settings.quotaPerSecond, 0.01, 1e9);
+  in.number("surge_tenant", settings.surgeTenant, 0, 65534);
+  in.number("surge_factor", settings.surgeFactor, 1, 1000);
+  in.number("surge_from_s", settings.surgeFrom, 0, kDay, kMillisPerSecond);
+  in.number("surge_until_s", settings.surgeUntil, 0, kDay, kMillisPerSecond);
+  in.number("retries", settings.retries, 0, 100);
+  in.number("retry_pause_s", settings.retryDelay, 0.001, 600, kMillisPerSecond);
+  if (settings.surgeTenant >= settings.tenants)
+    in.addError("surge_tenant", "'surge_tenant' must be below 'tenants'");
+  in.rejectUnknownKeys();
 }
 
-void readFleet(Section& in, FleetPlan& f) {
-  in.number("dispatchers", f.dispatchers, 1, 5000);
-  in.number("slots", f.slots, 1, 1e6);
-  in.number("held", f.held, 1, 1e7);
-  in.number("launches", f.launches, 1, 100);
-  in.flag("copies", f.copies);
-  in.flag("probes", f.probes);
-  in.flag("withdraw", f.withdraw);
-  in.flag("advice", f.advice);
-  in.number("longest_advice_s", f.longestAdvice, 0, 600, kMillisPerSecond);
-  in.number("connect_within_s", f.connectWithin, 0.01, 60, kMillisPerSecond);
-  in.number("memory_mb", f.memoryMegabytes, 4, 1e6);
-  in.number("disk_mb", f.diskMegabytes, 0.1, 1e6);
-  in.number("sockets", f.sockets, 64, 1e6);
-  in.flag("writes_aside", f.writesAside);
-  static constexpr std::pair<const char*, TierShape> kShapes[] = {
-      {"none", TierShape::none}, {"near", TierShape::near}, {"ring", TierShape::ring}};
-  in.choice("tiers", f.tiers, kShapes);
-  in.number("spill_share", f.rooms.spilloverShare, 0, 100);
-  in.number("spill_slots", f.rooms.spilloverRequestShare, 0, 1);
-  in.number("spill_per_s", f.rooms.spilloverPerSecond, 0, 1e6);
-  in.number("climb_s", f.rooms.recoveryRampDuration, 0.01, 3600, kMillisPerSecond);
-  in.number("climb_from", f.rooms.recoveryRampInitialShare, 0.001, 1);
-  in.number("restart_s", f.restart, 0.05, 600, kMillisPerSecond);
-  in.done();
+void readFleet(Section& in, FleetSettings& settings) {
+  in.number("dispatchers", settings.dispatchers, 1, 5000);
+  in.number("slots", settings.maxConcurrentRequests, 1, 1e6);
+  in.number("held", settings.maxInFlight, 1, 1e7);
+  in.number("launches", settings.maxAttempts, 1, 100);
+  in.flag("copies", settings.mayHedge);
+  in.flag("probes", settings.mayHealthCheck);
+  in.flag("withdraw", settings.mayCancel);
+  in.flag("advice", settings.mayAdviseRetryAfter);
+  in.number("longest_advice_s", settings.maxRetryAfter, 0, 600, kMillisPerSecond);
+  in.number("connect_within_s", settings.connectTimeout, 0.01, 60, kMillisPerSecond);
+  in.number("memory_mb", settings.memoryMegabytes, 4, 1e6);
+  in.number("disk_mb", settings.diskMegabytes, 0.1, 1e6);
+  in.number("sockets", settings.maxSockets, 64, 1e6);
+  in.flag("writes_aside", settings.separateJournalWriter);
+  static constexpr std::pair<const char*, ZonePriorityShape> kShapes[] = {{"none", ZonePriorityShape::none},
+                                                                          {"near", ZonePriorityShape::near},
+                                                                          {"ring", ZonePriorityShape::ring}};
+  in.choice("tiers", settings.zonePriorities, kShapes);
+  in.number("spill_share", settings.zoneFailover.spilloverShare, 0, 100);
+  in.number("spill_slots", settings.zoneFailover.spilloverRequestShare, 0, 1);
+  in.number("spill_per_s", settings.zoneFailover.spilloverPerSecond, 0, 1e6);
+  in.number("climb_s", settings.zoneFailover.recoveryRampDuration, 0.01, 3600, kMillisPerSecond);
+  in.number("climb_from", settings.zoneFailover.recoveryRampInitialShare, 0.001, 1);
+  in.number("restart_s", settings.restartDelay, 0.05, 600, kMillisPerSecond);
+  in.rejectUnknownKeys();
 }
 
-TypePlan readType(Section& in) {
+TrafficTypeSettings readType(Section& in) {
   static constexpr std::pair<const char*, Idempotency> kEffects[] = {
       {"pure", Idempotency::idempotent},
       {"receipted", Idempotency::idempotentWithKey},
       {"effectful", Idempotency::nonIdempotent}};
   static constexpr std::pair<const char*, DeduplicationScope> kGroups[] = {
       {"all", DeduplicationScope::destination}, {"room", DeduplicationScope::zone}};
-  TypePlan t;
-  t.terms.latencyObjective = 1000;
-  t.terms.deadlineAfter = 5000;
-  in.text("name", t.name, true);
-  in.number("share", t.share, 0, 1e6);
-  in.choice("effect", t.terms.idempotency, kEffects, true);
-  in.number("promised_ms", t.terms.latencyObjective, 1, 1e7);
-  in.number("outer_ms", t.terms.deadlineAfter, 1, 1e7);
-  in.number("gain", t.terms.priorityWeight, 0, 1e6);
-  in.number("late_share", t.terms.lateWeightShare, 0, 1);
-  in.number("window_ms", t.terms.deduplicationWindow, 1, 1e7);
-  in.choice("group", t.terms.deduplicationScope, kGroups);
-  in.flag("ordered", t.terms.ordered);
-  in.number("keys", t.keys, 0, 1e9);
-  if (t.terms.deadlineAfter < t.terms.latencyObjective) {
-    in.wrong("outer_ms",
-             "'outer_ms' must be at least 'promised_ms': a callback is promised before it is too late");
+  TrafficTypeSettings type;
+  type.settings.latencyObjective = 1000;
+  type.settings.deadlineAfter = 5000;
+  in.text("name", type.name, true);
+  in.number("share", type.share, 0, 1e6);
+  in.choice("effect", type.settings.idempotency, kEffects, true);
+  in.number("promised_ms", type.settings.latencyObjective, 1, 1e7);
+  in.number("outer_ms", type.settings.deadlineAfter, 1, 1e7);
+  in.number("gain", type.settings.priorityWeight, 0, 1e6);
+  in.number("late_share", type.settings.lateWeightShare, 0, 1);
+  in.number("window_ms", type.settings.deduplicationWindow, 1, 1e7);
+  in.choice("group", type.settings.deduplicationScope, kGroups);
+  in.flag("ordered", type.settings.ordered);
+  in.number("keys", type.orderingKeyCount, 0, 1e9);
+  if (type.settings.deadlineAfter < type.settings.latencyObjective) {
+    in.addError("outer_ms",
+                "'outer_ms' must be at least 'promised_ms': a callback is promised before it is too late");
   }
-  if (t.terms.idempotency == Idempotency::idempotentWithKey && t.terms.deduplicationWindow <= 0) {
-    in.wrong("effect", "a receipted type needs 'window_ms', the time within which a repeat is dropped");
+  if (type.settings.idempotency == Idempotency::idempotentWithKey && type.settings.deduplicationWindow <= 0) {
+    in.addError("effect", "a receipted type needs 'window_ms', the time within which a repeat is dropped");
   }
-  if (t.terms.ordered && t.keys == 0) in.wrong("ordered", "an ordered type needs 'keys', how many there are");
-  in.done();
-  return t;
+  if (type.settings.ordered && type.orderingKeyCount == 0)
+    in.addError("ordered", "an ordered type needs 'keys', how many there are");
+  in.rejectUnknownKeys();
+  return type;
 }
 
-TroublePlan readTrouble(Section& in, const Plan& plan) {
-  TroublePlan t;
-  in.choice("kind", t.kind, kTroubles, true);
-  in.number("from_s", t.from, 0, kDay, kMillisPerSecond);
-  in.number("until_s", t.until, 0, kDay, kMillisPerSecond);
-  in.text("room", t.room);
-  in.whole("destinations", t.destinations, plan.world.destinations);
-  in.whole("endpoints", t.endpoints, plan.endpointCount());
-  in.whole("dispatchers", t.dispatchers, plan.fleet.dispatchers);
-  in.number("share", t.share, 0, 1);
-  in.number("factor", t.factor, 0, 1e6);
-  if (t.until <= t.from) in.wrong("until_s", "'until_s' must be later than 'from_s'");
-  const auto& rooms = plan.world.rooms;
-  if (!t.room.empty() && std::find(rooms.begin(), rooms.end(), t.room) == rooms.end()) {
-    in.wrong("room", "there is no room \"" + t.room + "\"; the rooms are " + listed(rooms));
+Fault readFault(Section& in, const Experiment& experiment) {
+  Fault fault;
+  in.choice("kind", fault.kind, kFaultKinds, true);
+  in.number("from_s", fault.from, 0, kDay, kMillisPerSecond);
+  in.number("until_s", fault.until, 0, kDay, kMillisPerSecond);
+  in.text("room", fault.zone);
+  in.wholeNumbers("destinations", fault.destinations, experiment.environment.destinations);
+  in.wholeNumbers("endpoints", fault.endpoints, experiment.endpointCount());
+  in.wholeNumbers("dispatchers", fault.dispatchers, experiment.fleet.dispatchers);
+  in.number("share", fault.share, 0, 1);
+  in.number("factor", fault.factor, 0, 1e6);
+  if (fault.until <= fault.from) in.addError("until_s", "'until_s' must be later than 'from_s'");
+  const auto& zones = experiment.environment.zones;
+  if (!fault.zone.empty() && std::find(zones.begin(), zones.end(), fault.zone) == zones.end()) {
+    in.addError("room", "there is no room \"" + fault.zone + "\"; the rooms are " + commaSeparated(zones));
   }
-  bool asShare = t.kind == TroubleKind::errors || t.kind == TroubleKind::lost ||
-                 t.kind == TroubleKind::reset || t.kind == TroubleKind::spoilt || t.kind == TroubleKind::cut;
-  if (asShare && t.factor > 1) in.wrong("factor", "'factor' is a share of the calls here: between 0 and 1");
-  in.done();
-  return t;
+  bool factorIsShare = fault.kind == FaultKind::errors || fault.kind == FaultKind::lostResponse ||
+                       fault.kind == FaultKind::connectionReset ||
+                       fault.kind == FaultKind::malformedResponse ||
+                       fault.kind == FaultKind::truncatedResponse;
+  if (factorIsShare && fault.factor > 1)
+    in.addError("factor", "'factor' is a share of the calls here: between 0 and 1");
+  in.rejectUnknownKeys();
+  return fault;
 }
 
 }  // namespace
 
-const char* nameOf(TroubleKind kind) {
-  for (const auto& [name, value] : kTroubles) {
+const char* nameOf(FaultKind kind) {
+  for (const auto& [name, value] : kFaultKinds) {
     if (value == kind) return name;
   }
   return "?";
@@ -382,7 +401,7 @@
 namespace {
 
 // Puts "table.key=value" in place of what the file says.
-void apply(toml::table& root, const std::string& change) {
+void applyOverride(toml::table& root, const std::string& change) {
   std::size_t equals = change.find('=');
   if (equals == std::string::npos || equals == 0) {
     throw ConfigError("--set takes table.key=value, not '" + change + "'");
@@ -407,102 +426,104 @@
 
 }  // namespace
 
-Plan readPlan(const std::string& text, const std::string& file, const std::vector<std::string>& overrides) {
-  Complaints complaints{file, {}};
+Experiment readExperiment(const std::string& text, const std::string& file,
+                          const std::vector<std::string>& overrides) {
+  ConfigErrors errors{file, {}};
   toml::table root;
   try {
     root = toml::parse(text, file);
   } catch (const toml::parse_error& problem) {
-    complaints.add(problem.source(), "not TOML: " + std::string(problem.description()));
-    complaints.raise();
+    errors.add(problem.source(), "not TOML: " + std::string(problem.description()));
+    errors.throwIfAny();
   }
-  for (const std::string& change : overrides) apply(root, change);
-  Plan plan;
-  Section top(root, "the experiment", complaints);
-  top.text("name", plan.name, true);
-  top.number("seed", plan.seed, 0, 9e15);
-  top.number("duration_s", plan.duration, 0.1, kDay, kMillisPerSecond);
-  top.number("drain_s", plan.drainAfter, 0, kDay, kMillisPerSecond);
-  if (auto in = top.table("world")) readWorld(*in, plan.world);
-  if (auto in = top.table("load")) readLoad(*in, plan.load);
-  if (auto in = top.table("fleet")) readFleet(*in, plan.fleet);
-  for (Section& in : top.tables("type")) plan.types.push_back(readType(in));
-  for (Section& in : top.tables("trouble")) plan.troubles.push_back(readTrouble(in, plan));
-  if (plan.types.empty()) top.wrong(root, "an experiment needs at least one [[type]]");
-  top.done();
-  complaints.raise();
-  return plan;
+  for (const std::string& change : overrides) applyOverride(root, change);
+  Experiment experiment;
+  Section top(root, "the experiment", errors);
+  top.text("name", experiment.name, true);
+  top.number("seed", experiment.seed, 0, 9e15);
+  top.number("duration_s", experiment.duration, 0.1, kDay, kMillisPerSecond);
+  top.number("drain_s", experiment.drainDuration, 0, kDay, kMillisPerSecond);
+  if (auto in = top.table("world")) readEnvironment(*in, experiment.environment);
+  if (auto in = top.table("load")) readLoad(*in, experiment.load);
+  if (auto in = top.table("fleet")) readFleet(*in, experiment.fleet);
+  for (Section& in : top.tables("type")) experiment.types.push_back(readType(in));
+  for (Section& in : top.tables("trouble")) experiment.faults.push_back(readFault(in, experiment));
+  if (experiment.types.empty()) top.addError(root, "an experiment needs at least one [[type]]");
+  top.rejectUnknownKeys();
+  errors.throwIfAny();
+  return experiment;
 }
 
-Plan loadPlan(const std::string& path, const std::vector<std::string>& overrides) {
+Experiment readExperimentFile(const std::string& path, const std::vector<std::string>& overrides) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw ConfigError("cannot read " + path);
-  return readPlan(std::string(std::istreambuf_iterator<char>(in), {}), path, overrides);
+  return readExperiment(std::string(std::istreambuf_iterator<char>(in), {}), path, overrides);
 }
 
-Millis Plan::end() const {
-  Millis longest = drainAfter;
+Millis Experiment::end() const {
+  Millis longest = drainDuration;
   if (longest <= 0) {
-    for (const TypePlan& t : types)
-      longest = std::max(longest, t.terms.deadlineAfter + 2 * world.answerSlack);
+    for (const TrafficTypeSettings& t : types)
+      longest = std::max(longest, t.settings.deadlineAfter + 2 * environment.answerSlack);
   }
   return duration + longest;
 }
 
-int Plan::roomOf(int endpoint) const {
+int Experiment::zoneOf(int endpoint) const {
   // Dealt out so that the first endpoints of all destinations do not share one room.
-  int within = endpoint % world.endpoints;
-  return (within + destinationOf(endpoint)) % static_cast<int>(world.rooms.size());
+  int within = endpoint % environment.endpoints;
+  return (within + destinationOf(endpoint)) % static_cast<int>(environment.zones.size());
 }
 
-std::vector<int> Plan::struck(const TroublePlan& t) const {
-  std::vector<int> found;
+std::vector<int> Experiment::affectedEndpoints(const Fault& fault) const {
+  std::vector<int> affected;
   auto has = [](const std::vector<int>& all, int one) {
     return std::find(all.begin(), all.end(), one) != all.end();
   };
-  bool all = t.room.empty() && t.destinations.empty() && t.endpoints.empty();
+  bool all = fault.zone.empty() && fault.destinations.empty() && fault.endpoints.empty();
   for (int e = 0; e < endpointCount(); ++e) {
-    bool inRoom = !t.room.empty() && world.rooms[static_cast<std::size_t>(roomOf(e))] == t.room;
-    if (all || inRoom || has(t.destinations, destinationOf(e)) || has(t.endpoints, e)) found.push_back(e);
+    bool inZone = !fault.zone.empty() && environment.zones[static_cast<std::size_t>(zoneOf(e))] == fault.zone;
+    if (all || inZone || has(fault.destinations, destinationOf(e)) || has(fault.endpoints, e))
+      affected.push_back(e);
   }
-  found.resize(static_cast<std::size_t>(std::ceil(static_cast<double>(found.size()) * t.share)));
-  return found;
+  affected.resize(static_cast<std::size_t>(std::ceil(static_cast<double>(affected.size()) * fault.share)));
+  return affected;
 }
 
-DeploymentSettings Plan::terms(int dispatcher) const {
-  DeploymentSettings t;
-  for (const TypePlan& type : types) t.types.push_back(type.terms);
-  t.kinds = {{false, world.perCall}};
-  t.tenantQuotaPerSecond.assign(static_cast<std::size_t>(load.tenants), load.quotaPerSecond);
-  t.overQuotaWeightShare = 0.05;
-  t.maxConcurrentRequests = fleet.slots;
-  t.maxInFlight = fleet.held;
-  t.maxAttempts = fleet.launches;
-  t.dispatcherCount = fleet.dispatchers;
-  t.dispatcherIndex = static_cast<std::uint32_t>(dispatcher);
-  t.zone = ZoneId{static_cast<std::uint8_t>(dispatcher % static_cast<int>(world.rooms.size()))};
-  t.mayHedge = fleet.copies;
-  t.mayHealthCheck = fleet.probes;
-  t.mayCancel = fleet.withdraw;
-  t.mayAdviseRetryAfter = fleet.advice;
-  t.reportsRateLimit = world.reports;
-  t.maxRetryAfter = fleet.longestAdvice;
-  t.connectionIdleTimeout = world.connectionIdle;
-  t.slowStartInitialShare = world.coldFrom;
-  t.slowStartDuration = world.coldSpan;
-  t.overloadThreshold = world.fallMultiple;
-  t.overloadWindow = world.fallSpan;
-  t.orderingPause = world.orderPause;
-  if (fleet.tiers == TierShape::none) return t;
-  t.zoneFailover = fleet.rooms;
-  auto rooms = static_cast<int>(world.rooms.size());
-  for (int n = 0; n < rooms; ++n) {
-    ZoneId room{static_cast<std::uint8_t>((dispatcher + n) % rooms)};
-    bool joins = fleet.tiers == TierShape::near && n > 1;
-    if (!joins) t.zoneFailover.priorities.emplace_back();
-    t.zoneFailover.priorities.back().push_back(room);
+DeploymentSettings Experiment::deploymentSettings(int dispatcher) const {
+  DeploymentSettings settings;
+  for (const TrafficTypeSettings& type : types) settings.types.push_back(type.settings);
+  settings.kinds = {{false, environment.maxBatchSize}};
+  settings.tenantQuotaPerSecond.assign(static_cast<std::size_t>(load.tenants), load.quotaPerSecond);
+  settings.overQuotaWeightShare = 0.05;
+  settings.maxConcurrentRequests = fleet.maxConcurrentRequests;
+  settings.maxInFlight = fleet.maxInFlight;
+  settings.maxAttempts = fleet.maxAttempts;
+  settings.dispatcherCount = fleet.dispatchers;
+  settings.dispatcherIndex = static_cast<std::uint32_t>(dispatcher);
+  settings.zone = ZoneId{static_cast<std::uint8_t>(dispatcher % static_cast<int>(environment.zones.size()))};
+  settings.mayHedge = fleet.mayHedge;
+  settings.mayHealthCheck = fleet.mayHealthCheck;
+  settings.mayCancel = fleet.mayCancel;
+  settings.mayAdviseRetryAfter = fleet.mayAdviseRetryAfter;
+  settings.reportsRateLimit = environment.reportsLoad;
+  settings.maxRetryAfter = fleet.maxRetryAfter;
+  settings.connectionIdleTimeout = environment.connectionIdleTimeout;
+  settings.slowStartInitialShare = environment.slowStartInitialShare;
+  settings.slowStartDuration = environment.slowStartDuration;
+  settings.overloadThreshold = environment.overloadThreshold;
+  settings.overloadWindow = environment.overloadWindow;
+  settings.orderingPause = environment.orderingPause;
+  if (fleet.zonePriorities == ZonePriorityShape::none) return settings;
+  settings.zoneFailover = fleet.zoneFailover;
+  auto zones = static_cast<int>(environment.zones.size());
+  for (int n = 0; n < zones; ++n) {
+    ZoneId zone{static_cast<std::uint8_t>((dispatcher + n) % zones)};
+    bool joins = fleet.zonePriorities == ZonePriorityShape::near && n > 1;
+    if (!joins) settings.zoneFailover.priorities.emplace_back();
+    settings.zoneFailover.priorities.back().push_back(zone);
   }
-  return t;
+  return settings;
 }
 
 }  // namespace stonewing::lab
--- a/src/lab/http_server.cpp
+++ b/src/lab/http_server.cpp
@@ -18,10 +18,10 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr std::size_t kRequestMost = 4 * 1024 * 1024;
+constexpr std::size_t kMaxRequestBytes = 4 * 1024 * 1024;
 constexpr int kBacklog = 1024;
 
-sockaddr_in placeOf(const std::string& host, std::uint16_t port) {
+sockaddr_in socketAddress(const std::string& host, std::uint16_t port) {
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_port = htons(port);
@@ -31,12 +31,12 @@
 
 }  // namespace
 
-std::string_view Request::header(std::string_view name) const {
+std::string_view HttpRequest::header(std::string_view name) const {
   std::string_view rest = head;
   while (!rest.empty()) {
-    std::size_t feed = std::min(rest.find("\r\n"), rest.size());
-    std::string_view line = rest.substr(0, feed);
-    rest.remove_prefix(std::min(rest.size(), feed + 2));
+    std::size_t lineEnd = std::min(rest.find("\r\n"), rest.size());
+    std::string_view line = rest.substr(0, lineEnd);
+    rest.remove_prefix(std::min(rest.size(), lineEnd + 2));
     if (line.size() <= name.size() || line[name.size()] != ':') continue;
     if (::strncasecmp(line.data(), name.data(), name.size()) != 0) continue;
     line.remove_prefix(name.size() + 1);
@@ -46,26 +46,27 @@
   return {};
 }
 
-Served::Served(EventLoop& loop, Server& server, int fd) : loop_(loop), server_(server), fd_(fd) {}
+HttpServerConnection::HttpServerConnection(EventLoop& loop, HttpServer& server, int fd)
+    : loop_(loop), server_(server), fd_(fd) {}
 
-Served::~Served() {
+HttpServerConnection::~HttpServerConnection() {
   if (fd_ < 0) return;
   loop_.unwatch(fd_);
   ::close(fd_);
 }
 
-void Served::onEvents(std::uint32_t) {
-  if (deaf_) return;
+void HttpServerConnection::onEvents(std::uint32_t) {
+  if (unresponsive_) return;
   write();
   if (fd_ >= 0) read();
 }
 
-void Served::read() {
-  ReadResult got = readAvailable(fd_, in_, kRequestMost);
-  while (!busy_ && fd_ >= 0) {
+void HttpServerConnection::read() {
+  ReadResult got = readAvailable(fd_, in_, kMaxRequestBytes);
+  while (!handlingRequest_ && fd_ >= 0) {
     std::size_t end = in_.find("\r\n\r\n");
     if (end == std::string::npos) break;
-    Request request;
+    HttpRequest request;
     std::size_t line = in_.find("\r\n");
     std::size_t first = in_.find(' ');
     std::size_t second = in_.find(' ', first + 1);
@@ -76,73 +77,73 @@
     if (in_.size() < end + 4 + length) break;
     request.body = in_.substr(end + 4, length);
     in_.erase(0, end + 4 + length);
-    busy_ = true;
-    server_.owner_.asked(server_, *this, std::move(request));
+    handlingRequest_ = true;
+    server_.handler_.requestReceived(server_, *this, std::move(request));
   }
   if (fd_ < 0) return;
-  if (got == ReadResult::endOfStream || got == ReadResult::broken) return end();
+  if (got == ReadResult::endOfStream || got == ReadResult::broken) return close();
   if (got == ReadResult::more) loop_.reschedule(fd_);
 }
 
-bool Served::left() const {
+bool HttpServerConnection::peerClosed() const {
   if (fd_ < 0) return true;
-  pollfd asked{fd_, POLLRDHUP, 0};
-  return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll{fd_, POLLRDHUP, 0};
+  return ::poll(&poll, 1, 0) > 0 && (poll.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Served::end() {
+void HttpServerConnection::close() {
   if (fd_ < 0) return;
   loop_.unwatch(fd_);
   ::close(std::exchange(fd_, -1));
-  server_.gone(*this);
+  server_.removeConnection(*this);
 }
 
-void Served::reset() {
+void HttpServerConnection::reset() {
   if (fd_ < 0) return;
   linger now{1, 0};
   ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-  end();
+  close();
 }
 
-void Served::deaf(bool on) {
-  deaf_ = on;
+void HttpServerConnection::setUnresponsive(bool on) {
+  unresponsive_ = on;
   if (!on && fd_ >= 0) loop_.reschedule(fd_);
 }
 
-void Served::answer(std::string bytes, bool thenClose) {
+void HttpServerConnection::respond(std::string bytes, bool closeAfter) {
   if (fd_ < 0) return;
-  busy_ = false;
-  closing_ = thenClose;
+  handlingRequest_ = false;
+  closing_ = closeAfter;
   out_.add(std::move(bytes));
-  if (deaf_) return;
+  if (unresponsive_) return;
   write();
   if (fd_ >= 0 && !in_.empty()) loop_.reschedule(fd_);
 }
 
-void Served::write() {
+void HttpServerConnection::write() {
   if (out_.empty()) return;
   auto wrote = out_.write(fd_);
-  if (wrote == WriteBuffer::WriteResult::broken) return end();
-  if (wrote == WriteBuffer::WriteResult::all && closing_) end();
+  if (wrote == WriteBuffer::WriteResult::broken) return close();
+  if (wrote == WriteBuffer::WriteResult::all && closing_) close();
 }
 
-Server::Server(EventLoop& loop, Owner& owner, const std::string& host)
-    : loop_(loop), owner_(owner), host_(host) {
+HttpServer::HttpServer(EventLoop& loop, Handler& handler, const std::string& host)
+    : loop_(loop), handler_(handler), host_(host) {
   listen(kBacklog);
 }
 
-Server::~Server() {
+HttpServer::~HttpServer() {
   stop();
   for (int fd : fillers_) ::close(fd);
 }
 
-std::string Server::address() const { return host_ + ":" + std::to_string(port_); }
+std::string HttpServer::address() const { return host_ + ":" + std::to_string(port_); }
 
-void Server::listen(int backlog) {
+void HttpServer::listen(int backlog) {
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int on = 1;
   ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in at = placeOf(host_, port_);
+  sockaddr_in at = socketAddress(host_, port_);
   if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
       ::listen(fd_, backlog) != 0 || !loop_.watch(fd_, *this)) {
     throw std::system_error(errno, std::generic_category(), "cannot listen at " + address());
@@ -152,54 +153,55 @@
   port_ = ntohs(at.sin_port);
 }
 
-void Server::stop() {
+void HttpServer::stop() {
   if (fd_ < 0) return;
   loop_.unwatch(fd_);
   ::close(std::exchange(fd_, -1));
 }
 
-void Server::onEvents(std::uint32_t) {
-  if (vanished_) return;
+void HttpServer::onEvents(std::uint32_t) {
+  if (unreachable_) return;
   while (fd_ >= 0) {
     int fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    auto served = std::make_unique<Served>(loop_, *this, fd);
-    if (!loop_.watch(fd, *served)) continue;
-    open_.push_back(std::move(served));
-    Served& kept = *open_.back();
-    if (!owner_.opened(*this, kept)) {
-      kept.reset();
+    auto connection = std::make_unique<HttpServerConnection>(loop_, *this, fd);
+    if (!loop_.watch(fd, *connection)) continue;
+    connections_.push_back(std::move(connection));
+    HttpServerConnection& accepted = *connections_.back();
+    if (!handler_.connectionOpened(*this, accepted)) {
+      accepted.reset();
     } else {
       loop_.reschedule(fd);
     }
   }
 }
 
-void Server::gone(Served& served) {
-  auto at = std::find_if(open_.begin(), open_.end(), [&](const auto& s) { return s.get() == &served; });
-  if (at == open_.end()) return;
-  std::unique_ptr<Served> kept = std::move(*at);
-  open_.erase(at);
-  owner_.closed(*this, *kept);
-  loop_.deferDeletion(std::move(kept));
+void HttpServer::removeConnection(HttpServerConnection& connection) {
+  auto at = std::find_if(connections_.begin(), connections_.end(),
+                         [&](const auto& s) { return s.get() == &connection; });
+  if (at == connections_.end()) return;
+  std::unique_ptr<HttpServerConnection> removed = std::move(*at);
+  connections_.erase(at);
+  handler_.connectionClosed(*this, *removed);
+  loop_.deferDeletion(std::move(removed));
 }
 
-void Server::refuse(bool on) {
+void HttpServer::setRefusing(bool on) {
   if (refusing_ == on) return;
   refusing_ = on;
   if (on) {
     stop();
-    while (!open_.empty()) open_.front()->reset();
-  } else if (!shut_) {
+    while (!connections_.empty()) connections_.front()->reset();
+  } else if (!acceptPaused_) {
     listen(kBacklog);
   }
 }
 
-void Server::shut(bool on) {
-  if (shut_ == on) return;
-  shut_ = on;
+void HttpServer::setAcceptPaused(bool on) {
+  if (acceptPaused_ == on) return;
+  acceptPaused_ = on;
   if (refusing_) return;
   if (on) {
     stop();
@@ -209,10 +211,10 @@
 }
 
 // With the queue of new connections full the kernel answers none any more, as if nobody were there.
-void Server::vanish(bool on) {
-  if (vanished_ == on) return;
-  vanished_ = on;
-  for (auto& served : open_) served->deaf(on);
+void HttpServer::setUnreachable(bool on) {
+  if (unreachable_ == on) return;
+  unreachable_ = on;
+  for (auto& connection : connections_) connection->setUnresponsive(on);
   if (fd_ < 0) return;
   if (!on) {
     for (int fd : std::exchange(fillers_, {})) ::close(fd);
@@ -223,7 +225,7 @@
   ::listen(fd_, 0);
   for (int n = 0; n < 3; ++n) {
     int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    sockaddr_in at = placeOf(host_, port_);
+    sockaddr_in at = socketAddress(host_, port_);
     if (fd < 0) break;
     (void)!::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at);
     fillers_.push_back(fd);
--- a/src/lab/http_server.h
+++ b/src/lab/http_server.h
@@ -11,7 +11,7 @@
 // The servers' side of HTTP/1.1 for stand-ins: one request at a time on a connection.
 namespace stonewing::lab {
 
-struct Request {
+struct HttpRequest {
   std::string method;
   std::string target;
   std::string head;  // the header lines
@@ -19,72 +19,75 @@
   std::string_view header(std::string_view name) const;
 };
 
-class Server;
+class HttpServer;
 
 // One connection. Its server's owner answers when it likes, or never.
-class Served : public EventHandler {
+class HttpServerConnection : public EventHandler {
  public:
-  Served(EventLoop& loop, Server& server, int fd);
-  ~Served() override;
-  void answer(std::string bytes, bool thenClose = false);
-  void reset();        // ends at once, and the other side sees a break
-  void deaf(bool on);  // nothing is read or written, as if the network were gone
+  HttpServerConnection(EventLoop& loop, HttpServer& server, int fd);
+  ~HttpServerConnection() override;
+  void respond(std::string bytes, bool closeAfter = false);
+  void reset();                   // ends at once, and the other side sees a break
+  void setUnresponsive(bool on);  // nothing is read or written, as if the network were gone
   void onEvents(std::uint32_t events) override;
   bool open() const { return fd_ >= 0; }
   // The other side has ended its part, though we may not have been told yet.
-  bool left() const;
+  bool peerClosed() const;
 
  private:
   void read();
-  void end();
+  void close();
   void write();
 
   EventLoop& loop_;
-  Server& server_;
+  HttpServer& server_;
   int fd_;
-  bool deaf_{false};
+  bool unresponsive_{false};
   bool closing_{false};
-  bool busy_{false};  // a request is with the owner
+  bool handlingRequest_{false};  // a request is with the owner
   std::string in_;
   WriteBuffer out_;
 };
 
-class Server : public EventHandler {
+class HttpServer : public EventHandler {
  public:
-  struct Owner {
-    virtual ~Owner() = default;
-    virtual bool opened(Server&, Served&) { return true; }  // false: it is to be broken at once
-    virtual void asked(Server&, Served&, Request) = 0;
-    virtual void closed(Server&, Served&) {}  // from the other side, or by a reset of ours
+  struct Handler {
+    virtual ~Handler() = default;
+    virtual bool connectionOpened(HttpServer&, HttpServerConnection&) {
+      return true;
+    }  // false: it is to be broken at once
+    virtual void requestReceived(HttpServer&, HttpServerConnection&, HttpRequest) = 0;
+    virtual void connectionClosed(HttpServer&, HttpServerConnection&) {
+    }  // from the other side, or by a reset of ours
   };
   // address: numbers; port 0 takes any. Throws std::system_error.
-  Server(EventLoop& loop, Owner& owner, const std::string& host);
-  ~Server() override;
+  HttpServer(EventLoop& loop, Handler& handler, const std::string& host);
+  ~HttpServer() override;
 
   std::string address() const;  // "127.0.1.1:40123"
   // Refuses from now on, and breaks what is open; or listens again at the same address.
-  void refuse(bool on);
+  void setRefusing(bool on);
   // Connections no longer come up, and the open ones fall silent.
-  void vanish(bool on);
+  void setUnreachable(bool on);
   // Takes no more connections for now, and keeps those it has.
-  void shut(bool on);
+  void setAcceptPaused(bool on);
   void onEvents(std::uint32_t events) override;
 
  private:
-  friend class Served;
+  friend class HttpServerConnection;
   void listen(int backlog);
   void stop();
-  void gone(Served& served);
+  void removeConnection(HttpServerConnection& connection);
 
   EventLoop& loop_;
-  Owner& owner_;
+  Handler& handler_;
   std::string host_;
   std::uint16_t port_{0};
   int fd_{-1};
   bool refusing_{false};
-  bool vanished_{false};
-  bool shut_{false};
-  std::list<std::unique_ptr<Served>> open_;
+  bool unreachable_{false};
+  bool acceptPaused_{false};
+  std::list<std::unique_ptr<HttpServerConnection>> connections_;
   std::list<int> fillers_;  // connections of our own that keep the queue full
 };
 
--- a/src/lab/load_generator.h
+++ b/src/lab/load_generator.h
@@ -17,47 +17,48 @@
 
 // The clients on sockets, open loop: a message goes out when it is due, whether or not an earlier one was
 // answered. Answers are read by hiredis, a RESP2 parser that is not the dispatcher's.
-class Load {
+class LoadGenerator {
  public:
-  Load(EventLoop& loop, Agenda& agenda, const Clock& clock, const Plan& plan, Clients& clients, Trace& trace,
-       std::vector<std::string> dispatchers);
-  ~Load();
+  LoadGenerator(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
+                const Experiment& experiment, ArrivalModel& arrivalModel, Trace& trace,
+                std::vector<std::string> dispatchers);
+  ~LoadGenerator();
 
   // Hands in from now on.
   void start();
   // Whether a dispatcher answers PING; tries until it does, then calls back once.
-  void whenReady(int dispatcher, std::function<void()> then);
+  void whenReady(int dispatcher, std::function<void()> onReady);
   // The platform had a notice of a shed message.
-  void shed(std::uint32_t callback, Millis wait);
-  bool done() const { return started_ && !clients_.due() && waiting_ == 0; }
+  void recordShed(std::uint32_t callback, Millis wait);
+  bool done() const { return started_ && !arrivalModel_.due() && awaitingResponse_ == 0; }
   // How late commands went out against when they were due, at the worst.
-  Millis worstLag() const { return worstLag_; }
-  std::size_t connections() const { return links_.size(); }
+  Millis maxLag() const { return maxLag_; }
+  std::size_t connectionCount() const { return connections_.size(); }
 
  private:
-  class Link;
-  void next();
-  void hand(std::uint32_t callback);
-  void submit(Link& link, std::uint32_t callback);
-  void ended(Link& link, bool refusedConnect);
-  void gone(Link& link);
-  std::string command(std::uint32_t callback) const;
+  class ClientConnection;
+  void submitDue();
+  void submit(std::uint32_t callback);
+  void sendCommand(ClientConnection& connection, std::uint32_t callback);
+  void connectionEnded(ClientConnection& connection, bool connectRefused);
+  void removeConnection(ClientConnection& connection);
+  std::string submitCommand(std::uint32_t callback) const;
 
   EventLoop& loop_;
-  Agenda& agenda_;
-  const Clock& clock_;
-  const Plan& plan_;
-  Clients& clients_;
+  TimerQueue& timers_;
+  const ExperimentClock& clock_;
+  const Experiment& experiment_;
+  ArrivalModel& arrivalModel_;
   Trace& trace_;
   std::vector<std::string> dispatchers_;
-  std::list<std::unique_ptr<Link>> links_;
-  std::vector<std::vector<Link*>> idle_;  // by dispatcher
-  std::vector<Millis> avoidUntil_;        // a front notices a dead one
-  std::size_t turn_{0};
-  std::size_t waiting_{0};
+  std::list<std::unique_ptr<ClientConnection>> connections_;
+  std::vector<std::vector<ClientConnection*>> idleConnections_;  // by dispatcher
+  std::vector<Millis> avoidUntil_;                               // a front notices a dead one
+  std::size_t nextDispatcher_{0};
+  std::size_t awaitingResponse_{0};
   bool started_{false};
-  Millis asked_{-1};
-  Millis worstLag_{0};
+  Millis timerAt_{-1};
+  Millis maxLag_{0};
   std::string padding_;
 };
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -61,23 +61,23 @@
   throw ConfigError(std::string("the program ") + name + " was not found; name it with --dispatcher");
 }
 
-std::uint64_t seedOf(const Choices& c, const Plan& plan) {
-  return c.seed >= 0 ? static_cast<std::uint64_t>(c.seed) : plan.seed;
+std::uint64_t seedOf(const Choices& c, const Experiment& experiment) {
+  return c.seed >= 0 ? static_cast<std::uint64_t>(c.seed) : experiment.seed;
 }
 
 // On a terminal alone: a pipe gets the results and nothing else.
-std::function<void(stonewing::Millis, std::size_t)> progressOf(const Plan& plan) {
+std::function<void(stonewing::Millis, std::size_t)> progressOf(const Experiment& experiment) {
   if (::isatty(2) == 0) return {};
-  return [&plan](stonewing::Millis at, std::size_t events) {
-    std::fprintf(stderr, "\r%s: %3.0f of %3.0f s, %zu events ", plan.name.c_str(), at / 1000,
-                 plan.end() / 1000, events);
-    if (at >= plan.end()) std::fprintf(stderr, "\n");
+  return [&experiment](stonewing::Millis at, std::size_t events) {
+    std::fprintf(stderr, "\r%s: %3.0f of %3.0f s, %zu events ", experiment.name.c_str(), at / 1000,
+                 experiment.end() / 1000, events);
+    if (at >= experiment.end()) std::fprintf(stderr, "\n");
   };
 }
 
-Row modelRow(const Plan& plan, std::uint64_t seed, const std::string& policy) {
-  Trace trace = playModel(plan, seed, policy);
-  return {"model, " + policy, tally(plan, trace), audit(plan, trace).size()};
+Row modelRow(const Experiment& experiment, std::uint64_t seed, const std::string& policy) {
+  Trace trace = playModel(experiment, seed, policy);
+  return {"model, " + policy, tally(experiment, trace), audit(experiment, trace).size()};
 }
 
 int tellAll(const Report& report, const Choices& c, const std::string& text) {
@@ -86,13 +86,13 @@
   if (c.json) {
     std::cout << resultText(report);
   } else {
-    std::cout << report.plan.name << ", seed " << report.seed << "\n" << tableOf(rows);
+    std::cout << report.experiment.name << ", seed " << report.seed << "\n" << tableOf(rows);
     for (std::size_t n = 0; n < std::min<std::size_t>(3, report.breaks.size()); ++n) {
       std::cout << told(report.breaks[n], report.trace);
     }
   }
   if (!c.out.empty()) {
-    std::string folder = c.files.size() > 1 ? c.out + "/" + report.plan.name : c.out;
+    std::string folder = c.files.size() > 1 ? c.out + "/" + report.experiment.name : c.out;
     std::string left = writeReport(report, folder, text);
     if (!c.json) std::cout << "report: " << folder << "/report.html\n" << (left.empty() ? "" : left + "\n");
   }
@@ -106,17 +106,18 @@
 int model(const Choices& c) {
   int code = 0;
   for (const std::string& file : c.files) {
-    Plan plan = loadPlan(file, c.changes);
-    std::uint64_t seed = seedOf(c, plan);
+    Experiment experiment = readExperimentFile(file, c.changes);
+    std::uint64_t seed = seedOf(c, experiment);
     ModelCost cost;
     auto began = std::chrono::steady_clock::now();
-    Trace trace = playModel(plan, seed, c.policy, &cost);
+    Trace trace = playModel(experiment, seed, c.policy, &cost);
     double spent = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    Report report{plan, seed,   "model, " + c.policy, trace, tally(plan, trace), audit(plan, trace),
-                  {},   nullptr};
+    Report report{
+        experiment, seed,   "model, " + c.policy, trace, tally(experiment, trace), audit(experiment, trace),
+        {},         nullptr};
     if (c.baselines) {
       for (const std::string& name : policyNames()) {
-        if (name != c.policy) report.beside.push_back(modelRow(plan, seed, name));
+        if (name != c.policy) report.beside.push_back(modelRow(experiment, seed, name));
       }
     }
     code = std::max(code, tellAll(report, c, textOf(file)));
@@ -128,22 +129,28 @@
 int run(const Choices& c) {
   int code = 0;
   for (const std::string& file : c.files) {
-    Plan plan = loadPlan(file, c.changes);
-    std::uint64_t seed = seedOf(c, plan);
+    Experiment experiment = readExperimentFile(file, c.changes);
+    std::uint64_t seed = seedOf(c, experiment);
     RunChoices choices;
     choices.binary = c.dispatcher.empty() ? beside("stonewing") : c.dispatcher;
     choices.folder =
         (c.out.empty() ? fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))
-                       : fs::path(c.out) / (c.files.size() > 1 ? plan.name : ""))
+                       : fs::path(c.out) / (c.files.size() > 1 ? experiment.name : ""))
             .string();
-    choices.progress = progressOf(plan);
-    Played played = playSockets(plan, seed, choices);
-    Report report{plan, seed,   "sockets", played.trace, tally(plan, played.trace), audit(plan, played.trace),
-                  {},   &played};
-    report.beside.push_back(modelRow(plan, seed, "ours"));
+    choices.progress = progressOf(experiment);
+    Played played = playSockets(experiment, seed, choices);
+    Report report{experiment,
+                  seed,
+                  "sockets",
+                  played.trace,
+                  tally(experiment, played.trace),
+                  audit(experiment, played.trace),
+                  {},
+                  &played};
+    report.beside.push_back(modelRow(experiment, seed, "ours"));
     if (c.baselines) {
       for (const std::string& name : policyNames()) {
-        if (name != "ours") report.beside.push_back(modelRow(plan, seed, name));
+        if (name != "ours") report.beside.push_back(modelRow(experiment, seed, name));
       }
     }
     code = std::max(code, tellAll(report, c, textOf(file)));
@@ -154,9 +161,9 @@
 }
 
 int auditFolder(const Choices& c) {
-  Plan plan = loadPlan(c.files.front() + "/experiment.toml");
+  Experiment experiment = readExperimentFile(c.files.front() + "/experiment.toml");
   Trace trace = loadTrace(c.files.front());
-  auto breaks = audit(plan, trace);
+  auto breaks = audit(experiment, trace);
   for (const Break& b : breaks) std::cout << told(b, trace);
   std::cout << (breaks.empty() ? "no rule broken" : std::to_string(breaks.size()) + " breaks") << ", "
             << trace.callbacks.size() << " callbacks, " << trace.events.size() << " events\n";
@@ -198,32 +205,32 @@
 int compare(const Choices& c) {
   const std::string& fileA = c.files.front();
   const std::string& fileB = c.files.back();
-  Plan planA = loadPlan(fileA, c.changes);
+  Experiment experimentA = readExperimentFile(fileA, c.changes);
   std::vector<std::string> changesB = c.changes;
   changesB.insert(changesB.end(), c.otherChanges.begin(), c.otherChanges.end());
-  Plan planB = loadPlan(fileB, changesB);
+  Experiment experimentB = readExperimentFile(fileB, changesB);
   std::string policyB = c.otherPolicy.empty() ? c.policy : c.otherPolicy;
   std::vector<Figures> a, b;
-  std::uint64_t first = seedOf(c, planA);
-  auto day = [&](const Plan& plan, const std::string& file, const std::string& policy, const std::string& lab,
-                 const std::string& dispatcher, std::uint64_t seed) {
+  std::uint64_t first = seedOf(c, experimentA);
+  auto day = [&](const Experiment& experiment, const std::string& file, const std::string& policy,
+                 const std::string& lab, const std::string& dispatcher, std::uint64_t seed) {
     if (c.sockets) {
       RunChoices choices;
       choices.binary = dispatcher.empty() ? beside("stonewing") : dispatcher;
       choices.folder = (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
-      Played played = playSockets(plan, seed, choices);
+      Played played = playSockets(experiment, seed, choices);
       fs::remove_all(choices.folder);
       if (played.interrupted) throw ConfigError("interrupted");
-      return figuresOf(tally(plan, played.trace), audit(plan, played.trace).size());
+      return figuresOf(tally(experiment, played.trace), audit(experiment, played.trace).size());
     }
     if (!lab.empty()) return byOtherLab(lab, file, seed, policy);
-    Trace trace = playModel(plan, seed, policy);
-    return figuresOf(tally(plan, trace), audit(plan, trace).size());
+    Trace trace = playModel(experiment, seed, policy);
+    return figuresOf(tally(experiment, trace), audit(experiment, trace).size());
   };
   for (int n = 0; n < c.seeds; ++n) {  // interleaved, so that what the machine does strikes both
-    a.push_back(day(planA, fileA, c.policy, "", c.dispatcher, first + static_cast<std::uint64_t>(n)));
-    b.push_back(
-        day(planB, fileB, policyB, c.otherLab, c.otherDispatcher, first + static_cast<std::uint64_t>(n)));
+    a.push_back(day(experimentA, fileA, c.policy, "", c.dispatcher, first + static_cast<std::uint64_t>(n)));
+    b.push_back(day(experimentB, fileB, policyB, c.otherLab, c.otherDispatcher,
+                    first + static_cast<std::uint64_t>(n)));
   }
   auto column = [](const std::vector<Figures>& rows, double Figures::*field) {
     std::vector<double> all;
@@ -260,9 +267,9 @@
 }
 
 int loadAlone(const Choices& c) {
-  Plan plan = loadPlan(c.files.front(), c.changes);
-  Played played = driveLoad(plan, seedOf(c, plan), c.addresses, progressOf(plan));
-  Tally t = tally(plan, played.trace);
+  Experiment experiment = readExperimentFile(c.files.front(), c.changes);
+  Played played = driveLoad(experiment, seedOf(c, experiment), c.addresses, progressOf(experiment));
+  Tally t = tally(experiment, played.trace);
   std::uint64_t taken = 0;
   for (const Event& e : played.trace.events) taken += e.what == What::taken ? 1 : 0;
   std::printf(
@@ -270,7 +277,7 @@
       "ms; sent %.1f ms late at the worst\n",
       static_cast<unsigned long long>(t.due), static_cast<unsigned long long>(taken),
       static_cast<unsigned long long>(t.refused), static_cast<unsigned long long>(t.unanswered),
-      played.until / 1000, t.answers.p50, t.answers.p99, t.answers.p999, played.worstLag);
+      played.until / 1000, t.answers.p50, t.answers.p99, t.answers.p999, played.maxLag);
   return 0;
 }
 
@@ -352,13 +359,13 @@
       std::cout << tableOf(rows);
     }
     if (*worlds) {
-      Plan plan = loadPlan(c.files.front(), c.changes);
+      Experiment experiment = readExperimentFile(c.files.front(), c.changes);
       std::string folder = c.out.empty() ? "lab-world" : c.out;
       fs::create_directories(folder);
-      serveWorld(plan, seedOf(c, plan), folder);
+      serveWorld(experiment, seedOf(c, experiment), folder);
     }
     if (*checks) {
-      for (const std::string& file : c.files) loadPlan(file);
+      for (const std::string& file : c.files) readExperimentFile(file);
     }
   } catch (const std::exception& problem) {
     std::cerr << problem.what() << "\n";
