--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -105,24 +105,24 @@
 
 class Model {
  public:
-  Model(const Plan& plan, std::uint64_t seed, std::string policy, const Sabotage& sabotage)
-      : plan_(plan),
+  Model(const Experiment& experiment, std::uint64_t seed, std::string policy, const Sabotage& sabotage)
+      : experiment_(experiment),
         seed_(seed),
         policyName_(std::move(policy)),
         sabotage_(sabotage),
-        clients_(plan, seed, trace_),
-        town_(plan, seed ^ 0x5bd1e995u, trace_),
-        dispatchers_(static_cast<std::size_t>(plan.fleet.dispatchers)),
-        phases_(static_cast<std::size_t>(plan.endpointCount()), EndpointState::ready) {}
+        arrivalModel_(experiment, seed, trace_),
+        endpointModel_(experiment, seed ^ 0x5bd1e995u, trace_),
+        dispatchers_(static_cast<std::size_t>(experiment.fleet.dispatchers)),
+        phases_(static_cast<std::size_t>(experiment.endpointCount()), EndpointState::ready) {}
 
   Trace play(ModelCost* cost) {
     for (std::uint32_t d = 0; d < dispatchers_.size(); ++d) begin(d);
-    for (std::size_t n = 0; n < plan_.troubles.size(); ++n) {
-      at(plan_.troubles[n].from, Kind::trouble, static_cast<std::uint32_t>(n));
-      at(plan_.troubles[n].until, Kind::troubleOver, static_cast<std::uint32_t>(n));
+    for (std::size_t n = 0; n < experiment_.faults.size(); ++n) {
+      at(experiment_.faults[n].from, Kind::trouble, static_cast<std::uint32_t>(n));
+      at(experiment_.faults[n].until, Kind::troubleOver, static_cast<std::uint32_t>(n));
     }
     clientsNext();
-    Millis end = plan_.end();
+    Millis end = experiment_.end();
     while (!steps_.empty() && steps_.top().at <= end) {
       Step step = steps_.top();
       steps_.pop();
@@ -145,13 +145,13 @@
   }
 
   Millis oneWay(std::uint32_t d, std::uint32_t endpoint) const {
-    int rooms = static_cast<int>(plan_.world.rooms.size());
-    bool near = static_cast<int>(d) % rooms == plan_.roomOf(static_cast<int>(endpoint));
-    return near ? plan_.world.nearOneWay : plan_.world.farOneWay;
+    int rooms = static_cast<int>(experiment_.environment.zones.size());
+    bool near = static_cast<int>(d) % rooms == experiment_.zoneOf(static_cast<int>(endpoint));
+    return near ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
   }
 
   void clientsNext() {
-    auto due = clients_.due();
+    auto due = arrivalModel_.due();
     if (due && (clientsAt_ < 0 || *due < clientsAt_)) at(clientsAt_ = std::max(*due, now_), Kind::clientsDue);
   }
 
@@ -185,7 +185,7 @@
     switch (s.kind) {
       case Kind::clientsDue:
         clientsAt_ = -1;
-        while (auto callback = clients_.next(now_)) deal(*callback, turns_++ % dispatchers_.size());
+        while (auto callback = arrivalModel_.nextDue(now_)) deal(*callback, turns_++ % dispatchers_.size());
         return clientsNext();
       case Kind::handIn:
         return handedIn(s.a, s.b);
@@ -203,10 +203,10 @@
         return callArrives(s.a);
       case Kind::townDue:
         townAt_[s.a] = -1;
-        for (const Reply& r : town_.advance(now_, s.a)) replied(r);
+        for (const EndpointResponse& r : endpointModel_.advance(now_, s.a)) replied(r);
         return townNext(s.a);
       case Kind::replyArrives:
-        return replyArrives(s.a, static_cast<Said>(s.c), s.x);
+        return replyArrives(s.a, static_cast<ResponseKind>(s.c), s.x);
       case Kind::timeout:
         return timedOut(s.a, s.b);
       case Kind::abandon:
@@ -220,9 +220,9 @@
       case Kind::told:
         return told(s.a, s.b, static_cast<EndpointState>(s.c));
       case Kind::trouble:
-        return trouble(plan_.troubles[s.a], true);
+        return trouble(experiment_.faults[s.a], true);
       case Kind::troubleOver:
-        return trouble(plan_.troubles[s.a], false);
+        return trouble(experiment_.faults[s.a], false);
       case Kind::start:
         return begin(s.a);
       case Kind::gone:
@@ -245,12 +245,12 @@
       note({.what = What::handedIn,
             .callback = callback,
             .dispatcher = static_cast<std::uint16_t>(d),
-            .span = clients_.left(callback, now_)});
-      at(now_ + plan_.world.nearOneWay, Kind::handIn, d, callback);
-      at(now_ + Clients::kPatience, Kind::patience, callback);
+            .span = arrivalModel_.timeLeft(callback, now_)});
+      at(now_ + experiment_.environment.nearOneWay, Kind::handIn, d, callback);
+      at(now_ + ArrivalModel::kClientTimeout, Kind::patience, callback);
       return;
     }
-    clients_.refused(now_, callback, 0);
+    arrivalModel_.recordRejection(now_, callback, 0);
     clientsNext();
   }
 
@@ -258,7 +258,7 @@
     if (!pending_[callback]) return;
     pending_[callback] = false;
     note({.what = What::unanswered, .callback = callback});
-    clients_.unanswered(now_, callback);
+    arrivalModel_.recordTimeout(now_, callback);
     clientsNext();
   }
 
@@ -266,7 +266,7 @@
     if (!pending_[callback]) return;
     pending_[callback] = false;
     note({.what = answer, .callback = callback, .span = wait});
-    if (answer == What::busy) clients_.refused(now_, callback, wait);
+    if (answer == What::busy) arrivalModel_.recordRejection(now_, callback, wait);
     clientsNext();
   }
 
@@ -274,12 +274,12 @@
     Dispatcher& to = dispatchers_[d];
     if (!to.up) return;  // the client's patience ends it
     bool left = !pending_[callback];
-    bool full = to.diskFull || to.diskHangs || left || to.policy->held() >= plan_.fleet.held;
-    at(now_ + plan_.world.nearOneWay, Kind::clientHears, callback,
+    bool full = to.diskFull || to.diskHangs || left || to.policy->held() >= experiment_.fleet.maxInFlight;
+    at(now_ + experiment_.environment.nearOneWay, Kind::clientHears, callback,
        static_cast<std::uint32_t>(full ? What::busy : What::taken));
     if (full) return;
     const Handed& c = trace_.callbacks[callback];
-    Millis outer = c.due + plan_.types[c.type].terms.deadlineAfter;
+    Millis outer = c.due + experiment_.types[c.type].settings.deadlineAfter;
     to.held[callback] = {outer, {}};
     if (sabotage_.forgetsCallbacks && callback % 20 == 0) return;
     round(d, [&](Policy& p) {
@@ -331,7 +331,7 @@
 
   void tellEnd(Dispatcher& from, MessageId message, std::int32_t result, Millis wait) {
     from.held.erase(numberOf(message));
-    at(now_ + plan_.world.nearOneWay, Kind::noticed, numberOf(message), 0, result, wait);
+    at(now_ + experiment_.environment.nearOneWay, Kind::noticed, numberOf(message), 0, result, wait);
   }
 
   void probe(std::uint32_t d, std::uint32_t endpoint) {
@@ -342,7 +342,7 @@
   }
 
   std::uint32_t known(std::uint32_t endpoint) const {
-    return std::min(endpoint, static_cast<std::uint32_t>(plan_.endpointCount() - 1));
+    return std::min(endpoint, static_cast<std::uint32_t>(experiment_.endpointCount() - 1));
   }
 
   void woken(std::uint32_t d, Millis asked) {
@@ -354,13 +354,14 @@
 
   Millis idleMost() const {
     return std::max(
-        0.0, plan_.world.connectionIdle - std::min(plan_.world.connectionIdle, plan_.fleet.connectWithin));
+        0.0, experiment_.environment.connectionIdleTimeout -
+                 std::min(experiment_.environment.connectionIdleTimeout, experiment_.fleet.connectTimeout));
   }
 
   void closeIdle(Dispatcher& from, std::uint32_t endpoint) {
     auto pool = from.idle.find(endpoint);
     if (pool == from.idle.end()) return;
-    for (std::size_t n = 0; n < pool->second.size(); ++n) town_.disconnected(endpoint);
+    for (std::size_t n = 0; n < pool->second.size(); ++n) endpointModel_.recordDisconnect(endpoint);
     from.idle.erase(pool);
   }
 
@@ -369,7 +370,7 @@
     if (pool == dispatchers_[d].idle.end()) return;
     std::erase_if(pool->second, [&](Millis since) {
       bool old = now_ >= since + idleMost();
-      if (old) town_.disconnected(endpoint);
+      if (old) endpointModel_.recordDisconnect(endpoint);
       return old;
     });
     if (pool->second.empty()) dispatchers_[d].idle.erase(pool);
@@ -404,13 +405,15 @@
       at(now_ + oneWay(d, call.endpoint), Kind::callArrives, number);
       return;
     }
-    auto connect = call.endpoint < static_cast<std::uint32_t>(plan_.endpointCount())
-                       ? town_.connect(now_, call.endpoint, call.dispatcher)
-                       : Town::Connect::refused;
+    auto connect = call.endpoint < static_cast<std::uint32_t>(experiment_.endpointCount())
+                       ? endpointModel_.connect(now_, call.endpoint, call.dispatcher)
+                       : EndpointModel::ConnectResult::refused;
     Millis there = 2 * oneWay(d, known(call.endpoint));
-    if (connect == Town::Connect::up) at(now_ + there + plan_.world.connect, Kind::connected, number);
-    if (connect == Town::Connect::refused) at(now_ + there, Kind::connectFailed, number);
-    if (connect == Town::Connect::never) at(now_ + plan_.fleet.connectWithin, Kind::connectFailed, number);
+    if (connect == EndpointModel::ConnectResult::accepted)
+      at(now_ + there + experiment_.environment.connectDelay, Kind::connected, number);
+    if (connect == EndpointModel::ConnectResult::refused) at(now_ + there, Kind::connectFailed, number);
+    if (connect == EndpointModel::ConnectResult::unanswered)
+      at(now_ + experiment_.fleet.connectTimeout, Kind::connectFailed, number);
   }
 
   static std::uint64_t place(std::uint32_t callback, int launch) {
@@ -421,15 +424,16 @@
     auto at = calls_.find(number);
     if (at == calls_.end() || at->second.closed) return;
     Call& call = at->second;
-    if (town_.vanished(call.endpoint, call.dispatcher))
-      return this->at(now_ + plan_.fleet.connectWithin, Kind::connectFailed, number);
-    if (town_.refuses(call.endpoint)) return ended(number, AttemptOutcome::connectFailed, 0, false);
+    if (endpointModel_.unreachable(call.endpoint, call.dispatcher))
+      return this->at(now_ + experiment_.fleet.connectTimeout, Kind::connectFailed, number);
+    if (endpointModel_.refusesConnections(call.endpoint))
+      return ended(number, AttemptOutcome::connectFailed, 0, false);
     const Policy& policy = *dispatchers_[call.dispatcher].policy;
     bool may = std::any_of(call.members.begin(), call.members.end(), [&](const Member& m) {
       return !m.told && policy.mayBegin(idOf(m.callback), m.launch);
     });
     if (!may) {
-      town_.disconnected(call.endpoint);
+      endpointModel_.recordDisconnect(call.endpoint);
       return ended(number, AttemptOutcome::notSent, 0, false);
     }
     call.begun = true;
@@ -440,66 +444,69 @@
     auto at = calls_.find(number);
     if (at == calls_.end()) return;
     Call& call = at->second;
-    if (town_.vanished(call.endpoint, call.dispatcher)) return;  // nothing comes through
-    if (town_.refuses(call.endpoint)) {                          // it ended under the bytes on their way
+    if (endpointModel_.unreachable(call.endpoint, call.dispatcher)) return;  // nothing comes through
+    if (endpointModel_.refusesConnections(call.endpoint)) {  // it ended under the bytes on their way
       this->at(now_ + oneWay(call.dispatcher, call.endpoint), Kind::replyArrives, number, 0,
-               static_cast<std::int32_t>(Said::reset));
+               static_cast<std::int32_t>(ResponseKind::connectionReset));
       return;
     }
     call.arrived = true;
     std::vector<std::uint32_t> callbacks;
     for (const Member& m : call.members) callbacks.push_back(m.callback);
-    if (auto reply = town_.arrived(now_, number, call.endpoint, call.dispatcher, callbacks)) replied(*reply);
+    if (auto reply = endpointModel_.receiveRequest(now_, number, call.endpoint, call.dispatcher, callbacks))
+      replied(*reply);
     townNext(call.endpoint);
   }
 
   void townNext(std::uint32_t endpoint) {
-    Millis due = town_.due(endpoint);
+    Millis due = endpointModel_.due(endpoint);
     auto [asked, fresh] = townAt_.try_emplace(endpoint, -1);
     if (due < 0 || (asked->second >= 0 && asked->second <= due)) return;
     asked->second = due;
     at(std::max(due, now_), Kind::townDue, endpoint);
   }
 
-  void replied(const Reply& r) {
-    auto at = calls_.find(r.call);
+  void replied(const EndpointResponse& r) {
+    auto at = calls_.find(r.request);
     if (at == calls_.end()) return;
     Call& call = at->second;
     call.replied = true;
-    if (r.said == Said::silence || town_.vanished(call.endpoint, call.dispatcher)) return;
+    if (r.kind == ResponseKind::none || endpointModel_.unreachable(call.endpoint, call.dispatcher)) return;
     for (const Member& m : call.members) {
       note({.what = What::replied,
             .callback = m.callback,
-            .call = r.call,
+            .call = r.request,
             .endpoint = call.endpoint,
             .dispatcher = call.dispatcher,
-            .status = static_cast<std::int16_t>(r.said),
-            .span = r.wait,
-            .ran = r.ran});
+            .status = static_cast<std::int16_t>(r.kind),
+            .span = r.retryAfter,
+            .ran = r.executed});
     }
-    this->at(now_ + oneWay(call.dispatcher, call.endpoint), Kind::replyArrives, r.call, 0,
-             static_cast<std::int32_t>(r.said), r.wait);
+    this->at(now_ + oneWay(call.dispatcher, call.endpoint), Kind::replyArrives, r.request, 0,
+             static_cast<std::int32_t>(r.kind), r.retryAfter);
   }
 
-  void replyArrives(std::uint32_t number, Said said, Millis wait) {
+  void replyArrives(std::uint32_t number, ResponseKind said, Millis wait) {
     auto at = calls_.find(number);
     if (at == calls_.end() || at->second.closed) return;
     Call& call = at->second;
     Dispatcher& to = dispatchers_[call.dispatcher];
-    bool whole = said == Said::ok || said == Said::error || said == Said::wait || said == Said::turnedAway;
+    bool whole = said == ResponseKind::ok || said == ResponseKind::serverError ||
+                 said == ResponseKind::tooManyRequests || said == ResponseKind::unavailable;
     if (to.life == call.life) {
       if (whole) {
         to.idle[call.endpoint].push_back(now_);
         this->at(now_ + idleMost(), Kind::idleCheck, call.dispatcher, call.endpoint);
       } else {
-        town_.disconnected(call.endpoint);
+        endpointModel_.recordDisconnect(call.endpoint);
       }
     }
-    AttemptOutcome ending = said == Said::ok      ? AttemptOutcome::completed
-                            : said == Said::reset ? AttemptOutcome::reset
-                                                  : AttemptOutcome::error;
-    if (said == Said::wait || said == Said::turnedAway) ending = AttemptOutcome::rejected;
-    if (said == Said::cut && call.members.size() == 1)
+    AttemptOutcome ending = said == ResponseKind::ok                ? AttemptOutcome::completed
+                            : said == ResponseKind::connectionReset ? AttemptOutcome::reset
+                                                                    : AttemptOutcome::error;
+    if (said == ResponseKind::tooManyRequests || said == ResponseKind::unavailable)
+      ending = AttemptOutcome::rejected;
+    if (said == ResponseKind::truncated && call.members.size() == 1)
       ending = AttemptOutcome::completed;  // its first line was true
     ended(number, ending, wait, true);
   }
@@ -540,7 +547,8 @@
     }
     bool isOver = ending == AttemptOutcome::completed || held == to.held.end();
     LoadReport report;
-    if (withReport && plan_.world.reports) report = town_.report(now_, call.endpoint);
+    if (withReport && experiment_.environment.reportsLoad)
+      report = endpointModel_.loadReport(now_, call.endpoint);
     p.launchEnded(idOf(m.callback), m.launch, ending, now_ - call.sent, isOver,
                   sabotage_.ignoresWaits ? 0 : wait, report);
     if (ending == AttemptOutcome::completed) to.held.erase(m.callback);
@@ -598,10 +606,10 @@
     if (at == calls_.end()) return;
     Call call = std::move(at->second);
     calls_.erase(at);
-    if (call.endpoint >= static_cast<std::uint32_t>(plan_.endpointCount())) return;
-    town_.disconnected(call.endpoint);
-    if (!call.arrived || town_.vanished(call.endpoint, call.dispatcher)) return;
-    bool ran = call.replied || town_.abandoned(now_, number, call.endpoint);
+    if (call.endpoint >= static_cast<std::uint32_t>(experiment_.endpointCount())) return;
+    endpointModel_.recordDisconnect(call.endpoint);
+    if (!call.arrived || endpointModel_.unreachable(call.endpoint, call.dispatcher)) return;
+    bool ran = call.replied || endpointModel_.abandonRequest(now_, number, call.endpoint);
     townNext(call.endpoint);
     for (const Member& m : call.members) {
       note({.what = What::abandoned,
@@ -619,22 +627,23 @@
           .status = static_cast<std::int16_t>(result),
           .span = wait});
     if (result == 2) {
-      clients_.refused(now_, callback, wait);
+      arrivalModel_.recordRejection(now_, callback, wait);
       clientsNext();
     }
   }
 
   void probeArrives(std::uint32_t d, std::uint32_t endpoint, std::uint32_t life) {
-    bool there = endpoint < static_cast<std::uint32_t>(plan_.endpointCount()) && !town_.refuses(endpoint);
+    bool there = endpoint < static_cast<std::uint32_t>(experiment_.endpointCount()) &&
+                 !endpointModel_.refusesConnections(endpoint);
     Millis back = oneWay(d, known(endpoint));
-    if (there && !town_.vanished(endpoint, d)) {
-      int status = town_.probed(now_, endpoint, static_cast<std::uint16_t>(d));
+    if (there && !endpointModel_.unreachable(endpoint, d)) {
+      int status = endpointModel_.answerHealthCheck(now_, endpoint, static_cast<std::uint16_t>(d));
       if (status != 0) return at(now_ + back, Kind::probeReply, d, endpoint, status, life);
     } else if (!there) {
       note({.what = What::refusedConnect, .endpoint = endpoint, .dispatcher = static_cast<std::uint16_t>(d)});
       return at(now_ + back, Kind::probeReply, d, endpoint, 0, life);
     }
-    at(now_ + plan_.fleet.connectWithin, Kind::probeReply, d, endpoint, -1, life);
+    at(now_ + experiment_.fleet.connectTimeout, Kind::probeReply, d, endpoint, -1, life);
   }
 
   void probeReply(std::uint32_t d, std::uint32_t endpoint, int status, Millis life) {
@@ -645,7 +654,8 @@
                             : status == 0   ? AttemptOutcome::connectFailed
                                             : AttemptOutcome::timeout;
     LoadReport report;
-    if (status == 200 && plan_.world.reports) report = town_.report(now_, endpoint);
+    if (status == 200 && experiment_.environment.reportsLoad)
+      report = endpointModel_.loadReport(now_, endpoint);
     round(d, [&](Policy& p) { p.probeEnded(endpointIdOf(endpoint), ending, report); });
   }
 
@@ -653,8 +663,8 @@
 
   ListRow row(std::uint32_t endpoint) const {
     return {endpointIdOf(endpoint),
-            DestinationId{static_cast<std::uint16_t>(plan_.destinationOf(static_cast<int>(endpoint)))},
-            ZoneId{static_cast<std::uint8_t>(plan_.roomOf(static_cast<int>(endpoint)))}, 1,
+            DestinationId{static_cast<std::uint16_t>(experiment_.destinationOf(static_cast<int>(endpoint)))},
+            ZoneId{static_cast<std::uint8_t>(experiment_.zoneOf(static_cast<int>(endpoint)))}, 1,
             phases_[endpoint]};
   }
 
@@ -664,8 +674,8 @@
     to.up = true;
     to.stopped = to.leaving = false;
     to.wakeAt = -1;
-    to.policy =
-        policyNamed(policyName_, plan_.terms(static_cast<int>(d)), seed_ * 1000003 + d * 7919 + to.life);
+    to.policy = policyNamed(policyName_, experiment_.deploymentSettings(static_cast<int>(d)),
+                            seed_ * 1000003 + d * 7919 + to.life);
     note({.what = What::up, .dispatcher = static_cast<std::uint16_t>(d)});
     std::vector<ListRow> rows;
     for (std::uint32_t e = 0; e < phases_.size(); ++e) rows.push_back(row(e));
@@ -708,48 +718,48 @@
 
   // Discovery tells all dispatchers, now or late.
   void tellAll(std::uint32_t endpoint, EndpointState phase) {
-    Millis when = std::max(now_ + plan_.world.nearOneWay + listLate_, listSilentUntil_);
+    Millis when = std::max(now_ + experiment_.environment.nearOneWay + listLate_, listSilentUntil_);
     for (std::uint32_t d = 0; d < dispatchers_.size(); ++d) {
       at(when, Kind::told, d, endpoint, static_cast<std::int32_t>(phase));
     }
   }
 
-  std::vector<std::uint32_t> struckDispatchers(const TroublePlan& t) const {
+  std::vector<std::uint32_t> struckDispatchers(const Fault& t) const {
     std::vector<std::uint32_t> found;
     for (int d : t.dispatchers) found.push_back(static_cast<std::uint32_t>(d));
     if (found.empty()) found.push_back(0);
     return found;
   }
 
-  void trouble(const TroublePlan& t, bool begins) {
+  void trouble(const Fault& t, bool begins) {
     switch (t.kind) {
-      case TroubleKind::drain:
-        for (int e : plan_.struck(t)) {
+      case FaultKind::drain:
+        for (int e : experiment_.affectedEndpoints(t)) {
           phases_[static_cast<std::size_t>(e)] = begins ? EndpointState::draining : EndpointState::ready;
           tellAll(static_cast<std::uint32_t>(e), phases_[static_cast<std::size_t>(e)]);
         }
         return;
-      case TroubleKind::listLate:
+      case FaultKind::discoveryDelayed:
         listLate_ = begins ? t.factor : 0;
         return;
-      case TroubleKind::listSilent:
+      case FaultKind::discoveryUnresponsive:
         if (begins) listSilentUntil_ = t.until;
         return;
-      case TroubleKind::listWrong:
+      case FaultKind::discoveryWrong:
         // One more endpoint for each destination struck, that nobody is at.
-        for (int e : plan_.struck(t)) {
-          if (e % plan_.world.endpoints != 0) continue;
-          tellAll(static_cast<std::uint32_t>(plan_.endpointCount() + e),
+        for (int e : experiment_.affectedEndpoints(t)) {
+          if (e % experiment_.environment.endpoints != 0) continue;
+          tellAll(static_cast<std::uint32_t>(experiment_.endpointCount() + e),
                   begins ? EndpointState::ready : EndpointState::removed);
         }
         return;
-      case TroubleKind::kill:
+      case FaultKind::kill:
         for (std::uint32_t d : struckDispatchers(t)) {
           if (begins) gone(d, dispatchers_[d].life);
-          if (!begins && !dispatchers_[d].up) at(now_ + plan_.fleet.restart, Kind::start, d);
+          if (!begins && !dispatchers_[d].up) at(now_ + experiment_.fleet.restartDelay, Kind::start, d);
         }
         return;
-      case TroubleKind::terminate:
+      case FaultKind::terminate:
         for (std::uint32_t d : struckDispatchers(t)) {
           if (begins) {
             note({.what = What::down, .dispatcher = static_cast<std::uint16_t>(d), .status = 2});
@@ -757,13 +767,13 @@
             dispatchers_[d].leavingSince = now_;
             at(now_ + kLeaveAfter, Kind::gone, d, dispatchers_[d].life);
           } else {
-            at(std::max(now_, dispatchers_[d].leavingSince + kLeaveAfter) + plan_.fleet.restart, Kind::start,
-               d);
+            at(std::max(now_, dispatchers_[d].leavingSince + kLeaveAfter) + experiment_.fleet.restartDelay,
+               Kind::start, d);
           }
         }
         return;
-      case TroubleKind::diskHang:
-        if (plan_.fleet.writesAside) {
+      case FaultKind::diskHang:
+        if (experiment_.fleet.separateJournalWriter) {
           for (std::uint32_t d : struckDispatchers(t)) {
             dispatchers_[d].diskHangs = begins;
             if (!begins && dispatchers_[d].up) round(d, [](Policy& p) { p.woken(); });
@@ -771,7 +781,7 @@
           return;
         }
         [[fallthrough]];  // else it stands still with its folder
-      case TroubleKind::stop:
+      case FaultKind::stop:
         for (std::uint32_t d : struckDispatchers(t)) {
           if (!dispatchers_[d].up) continue;
           dispatchers_[d].stopped = begins;
@@ -786,20 +796,20 @@
           }
         }
         return;
-      case TroubleKind::diskFull:
+      case FaultKind::diskFull:
         for (std::uint32_t d : struckDispatchers(t)) dispatchers_[d].diskFull = begins;
         return;
       default:
         break;
     }
-    if (begins && t.kind == TroubleKind::refuse) {
+    if (begins && t.kind == FaultKind::refuseConnections) {
       // All connections there are reset, the idle ones too.
       for (Dispatcher& d : dispatchers_) {
-        for (int e : plan_.struck(t)) d.idle.erase(static_cast<std::uint32_t>(e));
+        for (int e : experiment_.affectedEndpoints(t)) d.idle.erase(static_cast<std::uint32_t>(e));
       }
     }
-    for (const Reply& r : town_.strike(now_, t, begins)) replied(r);
-    for (int e : plan_.struck(t)) townNext(static_cast<std::uint32_t>(e));
+    for (const EndpointResponse& r : endpointModel_.applyFault(now_, t, begins)) replied(r);
+    for (int e : experiment_.affectedEndpoints(t)) townNext(static_cast<std::uint32_t>(e));
   }
 
   void gone(std::uint32_t d, std::uint32_t life) {
@@ -808,7 +818,7 @@
     to.up = to.leaving = false;
     note({.what = What::down, .dispatcher = static_cast<std::uint16_t>(d)});
     for (auto& [endpoint, pool] : std::exchange(to.idle, {})) {
-      for (std::size_t n = 0; n < pool.size(); ++n) town_.disconnected(endpoint);
+      for (std::size_t n = 0; n < pool.size(); ++n) endpointModel_.recordDisconnect(endpoint);
     }
     std::vector<std::uint32_t> open;
     for (const auto& [number, call] : calls_) {
@@ -818,13 +828,13 @@
     for (std::uint32_t number : open) close(number);
   }
 
-  const Plan& plan_;
+  const Experiment& experiment_;
   std::uint64_t seed_;
   std::string policyName_;
   Sabotage sabotage_;
   Trace trace_;
-  Clients clients_;
-  Town town_;
+  ArrivalModel arrivalModel_;
+  EndpointModel endpointModel_;
   Millis now_{0};
   std::uint64_t turn_{0};
   std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
@@ -845,9 +855,9 @@
 
 }  // namespace
 
-Trace playModel(const Plan& plan, std::uint64_t seed, const std::string& policy, ModelCost* cost,
+Trace playModel(const Experiment& experiment, std::uint64_t seed, const std::string& policy, ModelCost* cost,
                 const Sabotage& sabotage) {
-  return Model(plan, seed, policy, sabotage).play(cost);
+  return Model(experiment, seed, policy, sabotage).play(cost);
 }
 
 }  // namespace stonewing::lab
--- a/src/lab/model.h
+++ b/src/lab/model.h
@@ -27,7 +27,7 @@
 // A whole day in virtual time, in one process and with no sockets: the clients, the dispatchers with the
 // policy of that name, the network and the endpoints. The same plan, seed and policy give the same trace,
 // byte for byte.
-Trace playModel(const Plan& plan, std::uint64_t seed, const std::string& policy, ModelCost* cost = nullptr,
-                const Sabotage& sabotage = {});
+Trace playModel(const Experiment& experiment, std::uint64_t seed, const std::string& policy,
+                ModelCost* cost = nullptr, const Sabotage& sabotage = {});
 
 }  // namespace stonewing::lab
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -67,36 +67,38 @@
   return text;
 }
 
-std::vector<std::pair<double, double>> troubleSpans(const Plan& plan) {
+std::vector<std::pair<double, double>> troubleSpans(const Experiment& experiment) {
   std::vector<std::pair<double, double>> spans;
-  for (const TroublePlan& t : plan.troubles) spans.emplace_back(t.from / kSecond, t.until / kSecond);
+  for (const Fault& t : experiment.faults) spans.emplace_back(t.from / kSecond, t.until / kSecond);
   return spans;
 }
 
 // Endpoints of a room.
-std::vector<int> endpointsIn(const Plan& plan, std::size_t room) {
+std::vector<int> endpointsIn(const Experiment& experiment, std::size_t room) {
   std::vector<int> endpoints;
-  for (int e = 0; e < plan.endpointCount(); ++e) {
-    if (plan.roomOf(e) == static_cast<int>(room)) endpoints.push_back(e);
+  for (int e = 0; e < experiment.endpointCount(); ++e) {
+    if (experiment.zoneOf(e) == static_cast<int>(room)) endpoints.push_back(e);
   }
   return endpoints;
 }
 
 // What a room takes without falling, attempts and probes a second: nothing while a trouble has it, and along
 // its warming after one that was longer than a blip.
-double bearable(const Plan& plan, const std::string& room, std::size_t endpoints, Millis at) {
+double bearable(const Experiment& experiment, const std::string& room, std::size_t endpoints, Millis at) {
   double warm = 1;
-  for (const TroublePlan& t : plan.troubles) {
-    bool dark = t.kind == TroubleKind::blackhole || t.kind == TroubleKind::refuse ||
-                t.kind == TroubleKind::silent || t.kind == TroubleKind::shut;
-    if (!dark || t.room != room || at < t.from) continue;
+  for (const Fault& t : experiment.faults) {
+    bool dark = t.kind == FaultKind::blackhole || t.kind == FaultKind::refuseConnections ||
+                t.kind == FaultKind::noResponse || t.kind == FaultKind::rejectAll;
+    if (!dark || t.zone != room || at < t.from) continue;
     if (at < t.until) return 0;
-    if (t.until - t.from <= plan.world.fallSpan) continue;
-    double along = std::min(1.0, (at - t.until) / plan.world.coldSpan);
-    warm = std::min(warm, plan.world.coldFrom + (1 - plan.world.coldFrom) * along);
+    if (t.until - t.from <= experiment.environment.overloadWindow) continue;
+    double along = std::min(1.0, (at - t.until) / experiment.environment.slowStartDuration);
+    warm = std::min(warm, experiment.environment.slowStartInitialShare +
+                              (1 - experiment.environment.slowStartInitialShare) * along);
   }
-  double whole = plan.world.parallel * static_cast<double>(endpoints) / meanOf(plan.world.service) * kSecond;
-  return plan.world.fallMultiple * whole * warm;
+  double whole = experiment.environment.concurrency * static_cast<double>(endpoints) /
+                 meanOf(experiment.environment.serviceTime) * kSecond;
+  return experiment.environment.overloadThreshold * whole * warm;
 }
 
 // The rate into rooms that return, against what each can bear at that moment.
@@ -108,20 +110,21 @@
                 false,
                 false,
                 {},
-                troubleSpans(r.plan)};
-  for (std::size_t room = 0; room < r.plan.world.rooms.size(); ++room) {
-    const std::string& name = r.plan.world.rooms[room];
-    bool struck = std::any_of(r.plan.troubles.begin(), r.plan.troubles.end(),
-                              [&](const TroublePlan& t) { return t.room == name; });
+                troubleSpans(r.experiment)};
+  for (std::size_t room = 0; room < r.experiment.environment.zones.size(); ++room) {
+    const std::string& name = r.experiment.environment.zones[room];
+    bool struck = std::any_of(r.experiment.faults.begin(), r.experiment.faults.end(),
+                              [&](const Fault& t) { return t.zone == name; });
     if (!struck) continue;
-    std::vector<int> endpoints = endpointsIn(r.plan, room);
+    std::vector<int> endpoints = endpointsIn(r.experiment, room);
     Line sent{name + ", launched", {}};
     Line bears{name + ", bears", {}};
-    auto counts = arrivalsPerSlice(r.plan, r.trace, endpoints, step * kSecond);
+    auto counts = arrivalsPerSlice(r.experiment, r.trace, endpoints, step * kSecond);
     for (std::size_t n = 0; n < counts.size(); ++n) {
       double at = static_cast<double>(n) * step;
       sent.points.emplace_back(at, static_cast<double>(counts[n]) / step);
-      bears.points.emplace_back(at, bearable(r.plan, name, endpoints.size(), (at + step / 2) * kSecond));
+      bears.points.emplace_back(at,
+                                bearable(r.experiment, name, endpoints.size(), (at + step / 2) * kSecond));
     }
     figure.lines.push_back(std::move(sent));
     figure.lines.push_back(std::move(bears));
@@ -138,19 +141,19 @@
                 false,
                 false,
                 {},
-                troubleSpans(r.plan)};
-  std::size_t rooms = r.plan.world.rooms.size();
+                troubleSpans(r.experiment)};
+  std::size_t rooms = r.experiment.environment.zones.size();
   std::vector<std::vector<double>> counts(rooms);
   for (const Event& e : r.trace.events) {
     if (e.what != What::arrived) continue;
-    auto room = static_cast<std::size_t>(r.plan.roomOf(static_cast<int>(e.endpoint)));
+    auto room = static_cast<std::size_t>(r.experiment.zoneOf(static_cast<int>(e.endpoint)));
     if (e.dispatcher % rooms == room) continue;
     auto slice = static_cast<std::size_t>(e.at / (step * kSecond));
     if (counts[room].size() <= slice) counts[room].resize(slice + 1);
     counts[room][slice] += 1 / step;
   }
   for (std::size_t room = 0; room < rooms; ++room) {
-    Line line{r.plan.world.rooms[room], {}};
+    Line line{r.experiment.environment.zones[room], {}};
     for (std::size_t n = 0; n < counts[room].size(); ++n) {
       line.points.emplace_back(static_cast<double>(n) * step, counts[room][n]);
     }
@@ -168,7 +171,8 @@
     for (const auto& s : series) line.points.emplace_back(s.from / kSecond, value(s));
     return line;
   };
-  Figure rates{"Callbacks a second", "seconds", "a second", false, false, false, {}, troubleSpans(r.plan)};
+  Figure rates{"Callbacks a second",      "seconds", "a second", false, false, false, {},
+               troubleSpans(r.experiment)};
   rates.lines.push_back(lineOf("due", [&](const auto& s) { return static_cast<double>(s.due) / step; }));
   rates.lines.push_back(
       lineOf("of those completed", [&](const auto& s) { return static_cast<double>(s.completed) / step; }));
@@ -186,43 +190,31 @@
                false,
                false,
                {},
-               troubleSpans(r.plan)};
+               troubleSpans(r.experiment)};
   spans.lines.push_back(lineOf("p50", [](const auto& s) { return s.p50; }));
   spans.lines.push_back(lineOf("p99", [](const auto& s) { return s.p99; }));
   figures.push_back(std::move(spans));
-  if (r.plan.world.rooms.size() > 1) {
-    Figure rooms{"Launches that arrive, by room",
-                 "seconds",
-                 "a second",
-                 false,
-                 false,
-                 false,
-                 {},
-                 troubleSpans(r.plan)};
-    for (std::size_t room = 0; room < r.plan.world.rooms.size(); ++room) {
-      std::vector<int> endpoints = endpointsIn(r.plan, room);
-      Line line{r.plan.world.rooms[room], {}};
-      auto counts = arrivalsPerSlice(r.plan, r.trace, endpoints, step * kSecond);
+  if (r.experiment.environment.zones.size() > 1) {
+    Figure rooms{"Launches that arrive, by room", "seconds", "a second", false, false, false, {},
+                 troubleSpans(r.experiment)};
+    for (std::size_t room = 0; room < r.experiment.environment.zones.size(); ++room) {
+      std::vector<int> endpoints = endpointsIn(r.experiment, room);
+      Line line{r.experiment.environment.zones[room], {}};
+      auto counts = arrivalsPerSlice(r.experiment, r.trace, endpoints, step * kSecond);
       for (std::size_t n = 0; n < counts.size(); ++n) {
         line.points.emplace_back(static_cast<double>(n) * step, static_cast<double>(counts[n]) / step);
       }
       rooms.lines.push_back(std::move(line));
     }
     figures.push_back(std::move(rooms));
-    if (r.plan.fleet.tiers != TierShape::none) figures.push_back(strangersOf(r, step));
-    if (r.plan.world.roomsCold) figures.push_back(returnsOf(r, step));
+    if (r.experiment.fleet.zonePriorities != ZonePriorityShape::none) figures.push_back(strangersOf(r, step));
+    if (r.experiment.environment.zonesReturnCold) figures.push_back(returnsOf(r, step));
   }
   if (r.played != nullptr && !r.played->usage.empty()) {
     Figure memory{"Memory of each dispatcher", "seconds", "MB resident", false, false, false, {},
-                  troubleSpans(r.plan)};
-    Figure cpu{"Processor time of each dispatcher",
-               "seconds",
-               "share of a core",
-               false,
-               false,
-               false,
-               {},
-               troubleSpans(r.plan)};
+                  troubleSpans(r.experiment)};
+    Figure cpu{"Processor time of each dispatcher", "seconds", "share of a core", false, false, false, {},
+               troubleSpans(r.experiment)};
     for (std::size_t d = 0; d < r.played->usage.front().dispatchers.size(); ++d) {
       Line resident{"dispatcher " + std::to_string(d), {}};
       Line busy = resident;
@@ -255,16 +247,16 @@
 
 void writeHtml(const Report& r, const std::vector<std::string>& svgs, const std::string& left,
                std::ostream& out) {
-  out << "<!doctype html><meta charset=utf-8><title>" << escaped(r.plan.name) << "</title>\n"
+  out << "<!doctype html><meta charset=utf-8><title>" << escaped(r.experiment.name) << "</title>\n"
       << "<style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 "
          "1em}table{border-collapse:collapse}"
       << "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid "
          "#ccc}td:first-child,th:first-child{text-align:"
       << "left}pre{background:#f4f4f4;padding:.7em;overflow:auto}.bad{color:#a00}</style>\n"
-      << "<h1>" << escaped(r.plan.name) << "</h1>\n<p>Seed " << r.seed << ", " << escaped(r.how) << ".";
+      << "<h1>" << escaped(r.experiment.name) << "</h1>\n<p>Seed " << r.seed << ", " << escaped(r.how) << ".";
   if (r.played != nullptr && r.played->interrupted) {
     out << " <b class=bad>Interrupted after " << fixed(r.played->until / kSecond, 1) << " s of "
-        << fixed(r.plan.end() / kSecond, 1) << " s.</b>";
+        << fixed(r.experiment.end() / kSecond, 1) << " s.</b>";
   }
   out << "</p>\n<table><tr><th></th><th>gain kept</th><th>completed</th><th>in "
          "time</th><th>refused</th><th>shed</th>"
@@ -284,13 +276,13 @@
   out << "</table>\n<h2>Troubles</h2>\n<table><tr><th>kind</th><th>from s</th><th>until "
          "s</th><th>where</th><th>factor"
       << "</th></tr>\n";
-  for (const TroublePlan& t : r.plan.troubles) {
+  for (const Fault& t : r.experiment.faults) {
     std::string where;
     auto add = [&](const char* kind, const std::string& which) {
       if (!where.empty()) where.append(", ");
       where.append(kind).append(which);
     };
-    if (!t.room.empty()) add("room ", t.room);
+    if (!t.zone.empty()) add("room ", t.zone);
     for (int d : t.destinations) add("destination ", std::to_string(d));
     for (int e : t.endpoints) add("endpoint ", std::to_string(e));
     for (int d : t.dispatchers) add("dispatcher ", std::to_string(d));
@@ -307,7 +299,7 @@
   if (r.breaks.size() > kShown) out << "<p>and " << r.breaks.size() - kShown << " more.</p>\n";
   if (r.played != nullptr) {
     for (const std::string& crash : r.played->crashes) out << "<p class=bad>" << escaped(crash) << "</p>\n";
-    out << "<p>The load sent nothing later than " << fixed(r.played->worstLag, 1)
+    out << "<p>The load sent nothing later than " << fixed(r.played->maxLag, 1)
         << " ms after it was due.</p>\n";
   }
   out << "<h2>In time</h2>\n";
@@ -351,7 +343,7 @@
 }
 
 std::string resultText(const Report& r) {
-  json result{{"experiment", r.plan.name}, {"seed", r.seed}, {"how", r.how}};
+  json result{{"experiment", r.experiment.name}, {"seed", r.seed}, {"how", r.how}};
   result["result"] = jsonOf(r.tally);
   result["broken"] = json::array();
   for (const Break& b : r.breaks) {
@@ -368,13 +360,13 @@
   if (r.played != nullptr) {
     result["interrupted"] = r.played->interrupted;
     result["crashes"] = r.played->crashes;
-    result["load_lag_ms"] = r.played->worstLag;
+    result["load_lag_ms"] = r.played->maxLag;
     json usage = json::array();
     for (std::size_t d = 0; !r.played->usage.empty() && d < r.played->usage.front().dispatchers.size(); ++d) {
       double cpu = 0, last = 0, memory = 0, disk = 0;
       int descriptors = 0;
       for (const Sampled& s : r.played->usage) {
-        const Usage& u = s.dispatchers[d];
+        const ResourceUsage& u = s.dispatchers[d];
         cpu += u.cpuSeconds >= last ? u.cpuSeconds - last : u.cpuSeconds;  // a new process counts from nought
         last = u.cpuSeconds;
         memory = std::max(memory, u.residentMegabytes);
@@ -391,9 +383,9 @@
   return result.dump(2) + "\n";
 }
 
-std::string writeReport(const Report& r, const std::string& folder, const std::string& planText) {
+std::string writeReport(const Report& r, const std::string& folder, const std::string& experimentText) {
   fs::create_directories(folder);
-  opened(folder + "/experiment.toml") << planText;
+  opened(folder + "/experiment.toml") << experimentText;
   opened(folder + "/result.json") << resultText(r);
   save(r.trace, folder);
   std::ofstream series = opened(folder + "/series.csv");
@@ -407,7 +399,7 @@
     usage << "at_s,dispatcher,cpu_s,resident_mb,descriptors,disk_kb\n";
     for (const Sampled& s : r.played->usage) {
       for (std::size_t d = 0; d < s.dispatchers.size(); ++d) {
-        const Usage& u = s.dispatchers[d];
+        const ResourceUsage& u = s.dispatchers[d];
         usage << s.at / kSecond << ',' << d << ',' << u.cpuSeconds << ',' << u.residentMegabytes << ','
               << u.descriptors << ',' << u.diskKilobytes << '\n';
       }
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -18,7 +18,7 @@
 };
 
 struct Report {
-  const Plan& plan;
+  const Experiment& experiment;
   std::uint64_t seed{};
   std::string how;  // "sockets" or "model", and by what
   const Trace& trace;
@@ -30,7 +30,7 @@
 
 // Writes result.json, series.csv, the trace, resources.csv and report.html with its plots into a folder,
 // which is made where it is missing. Returns what was left out and why, empty where nothing was.
-std::string writeReport(const Report& report, const std::string& folder, const std::string& planText);
+std::string writeReport(const Report& report, const std::string& folder, const std::string& experimentText);
 
 // The figures alone, as JSON text.
 std::string resultText(const Report& report);
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -74,42 +74,44 @@
 
 class Day {
  public:
-  Day(const Plan& plan, std::uint64_t seed, const RunChoices& choices)
-      : plan_(plan),
+  Day(const Experiment& experiment, std::uint64_t seed, const RunChoices& choices)
+      : experiment_(experiment),
         choices_(choices),
         interrupts_(loop_),
-        clients_(plan, seed, played_.trace),
-        town_(plan, seed ^ 0x5bd1e995u, played_.trace),
-        world_(loop_, agenda_, clock_, plan, town_, played_.trace) {
+        arrivalModel_(experiment, seed, played_.trace),
+        endpointModel_(experiment, seed ^ 0x5bd1e995u, played_.trace),
+        world_(loop_, timers_, clock_, experiment, endpointModel_, played_.trace) {
     std::vector<std::string> addresses;
-    bool hangs = std::any_of(plan.troubles.begin(), plan.troubles.end(),
-                             [](const TroublePlan& t) { return t.kind == TroubleKind::diskHang; });
-    for (int d = 0; d < plan.fleet.dispatchers; ++d) {
+    bool hangs = std::any_of(experiment.faults.begin(), experiment.faults.end(),
+                             [](const Fault& t) { return t.kind == FaultKind::diskHang; });
+    for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
       addresses.push_back(freeAddress(d));
       std::string folder = choices.folder + "/n" + std::to_string(d);
-      processes_.push_back(std::make_unique<Process>(choices.binary, folder, hangs ? STONEWING_HANG : ""));
+      processes_.push_back(
+          std::make_unique<DispatcherProcess>(choices.binary, folder, hangs ? STONEWING_HANG : ""));
       std::filesystem::remove(folder + "/state/journal");
-      processes_.back()->configure(configurationOf(plan, d, addresses.back(), world_.discovery(d),
-                                                   std::filesystem::absolute(folder + "/state").string(),
-                                                   world_.known(d)));
+      processes_.back()->configure(
+          configurationOf(experiment, d, addresses.back(), world_.discoveryAddress(d),
+                          std::filesystem::absolute(folder + "/state").string(), world_.endpointList(d)));
     }
-    load_ = std::make_unique<Load>(loop_, agenda_, clock_, plan, clients_, played_.trace, addresses);
-    world_.onNotice = [this](std::uint32_t callback, int result, Millis wait) {
-      if (result == 2) load_->shed(callback, wait);
+    loadGenerator_ = std::make_unique<LoadGenerator>(loop_, timers_, clock_, experiment, arrivalModel_,
+                                                     played_.trace, addresses);
+    world_.onNotification = [this](std::uint32_t callback, int result, Millis wait) {
+      if (result == 2) loadGenerator_->recordShed(callback, wait);
     };
   }
 
   Played play() {
     clock_.epoch = steadyNow();
     int ready = 0;
-    for (int d = 0; d < plan_.fleet.dispatchers; ++d) {
+    for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
       process(d).start();
-      load_->whenReady(d, [&ready] { ++ready; });
+      loadGenerator_->whenReady(d, [&ready] { ++ready; });
     }
     Millis by = steadyNow() + kReadyWithin;
-    while (ready < plan_.fleet.dispatchers && !interrupts_.seen) {
+    while (ready < experiment_.fleet.dispatchers && !interrupts_.seen) {
       turn();
-      for (int d = 0; d < plan_.fleet.dispatchers; ++d) {
+      for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
         if (!process(d).running())
           throw std::runtime_error("a dispatcher ended at its start; see " + process(d).folder() +
                                    "/log.txt");
@@ -118,34 +120,34 @@
         throw std::runtime_error("a dispatcher did not answer PING; see " + process(0).folder() + "/log.txt");
     }
     begin();
-    Millis end = plan_.end();
+    Millis end = experiment_.end();
     while (clock_.now() < end && !interrupts_.seen) {
       turn();
-      if (load_->done() && clock_.now() > plan_.duration && allOver()) break;
+      if (loadGenerator_->done() && clock_.now() > experiment_.duration && allOver()) break;
     }
     played_.until = clock_.now();
     played_.interrupted = interrupts_.seen;
     finish();
-    played_.worstLag = load_->worstLag();
+    played_.maxLag = loadGenerator_->maxLag();
     return std::move(played_);
   }
 
  private:
-  Process& process(int d) { return *processes_[static_cast<std::size_t>(d)]; }
+  DispatcherProcess& process(int d) { return *processes_[static_cast<std::size_t>(d)]; }
 
-  void turn() { alarm_.turn(agenda_); }
+  void turn() { timer_.runOnce(timers_); }
 
   void begin() {
     played_.trace.events.clear();
     clock_.epoch = steadyNow();
-    for (int d = 0; d < plan_.fleet.dispatchers; ++d) note(What::up, d);
-    for (const TroublePlan& t : plan_.troubles) {
-      agenda_.at(clock_.epoch + t.from, [this, &t] { strike(t, true); });
-      agenda_.at(clock_.epoch + t.until, [this, &t] { strike(t, false); });
+    for (int d = 0; d < experiment_.fleet.dispatchers; ++d) note(What::up, d);
+    for (const Fault& t : experiment_.faults) {
+      timers_.schedule(clock_.epoch + t.from, [this, &t] { strike(t, true); });
+      timers_.schedule(clock_.epoch + t.until, [this, &t] { strike(t, false); });
     }
     sample();
     progress();
-    load_->start();
+    loadGenerator_->start();
   }
 
   void note(What what, int d, int status = 0) {
@@ -157,42 +159,43 @@
 
   void restart(int d) {
     process(d).start();
-    load_->whenReady(d, [this, d] { note(What::up, d); });
+    loadGenerator_->whenReady(d, [this, d] { note(What::up, d); });
   }
 
-  void strike(const TroublePlan& t, bool begins) {
-    world_.strike(t, begins);
+  void strike(const Fault& t, bool begins) {
+    world_.applyFault(t, begins);
     std::vector<int> struck = t.dispatchers.empty() ? std::vector<int>{0} : t.dispatchers;
     for (int d : struck) {
       switch (t.kind) {
-        case TroubleKind::kill:
-          process(d).forgive();
+        case FaultKind::kill:
+          process(d).expectExit();
           if (begins) process(d).signal(SIGKILL), note(What::down, d);
-          if (!begins) agenda_.at(loop_.now() + plan_.fleet.restart, [this, d] { restart(d); });
+          if (!begins)
+            timers_.schedule(loop_.now() + experiment_.fleet.restartDelay, [this, d] { restart(d); });
           break;
-        case TroubleKind::terminate:
-          process(d).forgive();
+        case FaultKind::terminate:
+          process(d).expectExit();
           if (begins) {
             process(d).signal(SIGTERM);
             note(What::down, d, 2);
-            agenda_.at(loop_.now() + 3700, [this, d] {
+            timers_.schedule(loop_.now() + 3700, [this, d] {
               process(d).signal(SIGKILL);
               note(What::down, d);
             });
           } else {
             Millis after = std::max(0.0, 3700 - (t.until - t.from));
-            agenda_.at(loop_.now() + after + plan_.fleet.restart, [this, d] { restart(d); });
+            timers_.schedule(loop_.now() + after + experiment_.fleet.restartDelay, [this, d] { restart(d); });
           }
           break;
-        case TroubleKind::stop:
+        case FaultKind::stop:
           process(d).signal(begins ? SIGSTOP : SIGCONT);
           note(begins ? What::down : What::up, d, 1);
           break;
-        case TroubleKind::diskFull:
-          process(d).limitFiles(begins);
+        case FaultKind::diskFull:
+          process(d).limitFileSize(begins);
           break;
-        case TroubleKind::diskHang:
-          process(d).hangFiles(begins);
+        case FaultKind::diskHang:
+          process(d).blockJournalWrites(begins);
           break;
         default:
           return;
@@ -213,15 +216,15 @@
       bool delivered = e.what == What::replied && (e.status == 200 || e.status == 3);
       if (delivered || e.what == What::noticed) owed[e.callback] = false;
     }
-    for (const TroublePlan& trouble : plan_.troubles) {
-      if (clock_.now() < trouble.until + 2 * kSampleEvery) return false;
+    for (const Fault& fault : experiment_.faults) {
+      if (clock_.now() < fault.until + 2 * kSampleEvery) return false;
     }
     return std::find(owed.begin(), owed.end(), true) == owed.end();
   }
 
   void sample() {
     Sampled s{clock_.now(), {}};
-    for (int d = 0; d < plan_.fleet.dispatchers; ++d) {
+    for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
       bool was = process(d).crashed();
       process(d).running();
       if (process(d).crashed() && !was) {
@@ -232,18 +235,18 @@
       s.dispatchers.push_back(process(d).usage());
     }
     played_.usage.push_back(std::move(s));
-    agenda_.at(loop_.now() + kSampleEvery, [this] { sample(); });
+    timers_.schedule(loop_.now() + kSampleEvery, [this] { sample(); });
   }
 
   void progress() {
     if (!choices_.progress) return;
     choices_.progress(clock_.now(), played_.trace.events.size());
-    agenda_.at(loop_.now() + kProgressEvery, [this] { progress(); });
+    timers_.schedule(loop_.now() + kProgressEvery, [this] { progress(); });
   }
 
   void finish() {
     for (auto& p : processes_) {
-      p->forgive();
+      p->expectExit();
       p->signal(SIGCONT);
       p->signal(SIGTERM);
     }
@@ -255,79 +258,80 @@
     }
   }
 
-  const Plan& plan_;
+  const Experiment& experiment_;
   const RunChoices& choices_;
   EventLoop loop_;
-  Agenda agenda_;
-  Alarm alarm_{loop_};
-  Clock clock_{loop_};
+  TimerQueue timers_;
+  PreciseTimer timer_{loop_};
+  ExperimentClock clock_{loop_};
   Interrupts interrupts_;
   Played played_;
-  Clients clients_;
-  Town town_;
-  World world_;
-  std::vector<std::unique_ptr<Process>> processes_;
-  std::unique_ptr<Load> load_;
+  ArrivalModel arrivalModel_;
+  EndpointModel endpointModel_;
+  EmulatedServers world_;
+  std::vector<std::unique_ptr<DispatcherProcess>> processes_;
+  std::unique_ptr<LoadGenerator> loadGenerator_;
   Millis overCheckAt_{0};
 };
 
 }  // namespace
 
-Played playSockets(const Plan& plan, std::uint64_t seed, const RunChoices& choices) {
-  return Day(plan, seed, choices).play();
+Played playSockets(const Experiment& experiment, std::uint64_t seed, const RunChoices& choices) {
+  return Day(experiment, seed, choices).play();
 }
 
-void serveWorld(const Plan& plan, std::uint64_t seed, const std::string& folder) {
+void serveWorld(const Experiment& experiment, std::uint64_t seed, const std::string& folder) {
   EventLoop loop;
-  Agenda agenda;
-  Alarm alarm(loop);
-  Clock clock{loop, steadyNow()};
+  TimerQueue timers;
+  PreciseTimer timer(loop);
+  ExperimentClock clock{loop, steadyNow()};
   Interrupts interrupts(loop);
   Trace trace;
-  Town town(plan, seed ^ 0x5bd1e995u, trace);
-  World world(loop, agenda, clock, plan, town, trace);
-  world.trustNames();
-  for (int d = 0; d < plan.fleet.dispatchers; ++d) {
+  EndpointModel endpointModel(experiment, seed ^ 0x5bd1e995u, trace);
+  EmulatedServers world(loop, timers, clock, experiment, endpointModel, trace);
+  world.acceptUnknownMessages();
+  for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
     std::string own = folder + "/n" + std::to_string(d);
     std::filesystem::create_directories(own + "/state");
     std::string listen = freeAddress(d);
     std::string state = std::filesystem::absolute(own + "/state").string();
     std::ofstream(own + "/config.json")
-        << configurationOf(plan, d, listen, world.discovery(d), state, world.known(d));
+        << configurationOf(experiment, d, listen, world.discoveryAddress(d), state, world.endpointList(d));
     std::printf("dispatcher %d: serve --config %s/config.json, then listens at %s\n", d, own.c_str(),
                 listen.c_str());
   }
   std::fflush(stdout);
-  for (const TroublePlan& t : plan.troubles) {
-    agenda.at(clock.epoch + t.from, [&world, &t] { world.strike(t, true); });
-    agenda.at(clock.epoch + t.until, [&world, &t] { world.strike(t, false); });
+  for (const Fault& t : experiment.faults) {
+    timers.schedule(clock.epoch + t.from, [&world, &t] { world.applyFault(t, true); });
+    timers.schedule(clock.epoch + t.until, [&world, &t] { world.applyFault(t, false); });
   }
   while (!interrupts.seen) {
-    alarm.turn(agenda);
+    timer.runOnce(timers);
   }
   save(trace, folder);
 }
 
-Played driveLoad(const Plan& plan, std::uint64_t seed, const std::vector<std::string>& dispatchers,
+Played driveLoad(const Experiment& experiment, std::uint64_t seed,
+                 const std::vector<std::string>& dispatchers,
                  const std::function<void(Millis, std::size_t)>& progress) {
   Played played;
   EventLoop loop;
-  Agenda agenda;
-  Alarm alarm(loop);
-  Clock clock{loop, steadyNow()};
+  TimerQueue timers;
+  PreciseTimer timer(loop);
+  ExperimentClock clock{loop, steadyNow()};
   Interrupts interrupts(loop);
-  Clients clients(plan, seed, played.trace);
-  Load load(loop, agenda, clock, plan, clients, played.trace, dispatchers);
-  load.start();
+  ArrivalModel arrivalModel(experiment, seed, played.trace);
+  LoadGenerator loadGenerator(loop, timers, clock, experiment, arrivalModel, played.trace, dispatchers);
+  loadGenerator.start();
   Millis told = 0;
-  while (!interrupts.seen && !load.done() && clock.now() < plan.end()) {
-    alarm.turn(agenda);
+  while (!interrupts.seen && !loadGenerator.done() && clock.now() < experiment.end()) {
+    timer.runOnce(timers);
     if (progress && clock.now() > told) {
       progress(clock.now(), played.trace.events.size());
       told = clock.now() + kProgressEvery;
     }
   }
-  played.worstLag = load.worstLag();
+  played.maxLag = loadGenerator.maxLag();
   played.interrupted = interrupts.seen;
   played.until = clock.now();
   return played;
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -12,14 +12,14 @@
 
 struct Sampled {
   Millis at{};
-  std::vector<Usage> dispatchers;
+  std::vector<ResourceUsage> dispatchers;
 };
 
 struct Played {
   Trace trace;
   std::vector<Sampled> usage;
   std::vector<std::string> crashes;
-  Millis worstLag{0};  // of our own load, against when messages were due
+  Millis maxLag{0};  // of our own load, against when messages were due
   bool interrupted{false};
   Millis until{0};  // how far the day was played
 };
@@ -32,11 +32,12 @@
 
 // One experiment on loopback: the world and the load in this process, the dispatchers as processes of their
 // own. SIGINT and SIGTERM end it early, with what was seen so far; no process is left behind.
-Played playSockets(const Plan& plan, std::uint64_t seed, const RunChoices& choices);
+Played playSockets(const Experiment& experiment, std::uint64_t seed, const RunChoices& choices);
 
 // The world alone, or the load alone, until interrupted or the plan's end.
-void serveWorld(const Plan& plan, std::uint64_t seed, const std::string& folder);
-Played driveLoad(const Plan& plan, std::uint64_t seed, const std::vector<std::string>& dispatchers,
+void serveWorld(const Experiment& experiment, std::uint64_t seed, const std::string& folder);
+Played driveLoad(const Experiment& experiment, std::uint64_t seed,
+                 const std::vector<std::string>& dispatchers,
                  const std::function<void(Millis, std::size_t)>& progress);
 
 }  // namespace stonewing::lab
--- a/src/lab/run_summary.cpp
+++ b/src/lab/run_summary.cpp
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-Tally tally(const Plan& plan, const Trace& trace, Millis slice) {
+Tally tally(const Experiment& experiment, const Trace& trace, Millis slice) {
   Tally t;
-  auto slices = static_cast<std::size_t>(std::ceil(plan.end() / slice)) + 1;
+  auto slices = static_cast<std::size_t>(std::ceil(experiment.end() / slice)) + 1;
   t.series.resize(slices);
   for (std::size_t n = 0; n < slices; ++n) t.series[n].from = static_cast<double>(n) * slice;
   auto sliceOf = [&](Millis at) -> Tally::Slice& {
@@ -110,7 +110,7 @@
   for (std::uint32_t c = 0; c < callbacks; ++c) {
     const Handed& h = trace.callbacks[c];
     if (h.origin != c) continue;
-    const TrafficType& type = plan.types[h.type].terms;
+    const TrafficType& type = experiment.types[h.type].settings;
     ++t.due;
     t.gainDue += type.priorityWeight;
     Tally::Slice& s = sliceOf(h.due);
@@ -141,11 +141,11 @@
   return t;
 }
 
-std::vector<std::uint64_t> arrivalsPerSlice(const Plan& plan, const Trace& trace,
+std::vector<std::uint64_t> arrivalsPerSlice(const Experiment& experiment, const Trace& trace,
                                             const std::vector<int>& endpoints, Millis slice) {
-  std::vector<bool> wanted(static_cast<std::size_t>(plan.endpointCount()), false);
+  std::vector<bool> wanted(static_cast<std::size_t>(experiment.endpointCount()), false);
   for (int e : endpoints) wanted[static_cast<std::size_t>(e)] = true;
-  std::vector<std::uint64_t> counts(static_cast<std::size_t>(std::ceil(plan.end() / slice)) + 1, 0);
+  std::vector<std::uint64_t> counts(static_cast<std::size_t>(std::ceil(experiment.end() / slice)) + 1, 0);
   for (const Event& e : trace.events) {
     if (e.what != What::arrived || e.endpoint >= wanted.size() || !wanted[e.endpoint]) continue;
     auto n = static_cast<std::size_t>(std::max(0.0, e.at / slice));
--- a/src/lab/run_summary.h
+++ b/src/lab/run_summary.h
@@ -41,9 +41,9 @@
   double share() const { return gainDue > 0 ? gain / gainDue : 0; }
 };
 
-Tally tally(const Plan& plan, const Trace& trace, Millis slice = 500);
+Tally tally(const Experiment& experiment, const Trace& trace, Millis slice = 500);
 // Attempts that reached the endpoints of a room or destination, for each slice.
-std::vector<std::uint64_t> arrivalsPerSlice(const Plan& plan, const Trace& trace,
+std::vector<std::uint64_t> arrivalsPerSlice(const Experiment& experiment, const Trace& trace,
                                             const std::vector<int>& endpoints, Millis slice);
 
 }  // namespace stonewing::lab
--- a/src/lab/slow_disk_preload.cpp
+++ b/src/lab/slow_disk_preload.cpp
@@ -9,10 +9,10 @@
 extern "C" ssize_t write(int fd, const void* bytes, size_t size) {
   using Write = ssize_t (*)(int, const void*, size_t);
   static const auto real = reinterpret_cast<Write>(::dlsym(RTLD_NEXT, "write"));
-  char link[64];
+  char connection[64];
   char path[4096];
-  std::snprintf(link, sizeof link, "/proc/self/fd/%d", fd);
-  ssize_t n = ::readlink(link, path, sizeof path - 8);
+  std::snprintf(connection, sizeof connection, "/proc/self/fd/%d", fd);
+  ssize_t n = ::readlink(connection, path, sizeof path - 8);
   if (n > 8 && std::memcmp(path + n - 8, "/journal", 8) == 0) {
     std::memcpy(path + n - 7, "hang", 5);
     while (::access(path, F_OK) == 0) ::usleep(1000);
--- a/src/lab/timer_queue.h
+++ b/src/lab/timer_queue.h
@@ -17,35 +17,35 @@
 namespace stonewing::lab {
 
 // What is to be done when, on the loop's clock.
-class Agenda {
+class TimerQueue {
  public:
-  void at(Millis when, std::function<void()> what) {
-    entries_.emplace(std::pair(when, turn_++), std::move(what));
+  void schedule(Millis when, std::function<void()> action) {
+    entries_.emplace(std::pair(when, sequence_++), std::move(action));
   }
-  Millis due() const { return entries_.empty() ? 1e15 : entries_.begin()->first.first; }
-  void run(Millis now) {
+  Millis nextDue() const { return entries_.empty() ? 1e15 : entries_.begin()->first.first; }
+  void runDue(Millis now) {
     while (!entries_.empty() && entries_.begin()->first.first <= now) {
-      auto what = std::move(entries_.begin()->second);
+      auto action = std::move(entries_.begin()->second);
       entries_.erase(entries_.begin());
-      what();
+      action();
     }
   }
 
  private:
   std::map<std::pair<Millis, std::uint64_t>, std::function<void()>> entries_;
-  std::uint64_t turn_{0};
+  std::uint64_t sequence_{0};
 };
 
 // Wakes the loop to the microsecond. The loop itself sleeps in whole milliseconds, and a world that is up to
 // one late at each step has a tenth less capacity than its plan says.
-class Alarm : public EventHandler {
+class PreciseTimer : public EventHandler {
  public:
-  explicit Alarm(EventLoop& loop)
+  explicit PreciseTimer(EventLoop& loop)
       : loop_(loop), fd_(::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC)) {
     if (fd_ < 0 || !loop.watch(fd_, *this))
       throw std::system_error(errno, std::generic_category(), "timerfd");
   }
-  ~Alarm() override {
+  ~PreciseTimer() override {
     loop_.unwatch(fd_);
     ::close(fd_);
   }
@@ -54,29 +54,29 @@
     (void)!::read(fd_, &times, sizeof times);
   }
   // One turn of the loop, with what is due in it.
-  void turn(Agenda& agenda) {
-    Millis due = agenda.due();
-    if (due != set_ && due < 1e14) {
+  void runOnce(TimerQueue& timers) {
+    Millis due = timers.nextDue();
+    if (due != armedFor_ && due < 1e14) {
       Millis at = std::max(due, 0.001);
       itimerspec when{};
       when.it_value.tv_sec = static_cast<time_t>(at / 1000);
       when.it_value.tv_nsec = static_cast<long>(std::fmod(at, 1000) * 1e6);
       ::timerfd_settime(fd_, TFD_TIMER_ABSTIME, &when, nullptr);
-      set_ = due;
+      armedFor_ = due;
     }
     loop_.wait(due <= steadyNow() ? 0 : due + 1);
     loop_.dispatch();
-    agenda.run(loop_.now());
+    timers.runDue(loop_.now());
   }
 
  private:
   EventLoop& loop_;
   int fd_;
-  Millis set_{-1};
+  Millis armedFor_{-1};
 };
 
 // The clock of one experiment: zero at its start.
-struct Clock {
+struct ExperimentClock {
   const EventLoop& loop;
   Millis epoch{0};
   Millis now() const { return loop.now() - epoch; }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -24,7 +24,7 @@
 
 const bool seeded = setenv("RC_PARAMS", "seed=4711 max_success=60", 1) == 0;
 
-const char* kPlan = R"(name = "small"
+const char* kExperiment = R"(name = "small"
 seed = 3
 duration_s = 6
 [fleet]
@@ -62,11 +62,11 @@
 late_share = 0.2
 )";
 
-Plan planWith(const std::string& more) { return readPlan(kPlan + more, "plan.toml"); }
+Experiment experimentWith(const std::string& more) { return readExperiment(kExperiment + more, "plan.toml"); }
 
 std::string complaintOf(const std::string& text) {
   try {
-    readPlan(text, "plan.toml");
+    readExperiment(text, "plan.toml");
   } catch (const ConfigError& problem) {
     return problem.what();
   }
@@ -88,27 +88,28 @@
   }
   EXPECT_NE(complaintOf("name = ").find("plan.toml:1:"), std::string::npos);
   EXPECT_NE(complaintOf("name = \"x\"").find("at least one [[type]]"), std::string::npos);
-  EXPECT_NE(
-      complaintOf(std::string(kPlan) + "[[trouble]]\nkind = \"lost\"\nfactor = 3\nfrom_s=1\nuntil_s=2\n")
-          .find("share of the calls"),
-      std::string::npos);
+  EXPECT_NE(complaintOf(std::string(kExperiment) +
+                        "[[trouble]]\nkind = \"lost\"\nfactor = 3\nfrom_s=1\nuntil_s=2\n")
+                .find("share of the calls"),
+            std::string::npos);
 }
 
 TEST(Plans, TakeWhatTheCommandLinePutsInPlaceOfTheFile) {
-  Plan plan = readPlan(kPlan, "plan.toml", {"load.per_s=90", "fleet.held=12", "name=\"other\""});
-  EXPECT_EQ(plan.load.perSecond, 90);
-  EXPECT_EQ(plan.fleet.held, 12);
-  EXPECT_EQ(plan.name, "other");
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.per_s"}), ConfigError);
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"name=other"}), ConfigError);
-  EXPECT_THROW(readPlan(kPlan, "plan.toml", {"load.pers=90"}), ConfigError);
+  Experiment experiment =
+      readExperiment(kExperiment, "plan.toml", {"load.per_s=90", "fleet.held=12", "name=\"other\""});
+  EXPECT_EQ(experiment.load.perSecond, 90);
+  EXPECT_EQ(experiment.fleet.maxInFlight, 12);
+  EXPECT_EQ(experiment.name, "other");
+  EXPECT_THROW(readExperiment(kExperiment, "plan.toml", {"load.per_s"}), ConfigError);
+  EXPECT_THROW(readExperiment(kExperiment, "plan.toml", {"name=other"}), ConfigError);
+  EXPECT_THROW(readExperiment(kExperiment, "plan.toml", {"load.pers=90"}), ConfigError);
 }
 
 // ---- the audit ----
 
 // A trace by hand: one message of each type of the plan, handed to dispatcher 0 and taken.
 struct Hand {
-  Plan plan = planWith("");
+  Experiment experiment = experimentWith("");
   Trace trace;
   std::uint32_t calls = 0;
 
@@ -142,7 +143,7 @@
   void later() { add({.at = 60000, .what = What::told, .endpoint = 5, .status = 1}); }
   std::vector<Rule> broken() {
     std::vector<Rule> rules;
-    for (const Break& b : audit(plan, trace)) {
+    for (const Break& b : audit(experiment, trace)) {
       rules.push_back(b.rule);
       EXPECT_NE(told(b, trace).find(b.text), std::string::npos);
     }
@@ -192,7 +193,7 @@
         << type << " " << status << " " << again;
   }
   Hand rooms(1);
-  rooms.plan.types[1].terms.deduplicationScope = DeduplicationScope::zone;
+  rooms.experiment.types[1].settings.deduplicationScope = DeduplicationScope::zone;
   rooms.reply(150, rooms.arrive(100, 0), 500);
   rooms.reply(350, rooms.arrive(300, 1), 200, 1);  // the other room
   EXPECT_EQ(rooms.broken(), Rules{Rule::noEffectTwice});
@@ -236,7 +237,7 @@
   for (auto [firstEnds, status, secondAt, broken] :
        {std::tuple{200.0, 200, 150.0, true}, {200.0, 200, 250.0, false}, {200.0, 1, 300.0, true}}) {
     Hand hand(0, 2, 7);
-    hand.plan.types[0].terms.ordered = true;
+    hand.experiment.types[0].settings.ordered = true;
     std::uint32_t first = hand.arrive(100, 0, 0);
     std::uint32_t second = hand.arrive(secondAt, 0, 1);
     hand.reply(firstEnds, first, status, 0, 0);
@@ -262,7 +263,7 @@
 // nothing made wrong are clean.
 TEST(Audit, CatchesEachDeliberateMistakeInTheModel) {
   struct Case {
-    const char* trouble;
+    const char* fault;
     Sabotage sabotage;
     Rule rule;
   };
@@ -275,16 +276,16 @@
         Case{"[[trouble]]\nkind=\"reset\"\nfactor=0.4\nfrom_s=1\nuntil_s=5\n", effects, Rule::noEffectTwice},
         Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", drains, Rule::drains},
         Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n", cold, Rule::returns}}) {
-    Plan plan = planWith(c.trouble);
+    Experiment experiment = experimentWith(c.fault);
     if (c.sabotage.pushesCold) {
-      plan.world.parallel = 1;
-      plan.world.coldFrom = 0.05;
-      plan.world.fallMultiple = 1;
+      experiment.environment.concurrency = 1;
+      experiment.environment.slowStartInitialShare = 0.05;
+      experiment.environment.overloadThreshold = 1;
     }
-    auto clean = audit(plan, playModel(plan, 3, "ours"));
+    auto clean = audit(experiment, playModel(experiment, 3, "ours"));
     EXPECT_TRUE(clean.empty()) << nameOf(c.rule) << clean.size();
-    Trace wrong = playModel(plan, 3, "ours", nullptr, c.sabotage);
-    auto found = audit(plan, wrong);
+    Trace wrong = playModel(experiment, 3, "ours", nullptr, c.sabotage);
+    auto found = audit(experiment, wrong);
     ASSERT_FALSE(found.empty()) << nameOf(c.rule);
     EXPECT_EQ(found.front().rule, c.rule) << told(found.front(), wrong);
   }
@@ -293,16 +294,16 @@
 // ---- model, clients, town ----
 
 TEST(Model, IsTheSameByteForByteFromTheSameSeedAndAnotherFromAnother) {
-  Plan plan = planWith(
+  Experiment experiment = experimentWith(
       "[[trouble]]\nkind=\"blackhole\"\nroom=\"b\"\nfrom_s=1\nuntil_s=3\n"
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=3\n");
   for (const std::string& policy : policyNames()) {
-    Trace one = playModel(plan, 5, policy);
-    Trace two = playModel(plan, 5, policy);
+    Trace one = playModel(experiment, 5, policy);
+    Trace two = playModel(experiment, 5, policy);
     EXPECT_EQ(one.events, two.events) << policy;
     EXPECT_EQ(one.callbacks, two.callbacks);
-    EXPECT_NE(one.events, playModel(plan, 6, policy).events);
-    Tally t = tally(plan, one);
+    EXPECT_NE(one.events, playModel(experiment, 6, policy).events);
+    Tally t = tally(experiment, one);
     EXPECT_GT(t.completed, t.due / 3) << policy;
     EXPECT_EQ(t.delivery.count, t.completed);
     EXPECT_EQ(t.due, static_cast<std::uint64_t>(
@@ -313,9 +314,9 @@
 
 // The day that is due is the clients' own, whatever the dispatchers do with it.
 TEST(Model, GivesEveryPolicyTheSameDay) {
-  Plan plan = planWith("[[trouble]]\nkind=\"shut\"\nfrom_s=1\nuntil_s=4\n");
+  Experiment experiment = experimentWith("[[trouble]]\nkind=\"shut\"\nfrom_s=1\nuntil_s=4\n");
   auto days = [&](const std::string& policy) {
-    Trace trace = playModel(plan, 9, policy);
+    Trace trace = playModel(experiment, 9, policy);
     std::vector<Millis> due;
     for (std::size_t n = 0; n < trace.callbacks.size(); ++n) {
       if (trace.callbacks[n].origin == n) due.push_back(trace.callbacks[n].due);
@@ -326,11 +327,11 @@
 }
 
 TEST(Model, KeepsWhatAKilledDispatcherHeld) {
-  Plan plan = planWith(
+  Experiment experiment = experimentWith(
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=2.2\n[[trouble]]\nkind=\"slow\"\nfactor=10\nfrom_s="
       "1\nuntil_s=4\n");
-  Trace trace = playModel(plan, 4, "ours");
-  EXPECT_TRUE(audit(plan, trace).empty());
+  Trace trace = playModel(experiment, 4, "ours");
+  EXPECT_TRUE(audit(experiment, trace).empty());
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
                           [](const Event& e) { return e.what == What::down; }),
             1);
@@ -338,14 +339,14 @@
 
 TEST(Traces, ComeBackFromTheirFilesAndNameALineThatIsWrong) {
   Folder folder;
-  Plan plan = planWith("");
-  Trace trace = playModel(plan, 1, "ours");
+  Experiment experiment = experimentWith("");
+  Trace trace = playModel(experiment, 1, "ours");
   save(trace, folder.path);
   Trace again = loadTrace(folder.path);
   ASSERT_EQ(again.events.size(), trace.events.size());
   EXPECT_EQ(again.callbacks.size(), trace.callbacks.size());
-  EXPECT_EQ(audit(plan, again).size(), 0u);
-  EXPECT_NEAR(tally(plan, again).share(), tally(plan, trace).share(), 1e-6);
+  EXPECT_EQ(audit(experiment, again).size(), 0u);
+  EXPECT_NEAR(tally(experiment, again).share(), tally(experiment, trace).share(), 1e-6);
   std::ofstream(folder.path / "events.csv", std::ios::app) << "1.0,sneezed,0,0,0,0,0,0,0\n";
   try {
     loadTrace(folder.path);
@@ -356,38 +357,39 @@
 }
 
 TEST(Towns, PushedWhileColdFallOverAndNotWhenWarm) {
-  Plan plan = planWith("");
-  plan.world.parallel = 1;
+  Experiment experiment = experimentWith("");
+  experiment.environment.concurrency = 1;
   Trace trace;
   trace.callbacks.resize(200, {0, 2, 0, 0, 0, 0});
-  Town town(plan, 1, trace);
+  EndpointModel endpointModel(experiment, 1, trace);
   auto push = [&](Millis from, int many) {
     for (int n = 0; n < many; ++n) {
       auto call = static_cast<std::uint32_t>(from) + static_cast<std::uint32_t>(n);
-      town.arrived(from + n, call, 0, 0, {static_cast<std::uint32_t>(n)});
-      town.abandoned(from + n, call, 0);
+      endpointModel.receiveRequest(from + n, call, 0, 0, {static_cast<std::uint32_t>(n)});
+      endpointModel.abandonRequest(from + n, call, 0);
     }
     return std::count_if(trace.events.begin(), trace.events.end(),
                          [](const Event& e) { return e.what == What::fell; });
   };
   EXPECT_EQ(push(100, 150), 0);
-  TroublePlan shut{.kind = TroubleKind::shut, .from = 1000, .until = 4000, .destinations = {0}};
-  town.strike(1000, shut, true);
-  EXPECT_EQ(town.arrived(1500, 9000, 0, 0, {1})->said, Said::turnedAway);
-  town.strike(4000, shut, false);
+  Fault rejectAll{.kind = FaultKind::rejectAll, .from = 1000, .until = 4000, .destinations = {0}};
+  endpointModel.applyFault(1000, rejectAll, true);
+  EXPECT_EQ(endpointModel.receiveRequest(1500, 9000, 0, 0, {1})->kind, ResponseKind::unavailable);
+  endpointModel.applyFault(4000, rejectAll, false);
   EXPECT_EQ(push(4100, 150), 1);
-  EXPECT_EQ(town.arrived(4400, 9001, 1, 0, {1})->said, Said::turnedAway);  // it stays down, all of it
+  EXPECT_EQ(endpointModel.receiveRequest(4400, 9001, 1, 0, {1})->kind,
+            ResponseKind::unavailable);  // it stays down, all of it
 }
 
 TEST(Towns, DropARepeatThatTheirReceiptCovers) {
-  Plan plan = planWith("");
+  Experiment experiment = experimentWith("");
   Trace trace;
   trace.callbacks = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
-  Town town(plan, 1, trace);
-  town.arrived(0, 1, 0, 0, {0});
-  town.arrived(100, 2, 1, 0, {1});   // the same origin, submitted again
-  town.arrived(5000, 3, 0, 0, {1});  // past the window
-  town.arrived(5000, 4, 1, 0, {2});
+  EndpointModel endpointModel(experiment, 1, trace);
+  endpointModel.receiveRequest(0, 1, 0, 0, {0});
+  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted again
+  endpointModel.receiveRequest(5000, 3, 0, 0, {1});  // past the window
+  endpointModel.receiveRequest(5000, 4, 1, 0, {2});
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
                           [](const Event& e) { return e.what == What::effect; }),
             3);
@@ -396,49 +398,49 @@
 TEST(Clients, ComeAsOftenAsTheirPlanSaysWhateverItsShape) {
   for (const char* shape : {"arrivals = \"poisson\"", "arrivals = \"bursts\"\nburst_factor = 3",
                             "arrivals = \"dusk\"\ndusk_factor = 4", "clump_share = 0.5\nclump_size = 20"}) {
-    std::string text = kPlan;
+    std::string text = kExperiment;
     text.replace(text.find("per_s = 60"), 10, std::string("per_s = 400\n") + shape);
-    Plan plan = readPlan(text, "plan.toml");
+    Experiment experiment = readExperiment(text, "plan.toml");
     Trace trace;
-    Clients clients(plan, 2, trace);
-    Arrivals arrivals(plan);
+    ArrivalModel arrivalModel(experiment, 2, trace);
+    ArrivalProcess arrivalProcess(experiment);
     double expected = 0;
-    for (Millis at = 0; at < plan.duration; at += 10) expected += arrivals.perSecond(at) * 0.01;
+    for (Millis at = 0; at < experiment.duration; at += 10) expected += arrivalProcess.perSecond(at) * 0.01;
     Millis before = 0;
     std::uint64_t count = 0;
-    while (auto due = clients.due()) {
+    while (auto due = arrivalModel.due()) {
       EXPECT_GE(*due, before);
       before = *due;
-      while (clients.next(*due)) ++count;
+      while (arrivalModel.nextDue(*due)) ++count;
     }
     EXPECT_NEAR(static_cast<double>(count), expected, 0.25 * expected) << shape;
   }
 }
 
 TEST(Clients, ComeAgainAfterTheTimeTheyWereToldAndNotPastTheOuterLimit) {
-  Plan plan = planWith("");
-  plan.duration = 100;
+  Experiment experiment = experimentWith("");
+  experiment.duration = 100;
   Trace trace;
-  Clients clients(plan, 2, trace);
-  auto first = clients.next(100);
+  ArrivalModel arrivalModel(experiment, 2, trace);
+  auto first = arrivalModel.nextDue(100);
   ASSERT_TRUE(first);
-  while (clients.next(1e6)) continue;
-  clients.refused(200, *first, 700);
-  EXPECT_EQ(clients.due(), 900);
-  auto again = clients.next(900);
-  ASSERT_TRUE(again);
-  EXPECT_EQ(trace.callbacks[*again].origin, *first);
-  EXPECT_TRUE(clients.again(*again));
-  clients.refused(950, *again, 9000);
-  EXPECT_FALSE(clients.due());
+  while (arrivalModel.nextDue(1e6)) continue;
+  arrivalModel.recordRejection(200, *first, 700);
+  EXPECT_EQ(arrivalModel.due(), 900);
+  auto resubmitted = arrivalModel.nextDue(900);
+  ASSERT_TRUE(resubmitted);
+  EXPECT_EQ(trace.callbacks[*resubmitted].origin, *first);
+  EXPECT_TRUE(arrivalModel.isResubmission(*resubmitted));
+  arrivalModel.recordRejection(950, *resubmitted, 9000);
+  EXPECT_FALSE(arrivalModel.due());
 }
 
 RC_GTEST_PROP(Draws, KeepTheirMedian, (std::uint32_t seed)) {
-  std::mt19937 chance(seed);
-  for (Shape shape : {Shape::lognormal, Shape::pareto}) {
-    DrawnSpan span{shape, 30, shape == Shape::pareto ? 1.5 : 0.7};
+  std::mt19937 randomEngine(seed);
+  for (DistributionShape shape : {DistributionShape::lognormal, DistributionShape::pareto}) {
+    DurationDistribution distribution{shape, 30, shape == DistributionShape::pareto ? 1.5 : 0.7};
     int below = 0;
-    for (int n = 0; n < 2000; ++n) below += drawn(span, chance) < 30 ? 1 : 0;
+    for (int n = 0; n < 2000; ++n) below += drawDuration(distribution, randomEngine) < 30 ? 1 : 0;
     RC_ASSERT(below > 880);
     RC_ASSERT(below < 1120);
   }
@@ -458,61 +460,61 @@
 
 // ---- on sockets, with the real dispatcher ----
 
-Played playShort(const std::string& troubles, const std::string& folder, Plan& plan) {
-  plan = planWith(troubles);
+Played playShort(const std::string& faults, const std::string& folder, Experiment& experiment) {
+  experiment = experimentWith(faults);
   RunChoices choices;
   choices.binary = STONEWING_BINARY;
   choices.folder = folder;
-  return playSockets(plan, plan.seed, choices);
+  return playSockets(experiment, experiment.seed, choices);
 }
 
 // The dispatcher keeps the rules through troubles that strike together, and most of the gain.
 TEST(OnSockets, TheRulesHoldWhileAKillABlackholeAndLostAnswersStrikeTogether) {
   Folder folder;
-  Plan plan;
+  Experiment experiment;
   Played played = playShort(
       "[[trouble]]\nkind=\"blackhole\"\nendpoints=[1]\nfrom_s=1\nuntil_s=4\n"
       "[[trouble]]\nkind=\"lost\"\nfactor=0.3\nendpoints=[2]\nfrom_s=1\nuntil_s=4\n"
       "[[trouble]]\nkind=\"kill\"\ndispatchers=[1]\nfrom_s=2\nuntil_s=2.3\n"
       "[[trouble]]\nkind=\"drain\"\nendpoints=[4]\nfrom_s=3\nuntil_s=5\n",
-      folder.path, plan);
-  for (const Break& b : audit(plan, played.trace)) ADD_FAILURE() << told(b, played.trace);
+      folder.path, experiment);
+  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
   EXPECT_TRUE(played.crashes.empty());
-  Tally t = tally(plan, played.trace);
+  Tally t = tally(experiment, played.trace);
   EXPECT_GT(t.share(), 0.7);
   EXPECT_GT(t.due, 250u);
 }
 
 TEST(OnSockets, RefusalsAFullTableSpoiltAnswersAndWaitsReachTheDispatcherAsSuch) {
   Folder folder;
-  Plan plan;
+  Experiment experiment;
   Played played = playShort(
       "[[trouble]]\nkind=\"refuse\"\nendpoints=[0]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"spoilt\"\nfactor=0.3\nendpoints=[2]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"cut\"\nfactor=0.3\nendpoints=[3]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"shut\"\ndestinations=[2]\nfrom_s=1\nuntil_s=2.5\n"
       "[[trouble]]\nkind=\"table\"\nfactor=1\nendpoints=[1]\nfrom_s=1\nuntil_s=4\n",
-      folder.path, plan);
-  for (const Break& b : audit(plan, played.trace)) ADD_FAILURE() << told(b, played.trace);
+      folder.path, experiment);
+  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
   auto saw = [&](What what, int status) {
     return std::any_of(played.trace.events.begin(), played.trace.events.end(),
                        [&](const Event& e) { return e.what == what && e.status == status; });
   };
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(Said::spoilt)));
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(Said::cut)));
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(Said::turnedAway)));
-  EXPECT_GT(tally(plan, played.trace).share(), 0.6);
+  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::malformed)));
+  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::truncated)));
+  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::unavailable)));
+  EXPECT_GT(tally(experiment, played.trace).share(), 0.6);
 }
 
 // Danger: a dispatcher that dies of a full disk, or of a file limit's signal, loses what it took on.
 TEST(OnSockets, AFolderWithoutRoomTurnsCallbacksAwayAndLosesNone) {
   Folder folder;
-  Plan plan;
+  Experiment experiment;
   Played played = playShort("[[trouble]]\nkind=\"disk-full\"\ndispatchers=[0]\nfrom_s=1.5\nuntil_s=3.5\n",
-                            folder.path, plan);
-  for (const Break& b : audit(plan, played.trace)) ADD_FAILURE() << told(b, played.trace);
+                            folder.path, experiment);
+  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
   EXPECT_TRUE(played.crashes.empty()) << played.crashes.front();
-  EXPECT_GT(tally(plan, played.trace).refused, 0u);
+  EXPECT_GT(tally(experiment, played.trace).refused, 0u);
 }
 
 // Danger: a loop that is behind answers clients that have left, they hand in again, and it stays behind for
