--- a/src/lab/admission_scenario.cpp
+++ b/src/lab/admission_scenario.cpp
@@ -16,56 +16,57 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr int kHeldMost = 20000;
-constexpr Millis kLongestAdvice = 2000;
+constexpr int kMaxInFlight = 20000;
+constexpr Millis kMaxRetryAfter = 2000;
 
 struct Command {
-  std::uint32_t callback{};
+  std::uint32_t message{};
   Millis at{};  // when it reached the socket
 };
 
 struct Verdict {
-  bool take{true};
-  Millis wait{0};
+  bool accept{true};
+  Millis retryAfter{0};
 };
 
 // What decides on a command as it is read.
-class Gate {
+class AdmissionStrategy {
  public:
-  virtual ~Gate() = default;
-  virtual Verdict asked(Millis now, Millis queued, int held, Millis worked) = 0;
-  virtual void answered(Millis, Millis) {}                // how long a command took from socket to answer
-  virtual void turnEnded(Millis, Millis, std::size_t) {}  // its work, and the commands still unread
-  virtual void ended(Millis) {}
+  virtual ~AdmissionStrategy() = default;
+  virtual Verdict decide(Millis now, Millis queued, int inFlight, Millis turnWork) = 0;
+  virtual void recordResponse(Millis, Millis) {}           // how long a command took from socket to answer
+  virtual void recordTurn(Millis, Millis, std::size_t) {}  // its work, and the commands still unread
+  virtual void recordFinished(Millis) {}
   // Whether a client may send at all; only a gate that hands out credits says no.
   virtual bool maySend(Millis) { return true; }
 };
 
-class Always final : public Gate {
+class AcceptAll final : public AdmissionStrategy {
  public:
-  Verdict asked(Millis, Millis, int held, Millis) override { return {held < kHeldMost, 0}; }
+  Verdict decide(Millis, Millis, int inFlight, Millis) override { return {inFlight < kMaxInFlight, 0}; }
 };
 
 // The dispatcher's own, as it is.
-class Work final : public Gate {
+class DispatcherAdmission final : public AdmissionStrategy {
  public:
-  explicit Work(std::uint64_t seed) : admission_({kHeldMost, true, kLongestAdvice, 1, 0.05}, seed) {}
-  Verdict asked(Millis now, Millis, int held, Millis worked) override {
-    AdmissionDecision call = admission_.decide({now, held, 0, 0, worked}, 1, false);
-    return {call.accepted, call.retryAfter};
+  explicit DispatcherAdmission(std::uint64_t seed)
+      : admission_({kMaxInFlight, true, kMaxRetryAfter, 1, 0.05}, seed) {}
+  Verdict decide(Millis now, Millis, int inFlight, Millis turnWork) override {
+    AdmissionDecision decision = admission_.decide({now, inFlight, 0, 0, turnWork}, 1, false);
+    return {decision.accepted, decision.retryAfter};
   }
-  void turnEnded(Millis now, Millis worked, std::size_t) override { admission_.recordTurn(now, worked); }
-  void ended(Millis now) override { admission_.recordFinished(now); }
+  void recordTurn(Millis now, Millis turnWork, std::size_t) override { admission_.recordTurn(now, turnWork); }
+  void recordFinished(Millis now) override { admission_.recordFinished(now); }
 
  private:
   AdmissionController admission_;
 };
 
 // CoDel (RFC 8289) over the time that a command lay unread, where a drop is a refusal.
-class CoDel final : public Gate {
+class CoDel final : public AdmissionStrategy {
  public:
-  Verdict asked(Millis now, Millis queued, int held, Millis) override {
-    if (held >= kHeldMost) return {false, 0};
+  Verdict decide(Millis now, Millis queued, int inFlight, Millis) override {
+    if (inFlight >= kMaxInFlight) return {false, 0};
     if (queued < kTarget) {
       aboveSince_ = -1;
       dropping_ = false;
@@ -93,14 +94,14 @@
 
 // Credits as Breakwater hands them out: a client sends only with one, and their number follows the delay.
 // Idealised: clients learn of them at once and for nothing.
-class Credits final : public Gate {
+class Credits final : public AdmissionStrategy {
  public:
-  Verdict asked(Millis, Millis, int held, Millis) override { return {held < kHeldMost, 0}; }
-  void answered(Millis, Millis) override { --out_; }
-  void turnEnded(Millis now, Millis worked, std::size_t unread) override {
+  Verdict decide(Millis, Millis, int inFlight, Millis) override { return {inFlight < kMaxInFlight, 0}; }
+  void recordResponse(Millis, Millis) override { --used_; }
+  void recordTurn(Millis now, Millis turnWork, std::size_t unreadCommands) override {
     if (now < nextAt_) return;
     nextAt_ = now + 1;
-    Millis delay = worked + static_cast<double>(unread) * 0.05;
+    Millis delay = turnWork + static_cast<double>(unreadCommands) * 0.05;
     if (delay < kTarget) {
       credits_ += kGrowth * std::max(1.0, credits_ / 100);
     } else {
@@ -108,8 +109,8 @@
     }
   }
   bool maySend(Millis) override {
-    if (out_ >= credits_) return false;
-    ++out_;
+    if (used_ >= credits_) return false;
+    ++used_;
     return true;
   }
 
@@ -118,249 +119,257 @@
   static constexpr double kGrowth = 1;
   static constexpr double kCut = 0.2;
   double credits_{64};
-  double out_{0};
+  double used_{0};
   Millis nextAt_{0};
 };
 
 // A limit on commands that are in and unanswered, that follows the gradient of their delay, as in adaptive
 // concurrency limits.
-class Gradient final : public Gate {
+class Gradient final : public AdmissionStrategy {
  public:
-  Verdict asked(Millis, Millis, int held, Millis) override {
-    bool take = held < kHeldMost && in_ < limit_;
-    if (take) ++in_;
-    return {take, 0};
+  Verdict decide(Millis, Millis, int inFlight, Millis) override {
+    bool accept = inFlight < kMaxInFlight && accepted_ < limit_;
+    if (accept) ++accepted_;
+    return {accept, 0};
   }
-  void answered(Millis, Millis spent) override {
-    usual_ += (spent - usual_) / 600;
-    double gradient = std::clamp(1.5 * usual_ / std::max(0.001, spent), 0.5, 1.0);
+  void recordResponse(Millis, Millis latency) override {
+    averageLatency_ += (latency - averageLatency_) / 600;
+    double gradient = std::clamp(1.5 * averageLatency_ / std::max(0.001, latency), 0.5, 1.0);
     double wanted = limit_ * gradient + std::sqrt(limit_);
     limit_ = std::clamp(limit_ + 0.2 * (wanted - limit_), 16.0, 2000.0);
   }
-  void turnEnded(Millis, Millis, std::size_t) override { in_ = 0; }  // all that was read is answered
+  void recordTurn(Millis, Millis, std::size_t) override { accepted_ = 0; }  // all that was read is answered
 
  private:
   double limit_{100};
-  double in_{0};
-  Millis usual_{1};
+  double accepted_{0};
+  Millis averageLatency_{1};
 };
 
-std::unique_ptr<Gate> gateNamed(const std::string& name, std::uint64_t seed) {
-  if (name == "none") return std::make_unique<Always>();
-  if (name == "work") return std::make_unique<Work>(seed);
+std::unique_ptr<AdmissionStrategy> makeAdmissionStrategy(const std::string& name, std::uint64_t seed) {
+  if (name == "none") return std::make_unique<AcceptAll>();
+  if (name == "work") return std::make_unique<DispatcherAdmission>(seed);
   if (name == "codel") return std::make_unique<CoDel>();
   if (name == "credits") return std::make_unique<Credits>();
   if (name == "gradient") return std::make_unique<Gradient>();
   std::string known;
-  for (const std::string& n : gateNames()) known += (known.empty() ? "" : ", ") + n;
+  for (const std::string& n : admissionStrategyNames()) known += (known.empty() ? "" : ", ") + n;
   throw ConfigError("there is no gate '" + name + "'; there are " + known);
 }
 
 struct Client {
   Millis due{};
-  int tries{0};
+  int attempts{0};
   Millis sentAt{-1};  // it waits for an answer since then; -1: it does not
-  bool kept{false};
-  bool taken{false};
-  bool lost{false};
+  bool acknowledged{false};
+  bool accepted{false};
+  bool failed{false};
 };
 
-struct Due {
+struct ClientEvent {
   Millis at{};
-  std::uint32_t callback{};
-  bool patience{false};
+  std::uint32_t message{};
+  bool isTimeout{false};
   int attempt{};
-  bool operator>(const Due& o) const { return at > o.at; }
+  bool operator>(const ClientEvent& o) const { return at > o.at; }
 };
 
-class Play {
+class AdmissionSimulation {
  public:
-  Play(const GatePlan& scenario, const std::string& name)
+  AdmissionSimulation(const AdmissionScenario& scenario, const std::string& name)
       : scenario_(scenario),
-        gate_(gateNamed(name, scenario.seed)),
+        strategy_(makeAdmissionStrategy(name, scenario.seed)),
         randomEngine_(static_cast<std::mt19937::result_type>(scenario.seed)) {
-    result_.gate = name;
+    result_.strategy = name;
     for (Millis t = 0; t < scenario.duration;) {
       bool surge = t >= scenario.surgeFrom && t < scenario.surgeUntil;
-      t += -std::log(1 - uniform(randomEngine_)) * 1000 / (scenario.perSecond * (surge ? scenario.surge : 1));
-      due_.push({t, static_cast<std::uint32_t>(clients_.size()), false, 0});
+      t += -std::log(1 - uniform(randomEngine_)) * 1000 /
+           (scenario.perSecond * (surge ? scenario.surgeFactor : 1));
+      clientEvents_.push({t, static_cast<std::uint32_t>(clients_.size()), false, 0});
       clients_.push_back({t});
     }
   }
 
-  GateResult play() {
+  AdmissionResult run() {
     Millis end = scenario_.duration + kTail;
     bool stalled = scenario_.stallAt < 0;
     while (now_ < end) {
-      clientsUntil(now_);
+      runClientsUntil(now_);
       if (!stalled && now_ >= scenario_.stallAt) {
         stalled = true;
-        now_ += scenario_.stallFor;
+        now_ += scenario_.stallDuration;
         continue;
       }
-      if (unread_.empty() && (ends_.empty() || ends_.front() > now_)) {
-        Millis next = due_.empty() ? end : due_.top().at;
-        if (!ends_.empty()) next = std::min(next, ends_.front());
+      if (unread_.empty() && (completions_.empty() || completions_.front() > now_)) {
+        Millis next = clientEvents_.empty() ? end : clientEvents_.top().at;
+        if (!completions_.empty()) next = std::min(next, completions_.front());
         now_ = std::max(now_, next) + 1e-6;
         continue;
       }
-      turn();
+      runLoopTurn();
     }
     return finish();
   }
 
  private:
   static constexpr Millis kTail = 8000;
-  static constexpr std::size_t kReadMost = 4096;
+  static constexpr std::size_t kMaxCommandsPerTurn = 4096;
 
   // One turn of the loop: what has come is read, and answered at its end.
-  void turn() {
+  void runLoopTurn() {
     Millis began = now_;
-    std::vector<std::pair<Command, Verdict>> answers;
-    std::size_t many = std::min(unread_.size(), kReadMost);
-    Millis work = scenario_.turn;
-    for (; !ends_.empty() && ends_.front() <= began; ends_.pop_front()) {
-      work += scenario_.end;
-      --held_;
-      gate_->ended(began);
+    std::vector<std::pair<Command, Verdict>> verdicts;
+    std::size_t commandCount = std::min(unread_.size(), kMaxCommandsPerTurn);
+    Millis work = scenario_.loopTurnCost;
+    for (; !completions_.empty() && completions_.front() <= began; completions_.pop_front()) {
+      work += scenario_.completionCost;
+      --inFlight_;
+      strategy_->recordFinished(began);
     }
-    for (std::size_t n = 0; n < many; ++n) {
+    for (std::size_t n = 0; n < commandCount; ++n) {
       Command command = unread_.front();
       unread_.pop_front();
       // Whose client has left by then is refused unseen, as the dispatcher does.
-      bool left = !waitsFor(command);
-      Verdict verdict = left ? Verdict{false, 0} : gate_->asked(began, began - command.at, held_, work);
-      work += scenario_.read + (verdict.take ? scenario_.take : scenario_.refuse);
-      if (verdict.take) ++held_;
-      answers.emplace_back(command, verdict);
+      bool left = !clientStillWaits(command);
+      Verdict verdict =
+          left ? Verdict{false, 0} : strategy_->decide(began, began - command.at, inFlight_, work);
+      work += scenario_.readCost + (verdict.accept ? scenario_.acceptCost : scenario_.rejectCost);
+      if (verdict.accept) ++inFlight_;
+      verdicts.emplace_back(command, verdict);
     }
     now_ += work;
-    clientsUntil(now_);
-    for (const auto& [command, verdict] : answers) answer(command, verdict);
-    gate_->turnEnded(now_, work, unread_.size());
+    runClientsUntil(now_);
+    for (const auto& [command, verdict] : verdicts) respond(command, verdict);
+    strategy_->recordTurn(now_, work, unread_.size());
   }
 
-  bool waitsFor(const Command& command) const {
-    const Client& c = clients_[command.callback];
+  bool clientStillWaits(const Command& command) const {
+    const Client& c = clients_[command.message];
     return c.sentAt >= 0 && std::abs(c.sentAt - command.at) < 1e-9;
   }
 
-  void answer(const Command& command, const Verdict& verdict) {
-    Client& c = clients_[command.callback];
-    if (verdict.take) {
-      ends_.push_back(now_ + scenario_.away);
-      if (std::exchange(c.taken, true)) ++result_.doubled;
+  void respond(const Command& command, const Verdict& verdict) {
+    Client& c = clients_[command.message];
+    if (verdict.accept) {
+      completions_.push_back(now_ + scenario_.endpointLatency);
+      if (std::exchange(c.accepted, true)) ++result_.duplicated;
     }
-    gate_->answered(now_, now_ - command.at);
-    if (!waitsFor(command)) return;
+    strategy_->recordResponse(now_, now_ - command.at);
+    if (!clientStillWaits(command)) return;
     c.sentAt = -1;
-    spent_.push_back(now_ - command.at);
-    if (verdict.take) {
-      c.kept = true;
+    latencies_.push_back(now_ - command.at);
+    if (verdict.accept) {
+      c.acknowledged = true;
       return;
     }
-    ++result_.refused;
-    again(command.callback,
-          verdict.wait > 0 ? verdict.wait : scenario_.retryPause * (0.5 + uniform(randomEngine_)));
+    ++result_.rejected;
+    scheduleRetry(command.message, verdict.retryAfter > 0
+                                       ? verdict.retryAfter
+                                       : scenario_.retryDelay * (0.5 + uniform(randomEngine_)));
   }
 
-  void again(std::uint32_t callback, Millis wait) {
-    Client& c = clients_[callback];
-    if (++c.tries > scenario_.retries) {
-      c.lost = true;
+  void scheduleRetry(std::uint32_t message, Millis delay) {
+    Client& c = clients_[message];
+    if (++c.attempts > scenario_.retries) {
+      c.failed = true;
       return;
     }
-    due_.push({now_ + wait, callback, false, c.tries});
+    clientEvents_.push({now_ + delay, message, false, c.attempts});
   }
 
-  void clientsUntil(Millis until) {
-    while (!due_.empty() && due_.top().at <= until) {
-      Due d = due_.top();
-      due_.pop();
-      Client& c = clients_[d.callback];
-      if (c.kept || c.lost || d.attempt != c.tries) continue;
-      Millis kept = std::exchange(now_, d.at);
-      if (d.patience) {
+  void runClientsUntil(Millis until) {
+    while (!clientEvents_.empty() && clientEvents_.top().at <= until) {
+      ClientEvent d = clientEvents_.top();
+      clientEvents_.pop();
+      Client& c = clients_[d.message];
+      if (c.acknowledged || c.failed || d.attempt != c.attempts) continue;
+      Millis loopTime = std::exchange(now_, d.at);
+      if (d.isTimeout) {
         if (c.sentAt >= 0) {
           c.sentAt = -1;
           ++result_.unanswered;
-          again(d.callback, 0);
+          scheduleRetry(d.message, 0);
         }
-      } else if (gate_->maySend(now_)) {
+      } else if (strategy_->maySend(now_)) {
         c.sentAt = now_;
-        unread_.push_back({d.callback, now_});
-        due_.push({now_ + scenario_.patience, d.callback, true, d.attempt});
+        unread_.push_back({d.message, now_});
+        clientEvents_.push({now_ + scenario_.clientTimeout, d.message, true, d.attempt});
       } else {
-        ++result_.refused;
-        again(d.callback, scenario_.retryPause * (0.5 + uniform(randomEngine_)));
+        ++result_.rejected;
+        scheduleRetry(d.message, scenario_.retryDelay * (0.5 + uniform(randomEngine_)));
       }
-      now_ = kept;
+      now_ = loopTime;
     }
   }
 
-  GateResult finish() {
-    std::sort(spent_.begin(), spent_.end());
+  AdmissionResult finish() {
+    std::sort(latencies_.begin(), latencies_.end());
     auto at = [&](double q) {
-      return spent_.empty() ? 0.0
-                            : spent_[static_cast<std::size_t>(q * static_cast<double>(spent_.size() - 1))];
+      return latencies_.empty()
+                 ? 0.0
+                 : latencies_[static_cast<std::size_t>(q * static_cast<double>(latencies_.size() - 1))];
     };
     result_.p50 = at(0.5);
     result_.p99 = at(0.99);
-    std::uint64_t inSurge = 0, keptInSurge = 0;
+    std::uint64_t inSurge = 0, acknowledgedInSurge = 0;
     std::vector<bool> lossIn(static_cast<std::size_t>(scenario_.duration / 100) + 1);
     for (const Client& c : clients_) {
       ++result_.due;
-      result_.kept += c.kept;
+      result_.acknowledged += c.acknowledged;
       if (c.due >= scenario_.surgeFrom && c.due < scenario_.surgeUntil) {
         ++inSurge;
-        keptInSurge += c.kept;
+        acknowledgedInSurge += c.acknowledged;
       }
-      if (!c.kept) lossIn[std::min(lossIn.size() - 1, static_cast<std::size_t>(c.due / 100))] = true;
+      if (!c.acknowledged) lossIn[std::min(lossIn.size() - 1, static_cast<std::size_t>(c.due / 100))] = true;
     }
-    result_.keptInSurge = inSurge == 0 ? 1 : static_cast<double>(keptInSurge) / static_cast<double>(inSurge);
-    result_.calmAfter = -1;
-    std::size_t quiet = 0;
+    result_.acknowledgedInSurge =
+        inSurge == 0 ? 1 : static_cast<double>(acknowledgedInSurge) / static_cast<double>(inSurge);
+    result_.recoveryTime = -1;
+    std::size_t lossFreeIntervals = 0;
     for (auto n = static_cast<std::size_t>(scenario_.surgeUntil / 100); n + 1 < lossIn.size(); ++n) {
-      quiet = lossIn[n] ? 0 : quiet + 1;
-      if (quiet < 10) continue;
-      result_.calmAfter = static_cast<double>(n - 9) * 100 - scenario_.surgeUntil;
+      lossFreeIntervals = lossIn[n] ? 0 : lossFreeIntervals + 1;
+      if (lossFreeIntervals < 10) continue;
+      result_.recoveryTime = static_cast<double>(n - 9) * 100 - scenario_.surgeUntil;
       break;
     }
     return result_;
   }
 
-  const GatePlan& scenario_;
-  std::unique_ptr<Gate> gate_;
+  const AdmissionScenario& scenario_;
+  std::unique_ptr<AdmissionStrategy> strategy_;
   std::mt19937 randomEngine_;
   Millis now_{0};
   std::vector<Client> clients_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  std::priority_queue<ClientEvent, std::vector<ClientEvent>, std::greater<>> clientEvents_;
   std::deque<Command> unread_;
-  std::deque<Millis> ends_;
-  int held_{0};
-  std::vector<Millis> spent_;
-  GateResult result_;
+  std::deque<Millis> completions_;
+  int inFlight_{0};
+  std::vector<Millis> latencies_;
+  AdmissionResult result_;
 };
 
 }  // namespace
 
-const std::vector<std::string>& gateNames() {
+const std::vector<std::string>& admissionStrategyNames() {
   static const std::vector<std::string> names{"none", "work", "codel", "credits", "gradient"};
   return names;
 }
 
-GateResult playGate(const GatePlan& scenario, const std::string& gate) { return Play(scenario, gate).play(); }
+AdmissionResult runAdmissionScenario(const AdmissionScenario& scenario, const std::string& strategy) {
+  return AdmissionSimulation(scenario, strategy).run();
+}
 
-std::string tableOf(const std::vector<GateResult>& rows) {
+std::string tableOf(const std::vector<AdmissionResult>& rows) {
   std::string text =
       "gate       kept    in surge  doubled  refused  unanswered  p50 ms   p99 ms   calm after ms\n";
-  for (const GateResult& r : rows) {
+  for (const AdmissionResult& r : rows) {
     char line[200];
     std::snprintf(
-        line, sizeof line, "%-9s %.4f  %.4f  %8llu %8llu %11llu %7.2f %8.1f  %8.0f\n", r.gate.c_str(),
-        static_cast<double>(r.kept) / static_cast<double>(std::max<std::uint64_t>(1, r.due)), r.keptInSurge,
-        static_cast<unsigned long long>(r.doubled), static_cast<unsigned long long>(r.refused),
-        static_cast<unsigned long long>(r.unanswered), r.p50, r.p99, r.calmAfter);
+        line, sizeof line, "%-9s %.4f  %.4f  %8llu %8llu %11llu %7.2f %8.1f  %8.0f\n", r.strategy.c_str(),
+        static_cast<double>(r.acknowledged) / static_cast<double>(std::max<std::uint64_t>(1, r.due)),
+        r.acknowledgedInSurge, static_cast<unsigned long long>(r.duplicated),
+        static_cast<unsigned long long>(r.rejected), static_cast<unsigned long long>(r.unanswered), r.p50,
+        r.p99, r.recoveryTime);
     text += line;
   }
   return text;
--- a/src/lab/arrival_model.cpp
+++ b/src/lab/arrival_model.cpp
@@ -29,8 +29,8 @@
   int destination = destinations_.pick(randomEngine_);
   double surge = arrivalProcess_.surgeShare(drawnUntil_);
   for (int n = 0; n < (clump ? l.clumpSize : 1); ++n) {
-    Handed c;
-    c.origin = static_cast<std::uint32_t>(trace_.callbacks.size());
+    SubmittedMessage c;
+    c.origin = static_cast<std::uint32_t>(trace_.messages.size());
     auto at = std::upper_bound(cumulativeTypeShares_.begin(), cumulativeTypeShares_.end(),
                                uniform(randomEngine_) * cumulativeTypeShares_.back());
     c.type = static_cast<std::uint16_t>(
@@ -43,7 +43,7 @@
     if (type.orderingKeyCount > 0)
       c.key = 1 + static_cast<std::uint32_t>(uniform(randomEngine_) * type.orderingKeyCount);
     c.due = drawnUntil_;
-    trace_.callbacks.push_back(c);
+    trace_.messages.push_back(c);
     resubmissions_.push_back(0);
     isResubmission_.push_back(false);
     pending_.push({drawnUntil_, c.origin});
@@ -61,37 +61,37 @@
   while (!allDrawn_ && drawnUntil_ <= now && (pending_.empty() || drawnUntil_ <= pending_.top().at))
     drawNextArrival();
   if (pending_.empty() || pending_.top().at > now) return std::nullopt;
-  std::uint32_t callback = pending_.top().callback;
+  std::uint32_t message = pending_.top().message;
   pending_.pop();
-  return callback;
+  return message;
 }
 
-Millis ArrivalModel::timeLeft(std::uint32_t callback, Millis now) const {
-  const Handed& c = trace_.callbacks[callback];
+Millis ArrivalModel::timeLeft(std::uint32_t message, Millis now) const {
+  const SubmittedMessage& c = trace_.messages[message];
   return c.due + experiment_.types[c.type].settings.deadlineAfter - now;
 }
 
-void ArrivalModel::scheduleResubmission(Millis at, std::uint32_t callback) {
-  Handed c = trace_.callbacks[callback];
-  if (timeLeft(callback, at) <= 0) return;
-  auto id = static_cast<std::uint32_t>(trace_.callbacks.size());
-  trace_.callbacks.push_back(c);
-  resubmissions_.push_back(resubmissions_[callback]);
+void ArrivalModel::scheduleResubmission(Millis at, std::uint32_t message) {
+  SubmittedMessage c = trace_.messages[message];
+  if (timeLeft(message, at) <= 0) return;
+  auto id = static_cast<std::uint32_t>(trace_.messages.size());
+  trace_.messages.push_back(c);
+  resubmissions_.push_back(resubmissions_[message]);
   isResubmission_.push_back(true);
   pending_.push({at, id});
 }
 
-void ArrivalModel::recordRejection(Millis now, std::uint32_t callback, Millis wait) {
-  if (resubmissions_[callback] >= experiment_.load.retries) return;
-  ++resubmissions_[callback];
+void ArrivalModel::recordRejection(Millis now, std::uint32_t message, Millis wait) {
+  if (resubmissions_[message] >= experiment_.load.retries) return;
+  ++resubmissions_[message];
   Millis delay = wait > 0 ? wait : experiment_.load.retryDelay * (0.5 + uniform(retryRandomEngine_));
-  scheduleResubmission(now + delay, callback);
+  scheduleResubmission(now + delay, message);
 }
 
-void ArrivalModel::recordTimeout(Millis now, std::uint32_t callback) {
-  if (resubmissions_[callback] >= std::max(1, experiment_.load.retries)) return;
-  ++resubmissions_[callback];
-  scheduleResubmission(now, callback);
+void ArrivalModel::recordTimeout(Millis now, std::uint32_t message) {
+  if (resubmissions_[message] >= std::max(1, experiment_.load.retries)) return;
+  ++resubmissions_[message];
+  scheduleResubmission(now, message);
 }
 
 }  // namespace stonewing::lab
--- a/src/lab/arrival_model.h
+++ b/src/lab/arrival_model.h
@@ -23,26 +23,26 @@
   // The next that is due by now, as its place in the trace's messages.
   std::optional<std::uint32_t> nextDue(Millis now);
   // How long a message may still be delivered.
-  Millis timeLeft(std::uint32_t callback, Millis now) const;
-  bool isResubmission(std::uint32_t callback) const { return isResubmission_[callback]; }
+  Millis timeLeft(std::uint32_t message, Millis now) const;
+  bool isResubmission(std::uint32_t message) const { return isResubmission_[message]; }
 
   // Refused by -BUSY, or shed later; wait 0 where no time was told.
-  void recordRejection(Millis now, std::uint32_t callback, Millis wait);
+  void recordRejection(Millis now, std::uint32_t message, Millis wait);
   // No answer in the client's patience: handed in elsewhere at once.
-  void recordTimeout(Millis now, std::uint32_t callback);
+  void recordTimeout(Millis now, std::uint32_t message);
 
   static constexpr Millis kClientTimeout = 400;
 
  private:
   struct PendingSubmission {
     Millis at{};
-    std::uint32_t callback{};
+    std::uint32_t message{};
     bool operator>(const PendingSubmission& o) const {
-      return std::tie(at, callback) > std::tie(o.at, o.callback);
+      return std::tie(at, message) > std::tie(o.at, o.message);
     }
   };
   void drawNextArrival();
-  void scheduleResubmission(Millis at, std::uint32_t callback);
+  void scheduleResubmission(Millis at, std::uint32_t message);
 
   const Experiment& experiment_;
   Trace& trace_;
--- a/src/lab/audit.h
+++ b/src/lab/audit.h
@@ -9,11 +9,18 @@
 // The six rules, judged from what the far side saw and from nothing else. No clock, no files.
 namespace stonewing::lab {
 
-enum class Rule { oneAnswer = 1, noEffectTwice, drains, returns, keyOrder, waits };
+enum class Rule {
+  exactlyOneOutcome = 1,
+  noDuplicateEffect,
+  noAttemptsWhileDraining,
+  noOverloadInSlowStart,
+  orderPerKey,
+  retryAfterRespected
+};
 
-struct Break {
+struct RuleViolation {
   Rule rule{};
-  std::uint32_t callback{};  // or the destination, for the rule on returns
+  std::uint32_t subject{};  // or the destination, for the rule on returns
   std::string text;
   std::vector<std::size_t> events;  // their places in the trace, in order
 };
@@ -21,9 +28,9 @@
 // Time limits are this much longer, for what travels.
 inline constexpr Millis kAuditSlack = 50;
 
-std::vector<Break> audit(const Experiment& experiment, const Trace& trace);
+std::vector<RuleViolation> audit(const Experiment& experiment, const Trace& trace);
 const char* nameOf(Rule rule);
 // A break with its events, a line each.
-std::string told(const Break& found, const Trace& trace);
+std::string describe(const RuleViolation& violation, const Trace& trace);
 
 }  // namespace stonewing::lab
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -15,221 +15,228 @@
 namespace stonewing::lab {
 namespace {
 
-enum class Choice { first, turns, twoRandom };
+enum class EndpointChoice { first, roundRobin, twoRandom };
 
-struct Recipe {
+struct BaselineSettings {
   const char* name;
-  Choice choice;
-  int launches;  // of a message, hedges not counted
-  bool breaker;
-  bool copies;
+  EndpointChoice choice;
+  int attempts;  // of a message, hedges not counted
+  bool hasCircuitBreaker;
+  bool mayHedge;
 };
 
-constexpr Recipe kRecipes[] = {
-    {"one-try", Choice::first, 1, false, false},
-    {"round-robin", Choice::turns, 3, true, false},
-    {"two-choices", Choice::twoRandom, 3, true, false},
-    {"free-hedge", Choice::turns, 3, false, true},
+constexpr BaselineSettings kBaselines[] = {
+    {"one-try", EndpointChoice::first, 1, false, false},
+    {"round-robin", EndpointChoice::roundRobin, 3, true, false},
+    {"two-choices", EndpointChoice::twoRandom, 3, true, false},
+    {"free-hedge", EndpointChoice::roundRobin, 3, false, true},
 };
 
 constexpr int kBreakerFailures = 5;
-constexpr Millis kBreakerRest = 5000;
+constexpr Millis kBreakerOpenDuration = 5000;
 constexpr double kTimeoutShare = 0.5;  // of the time left, for one attempt
 constexpr Millis kBackoff = 50;
-constexpr std::size_t kSamplesKept = 200;
+constexpr std::size_t kMaxSamples = 200;
 constexpr double kQuantile = 0.95;
 
-class Ours final : public Policy {
+class ProductPolicy final : public LabPolicy {
  public:
-  Ours(const DeploymentSettings& terms, std::uint64_t seed) : rules_(terms, seed) {}
-  void roundBegins(Millis now) override { rules_.beginRound(now); }
-  void list(const std::vector<ListRow>& rows, bool whole) override {
-    rules_.beginEndpointList();
-    for (const ListRow& r : rows)
-      rules_.addEndpoint(r.id, r.destination, KindId{0}, r.room, r.weight, r.phase);
-    rules_.commitEndpointList(whole);
+  ProductPolicy(const DeploymentSettings& settings, std::uint64_t seed) : policy_(settings, seed) {}
+  void beginRound(Millis now) override { policy_.beginRound(now); }
+  void updateEndpointList(const std::vector<EndpointListEntry>& entries, bool isWhole) override {
+    policy_.beginEndpointList();
+    for (const EndpointListEntry& r : entries)
+      policy_.addEndpoint(r.id, r.destination, KindId{0}, r.zone, r.weight, r.state);
+    policy_.commitEndpointList(isWhole);
   }
-  void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key, DestinationId destination,
-             Millis outerLimit) override {
-    rules_.acceptMessage(id, type, tenant, key, destination, outerLimit);
+  void acceptMessage(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
+                     DestinationId destination, Millis deadline) override {
+    policy_.acceptMessage(id, type, tenant, key, destination, deadline);
   }
-  void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) override {
-    rules_.recordEarlierAttempt(id, endpoint, sent, neverRan);
+  void recordEarlierAttempt(MessageId id, EndpointId endpoint, Millis sentAt,
+                            bool provablyNotExecuted) override {
+    policy_.recordEarlierAttempt(id, endpoint, sentAt, provablyNotExecuted);
   }
-  void goesOutOn(MessageId id, int launch, Millis idle) override {
-    rules_.recordConnectionIdleTime(id, launch, idle);
+  void recordConnectionIdleTime(MessageId id, int attempt, Millis idle) override {
+    policy_.recordConnectionIdleTime(id, attempt, idle);
   }
-  void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over, Millis wait,
-                   LoadReport report) override {
-    rules_.recordAttemptOutcome(id, launch, ending, spent, over, wait, report);
+  void recordAttemptOutcome(MessageId id, int attempt, AttemptOutcome outcome, Millis latency, bool isFinal,
+                            Millis retryAfter, LoadReport report) override {
+    policy_.recordAttemptOutcome(id, attempt, outcome, latency, isFinal, retryAfter, report);
   }
-  void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) override {
-    rules_.recordHealthCheckOutcome(id, ending, report);
+  void recordHealthCheckOutcome(EndpointId id, AttemptOutcome outcome, LoadReport report) override {
+    policy_.recordHealthCheckOutcome(id, outcome, report);
   }
-  void clientGone(MessageId id) override { rules_.cancelMessage(id); }
-  void woken() override { rules_.recordTimerFired(); }
-  std::optional<Decision> next() override { return rules_.nextDecision(); }
-  bool mayBegin(MessageId id, int launch) const override { return rules_.mayStartAttempt(id, launch); }
-  int callOf(MessageId id, int launch) const override {
-    return rules_.state().messages.at(id).attempts.at(static_cast<std::size_t>(launch)).requestId;
+  void cancelMessage(MessageId id) override { policy_.cancelMessage(id); }
+  void recordTimerFired() override { policy_.recordTimerFired(); }
+  std::optional<Decision> nextDecision() override { return policy_.nextDecision(); }
+  bool mayStartAttempt(MessageId id, int attempt) const override {
+    return policy_.mayStartAttempt(id, attempt);
   }
-  int held() const override { return rules_.state().messagesInFlight; }
+  int requestOf(MessageId id, int attempt) const override {
+    return policy_.state().messages.at(id).attempts.at(static_cast<std::size_t>(attempt)).requestId;
+  }
+  int messagesInFlight() const override { return policy_.state().messagesInFlight; }
 
  private:
-  DispatchPolicy rules_;
+  DispatchPolicy policy_;
 };
 
-class Textbook final : public Policy {
+class BaselinePolicy final : public LabPolicy {
  public:
-  Textbook(const Recipe& recipe, const DeploymentSettings& terms, std::uint64_t seed)
-      : recipe_(recipe), terms_(terms), randomEngine_(static_cast<std::mt19937::result_type>(seed)) {}
+  BaselinePolicy(const BaselineSettings& baseline, const DeploymentSettings& settings, std::uint64_t seed)
+      : baseline_(baseline),
+        settings_(settings),
+        randomEngine_(static_cast<std::mt19937::result_type>(seed)) {}
 
-  void roundBegins(Millis now) override { now_ = now; }
+  void beginRound(Millis now) override { now_ = now; }
 
-  void list(const std::vector<ListRow>& rows, bool whole) override {
-    if (whole) {
-      for (auto& [id, e] : endpoints_) e.row.phase = EndpointState::removed;
+  void updateEndpointList(const std::vector<EndpointListEntry>& entries, bool isWhole) override {
+    if (isWhole) {
+      for (auto& [id, e] : endpoints_) e.entry.state = EndpointState::removed;
     }
-    for (const ListRow& r : rows) endpoints_[r.id].row = r;
+    for (const EndpointListEntry& r : entries) endpoints_[r.id].entry = r;
     for (auto& [id, d] : destinations_) d.endpoints.clear();
     for (auto& [id, e] : endpoints_) {
-      if (e.row.phase == EndpointState::ready) destinations_[e.row.destination].endpoints.push_back(id);
+      if (e.entry.state == EndpointState::ready) destinations_[e.entry.destination].endpoints.push_back(id);
     }
   }
 
-  void taken(MessageId id, TrafficTypeId type, TenantId, OrderingKey key, DestinationId destination,
-             Millis outerLimit) override {
-    Held& h = held_[id];
-    h.type = &terms_.types.at(type.value);
+  void acceptMessage(MessageId id, TrafficTypeId type, TenantId, OrderingKey key, DestinationId destination,
+                     Millis deadline) override {
+    PendingMessage& h = messages_[id];
+    h.type = &settings_.types.at(type.value);
     h.destination = destination;
-    h.outer = outerLimit;
+    h.deadline = deadline;
     h.key = h.type->ordered ? key : OrderingKey{};
-    if (h.key.value != 0) lines_[h.key].push_back(id);
-    changed_.insert(id);
-    ends_.insert({outerLimit, id});
+    if (h.key.value != 0) orderingQueues_[h.key].push_back(id);
+    toConsider_.insert(id);
+    deadlines_.insert({deadline, id});
   }
 
-  void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) override {
-    held_.at(id).launches.push_back({endpoint, sent, false, neverRan, 0});
+  void recordEarlierAttempt(MessageId id, EndpointId endpoint, Millis sentAt,
+                            bool provablyNotExecuted) override {
+    messages_.at(id).attempts.push_back({endpoint, sentAt, false, provablyNotExecuted, 0});
   }
 
-  void goesOutOn(MessageId, int, Millis) override {}
+  void recordConnectionIdleTime(MessageId, int, Millis) override {}
 
-  void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool isOver, Millis wait,
-                   LoadReport) override {
-    auto at = held_.find(id);
-    if (at == held_.end() || !at->second.launches.at(static_cast<std::size_t>(launch)).out) return;
-    Held& h = at->second;
-    Sent& s = h.launches[static_cast<std::size_t>(launch)];
-    s.out = false;
-    s.neverRan = ending == AttemptOutcome::rejected || ending == AttemptOutcome::connectFailed ||
-                 ending == AttemptOutcome::notSent;
-    --slots_;
+  void recordAttemptOutcome(MessageId id, int attempt, AttemptOutcome outcome, Millis latency, bool isFinal,
+                            Millis retryAfter, LoadReport) override {
+    auto at = messages_.find(id);
+    if (at == messages_.end() || !at->second.attempts.at(static_cast<std::size_t>(attempt)).isOpen) return;
+    PendingMessage& h = at->second;
+    SentAttempt& s = h.attempts[static_cast<std::size_t>(attempt)];
+    s.isOpen = false;
+    s.provablyNotExecuted = outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connectFailed ||
+                            outcome == AttemptOutcome::notSent;
+    --openRequests_;
     Endpoint& e = endpoints_[s.endpoint];
-    --e.out;
-    if (wait > 0) {
-      Millis& until = destinations_[h.destination].waitUntil;
-      until = std::max(until, now_ + wait);
+    --e.openRequests;
+    if (retryAfter > 0) {
+      Millis& until = destinations_[h.destination].retryAfterUntil;
+      until = std::max(until, now_ + retryAfter);
     }
-    if (ending == AttemptOutcome::completed) {
+    if (outcome == AttemptOutcome::completed) {
       e.failures = 0;
-      sample(spent);
-    } else if (ending != AttemptOutcome::cancelled && ++e.failures >= kBreakerFailures && recipe_.breaker) {
-      e.restUntil = now_ + kBreakerRest;
+      sample(latency);
+    } else if (outcome != AttemptOutcome::cancelled && ++e.failures >= kBreakerFailures &&
+               baseline_.hasCircuitBreaker) {
+      e.breakerOpenUntil = now_ + kBreakerOpenDuration;
       e.failures = 0;
     }
-    h.notBefore = now_ + kBackoff * std::exp2(static_cast<double>(h.launches.size()) - 1) * (0.5 + draw());
-    if (isOver || ending == AttemptOutcome::completed) return over(id);
-    changed_.insert(id);
-    freed_ = true;
+    h.notBefore = now_ + kBackoff * std::exp2(static_cast<double>(h.attempts.size()) - 1) * (0.5 + draw());
+    if (isFinal || outcome == AttemptOutcome::completed) return finish(id);
+    toConsider_.insert(id);
+    capacityFreed_ = true;
   }
 
-  void probeEnded(EndpointId, AttemptOutcome, LoadReport) override {}
-  void clientGone(MessageId id) override { over(id); }
-  void woken() override { wakeAsked_ = -1; }
-  bool mayBegin(MessageId id, int launch) const override {
-    auto at = held_.find(id);
-    if (at == held_.end()) return false;
-    const Sent& s = at->second.launches.at(static_cast<std::size_t>(launch));
-    return endpoints_.at(s.endpoint).row.phase == EndpointState::ready;
+  void recordHealthCheckOutcome(EndpointId, AttemptOutcome, LoadReport) override {}
+  void cancelMessage(MessageId id) override { finish(id); }
+  void recordTimerFired() override { timerAt_ = -1; }
+  bool mayStartAttempt(MessageId id, int attempt) const override {
+    auto at = messages_.find(id);
+    if (at == messages_.end()) return false;
+    const SentAttempt& s = at->second.attempts.at(static_cast<std::size_t>(attempt));
+    return endpoints_.at(s.endpoint).entry.state == EndpointState::ready;
   }
-  int callOf(MessageId id, int launch) const override {
-    return held_.at(id).launches.at(static_cast<std::size_t>(launch)).call;
+  int requestOf(MessageId id, int attempt) const override {
+    return messages_.at(id).attempts.at(static_cast<std::size_t>(attempt)).request;
   }
-  int held() const override { return static_cast<int>(held_.size()); }
+  int messagesInFlight() const override { return static_cast<int>(messages_.size()); }
 
-  std::optional<Decision> next() override {
-    if (!losers_.empty()) {
-      auto [id, n] = losers_.front();
-      losers_.pop_front();
+  std::optional<Decision> nextDecision() override {
+    if (!toCancel_.empty()) {
+      auto [id, n] = toCancel_.front();
+      toCancel_.pop_front();
       return CancelAttempt{id, n};
     }
-    while (!ends_.empty() && ends_.begin()->first <= now_) {
-      MessageId id = ends_.begin()->second;
-      ends_.erase(ends_.begin());
-      if (held_.contains(id)) return give(id);
+    while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
+      MessageId id = deadlines_.begin()->second;
+      deadlines_.erase(deadlines_.begin());
+      if (messages_.contains(id)) return fail(id);
     }
-    while (!later_.empty() && later_.begin()->first <= now_) {
-      changed_.insert(later_.begin()->second);
-      later_.erase(later_.begin());
+    while (!retryTimes_.empty() && retryTimes_.begin()->first <= now_) {
+      toConsider_.insert(retryTimes_.begin()->second);
+      retryTimes_.erase(retryTimes_.begin());
     }
-    if (freed_) {
-      changed_.insert(waiting_.begin(), waiting_.end());
-      waiting_.clear();
-      freed_ = false;
+    if (capacityFreed_) {
+      toConsider_.insert(waitingForCapacity_.begin(), waitingForCapacity_.end());
+      waitingForCapacity_.clear();
+      capacityFreed_ = false;
     }
-    while (!changed_.empty()) {
-      MessageId id = *changed_.begin();
-      changed_.erase(changed_.begin());
-      auto at = held_.find(id);
-      if (at == held_.end()) continue;
+    while (!toConsider_.empty()) {
+      MessageId id = *toConsider_.begin();
+      toConsider_.erase(toConsider_.begin());
+      auto at = messages_.find(id);
+      if (at == messages_.end()) continue;
       if (auto d = consider(id, at->second)) return d;
     }
     Millis due = -1;
-    for (const auto* times : {&later_, &ends_}) {
+    for (const auto* times : {&retryTimes_, &deadlines_}) {
       if (!times->empty() && (due < 0 || times->begin()->first < due)) due = times->begin()->first;
     }
-    if (due < 0 || (wakeAsked_ >= 0 && wakeAsked_ <= due)) return std::nullopt;
-    wakeAsked_ = due;
+    if (due < 0 || (timerAt_ >= 0 && timerAt_ <= due)) return std::nullopt;
+    timerAt_ = due;
     return SetTimer{due};
   }
 
  private:
   struct Endpoint {
-    ListRow row;
-    int out{0};
+    EndpointListEntry entry;
+    int openRequests{0};
     int failures{0};
-    Millis restUntil{0};
+    Millis breakerOpenUntil{0};
   };
   struct Destination {
     std::vector<EndpointId> endpoints;
-    Millis waitUntil{0};
+    Millis retryAfterUntil{0};
     std::size_t turn{0};
   };
-  struct Sent {
+  struct SentAttempt {
     EndpointId endpoint{};
     Millis at{};
-    bool out{true};
-    bool neverRan{false};
-    int call{};
+    bool isOpen{true};
+    bool provablyNotExecuted{false};
+    int request{};
   };
-  struct Held {
+  struct PendingMessage {
     const TrafficType* type{};
     DestinationId destination{};
     OrderingKey key{};
-    Millis outer{};
+    Millis deadline{};
     Millis notBefore{0};
-    bool copied{false};
-    std::vector<Sent> launches;
+    bool hedged{false};
+    std::vector<SentAttempt> attempts;
   };
 
   double draw() { return static_cast<double>(randomEngine_()) / 4294967296.0; }
 
-  void sample(Millis spent) {
-    if (samples_.size() < kSamplesKept) {
-      samples_.push_back(spent);
+  void sample(Millis latency) {
+    if (samples_.size() < kMaxSamples) {
+      samples_.push_back(latency);
     } else {
-      samples_[randomEngine_() % kSamplesKept] = spent;
+      samples_[randomEngine_() % kMaxSamples] = latency;
     }
     if (samples_.size() % 16 != 0) return;
     std::vector<Millis> sorted = samples_;
@@ -238,143 +245,145 @@
     p95_ = *place;
   }
 
-  void over(MessageId id) {
-    auto at = held_.find(id);
-    if (at == held_.end()) return;
-    for (std::size_t n = 0; n < at->second.launches.size(); ++n) {
-      Sent& s = at->second.launches[n];
-      if (!s.out) continue;
-      --slots_;
-      --endpoints_[s.endpoint].out;
-      losers_.emplace_back(id, static_cast<int>(n));
+  void finish(MessageId id) {
+    auto at = messages_.find(id);
+    if (at == messages_.end()) return;
+    for (std::size_t n = 0; n < at->second.attempts.size(); ++n) {
+      SentAttempt& s = at->second.attempts[n];
+      if (!s.isOpen) continue;
+      --openRequests_;
+      --endpoints_[s.endpoint].openRequests;
+      toCancel_.emplace_back(id, static_cast<int>(n));
     }
     if (at->second.key.value != 0) {
-      auto& line = lines_[at->second.key];
-      std::erase(line, id);
-      if (!line.empty()) changed_.insert(line.front());
-      if (line.empty()) lines_.erase(at->second.key);
+      auto& queue = orderingQueues_[at->second.key];
+      std::erase(queue, id);
+      if (!queue.empty()) toConsider_.insert(queue.front());
+      if (queue.empty()) orderingQueues_.erase(at->second.key);
     }
-    held_.erase(at);
-    freed_ = true;
+    messages_.erase(at);
+    capacityFreed_ = true;
   }
 
-  Decision give(MessageId id) {
-    over(id);
+  Decision fail(MessageId id) {
+    finish(id);
     return FailMessage{id};
   }
 
-  bool repeatAllowed(const Held& h, EndpointId to) {
-    for (const Sent& s : h.launches) {
-      if (s.neverRan || h.type->idempotency == Idempotency::idempotent) continue;
+  bool repeatAllowed(const PendingMessage& h, EndpointId to) {
+    for (const SentAttempt& s : h.attempts) {
+      if (s.provablyNotExecuted || h.type->idempotency == Idempotency::idempotent) continue;
       if (h.type->idempotency == Idempotency::nonIdempotent ||
           now_ >= s.at + 0.9 * h.type->deduplicationWindow)
         return false;
       if (h.type->deduplicationScope == DeduplicationScope::zone &&
-          endpoints_[s.endpoint].row.room != endpoints_[to].row.room)
+          endpoints_[s.endpoint].entry.zone != endpoints_[to].entry.zone)
         return false;
     }
     return true;
   }
 
-  std::optional<Decision> consider(MessageId id, Held& h) {
-    bool out = std::any_of(h.launches.begin(), h.launches.end(), [](const Sent& s) { return s.out; });
-    if (out && !recipe_.copies) return std::nullopt;
-    if (out && (h.copied || h.type->idempotency == Idempotency::nonIdempotent)) return std::nullopt;
-    if (out) {
-      Millis due = h.launches.back().at + (p95_ > 0 ? p95_ : 0.6 * h.type->latencyObjective);
+  std::optional<Decision> consider(MessageId id, PendingMessage& h) {
+    bool hasOpenAttempt =
+        std::any_of(h.attempts.begin(), h.attempts.end(), [](const SentAttempt& s) { return s.isOpen; });
+    if (hasOpenAttempt && !baseline_.mayHedge) return std::nullopt;
+    if (hasOpenAttempt && (h.hedged || h.type->idempotency == Idempotency::nonIdempotent))
+      return std::nullopt;
+    if (hasOpenAttempt) {
+      Millis due = h.attempts.back().at + (p95_ > 0 ? p95_ : 0.6 * h.type->latencyObjective);
       if (due > now_) {
-        later_.insert({due, id});
+        retryTimes_.insert({due, id});
         return std::nullopt;
       }
     }
-    if (h.key.value != 0 && lines_[h.key].front() != id) return std::nullopt;
-    int repeats = static_cast<int>(h.launches.size()) - (h.copied ? 1 : 0);
-    if (!out && repeats >= std::min(recipe_.launches, terms_.maxAttempts)) return give(id);
+    if (h.key.value != 0 && orderingQueues_[h.key].front() != id) return std::nullopt;
+    int repeats = static_cast<int>(h.attempts.size()) - (h.hedged ? 1 : 0);
+    if (!hasOpenAttempt && repeats >= std::min(baseline_.attempts, settings_.maxAttempts)) return fail(id);
     if (h.notBefore > now_) {
-      later_.insert({h.notBefore, id});
+      retryTimes_.insert({h.notBefore, id});
       return std::nullopt;
     }
     Destination& d = destinations_[h.destination];
-    if (d.waitUntil > now_) {
-      later_.insert({d.waitUntil, id});
+    if (d.retryAfterUntil > now_) {
+      retryTimes_.insert({d.retryAfterUntil, id});
       return std::nullopt;
     }
-    if (slots_ >= terms_.maxConcurrentRequests) {
-      waiting_.insert(id);
+    if (openRequests_ >= settings_.maxConcurrentRequests) {
+      waitingForCapacity_.insert(id);
       return std::nullopt;
     }
-    auto to = choose(h, d, out);
+    auto to = choose(h, d, hasOpenAttempt);
     if (!to) {
-      bool may = std::any_of(d.endpoints.begin(), d.endpoints.end(),
-                             [&](EndpointId e) { return repeatAllowed(h, e); });
-      if (out) return std::nullopt;
-      if (!may && !h.launches.empty()) return give(id);
-      later_.insert({now_ + kBackoff, id});
+      bool anyAllowed = std::any_of(d.endpoints.begin(), d.endpoints.end(),
+                                    [&](EndpointId e) { return repeatAllowed(h, e); });
+      if (hasOpenAttempt) return std::nullopt;
+      if (!anyAllowed && !h.attempts.empty()) return fail(id);
+      retryTimes_.insert({now_ + kBackoff, id});
       return std::nullopt;
     }
-    h.copied = h.copied || out;
-    ++slots_;
-    ++endpoints_[*to].out;
-    h.launches.push_back({*to, now_, true, false, nextCall_++});
-    if (recipe_.copies && !h.copied) later_.insert({now_ + std::max(p95_, 1.0), id});
-    bool last = static_cast<int>(h.launches.size()) >= recipe_.launches;
-    Millis left = h.outer - now_;
+    h.hedged = h.hedged || hasOpenAttempt;
+    ++openRequests_;
+    ++endpoints_[*to].openRequests;
+    h.attempts.push_back({*to, now_, true, false, nextRequest_++});
+    if (baseline_.mayHedge && !h.hedged) retryTimes_.insert({now_ + std::max(p95_, 1.0), id});
+    bool last = static_cast<int>(h.attempts.size()) >= baseline_.attempts;
+    Millis left = h.deadline - now_;
     return SendAttempt{
-        id, *to, static_cast<int>(h.launches.size()) - 1,
+        id, *to, static_cast<int>(h.attempts.size()) - 1,
         last ? left : std::min(left, std::max(h.type->latencyObjective, kTimeoutShare * left))};
   }
 
-  std::optional<EndpointId> choose(const Held& h, Destination& d, bool copy) {
-    std::vector<EndpointId> may;
+  std::optional<EndpointId> choose(const PendingMessage& h, Destination& d, bool isHedge) {
+    std::vector<EndpointId> candidates;
     for (EndpointId id : d.endpoints) {
-      bool used =
-          std::any_of(h.launches.begin(), h.launches.end(), [&](const Sent& s) { return s.endpoint == id; });
-      if ((copy && used) || endpoints_[id].restUntil > now_ || !repeatAllowed(h, id)) continue;
-      may.push_back(id);
+      bool used = std::any_of(h.attempts.begin(), h.attempts.end(),
+                              [&](const SentAttempt& s) { return s.endpoint == id; });
+      if ((isHedge && used) || endpoints_[id].breakerOpenUntil > now_ || !repeatAllowed(h, id)) continue;
+      candidates.push_back(id);
     }
-    if (may.empty()) return std::nullopt;
-    switch (recipe_.choice) {
-      case Choice::first:
-        return may[randomEngine_() % may.size()];
-      case Choice::turns:
-        return may[d.turn++ % may.size()];
-      case Choice::twoRandom: {
-        EndpointId a = may[randomEngine_() % may.size()];
-        EndpointId b = may[randomEngine_() % may.size()];
-        return endpoints_[a].out <= endpoints_[b].out ? a : b;
+    if (candidates.empty()) return std::nullopt;
+    switch (baseline_.choice) {
+      case EndpointChoice::first:
+        return candidates[randomEngine_() % candidates.size()];
+      case EndpointChoice::roundRobin:
+        return candidates[d.turn++ % candidates.size()];
+      case EndpointChoice::twoRandom: {
+        EndpointId a = candidates[randomEngine_() % candidates.size()];
+        EndpointId b = candidates[randomEngine_() % candidates.size()];
+        return endpoints_[a].openRequests <= endpoints_[b].openRequests ? a : b;
       }
     }
     return std::nullopt;
   }
 
-  const Recipe& recipe_;
-  DeploymentSettings terms_;
+  const BaselineSettings& baseline_;
+  DeploymentSettings settings_;
   std::mt19937 randomEngine_;
   Millis now_{0};
   Millis p95_{0};
-  Millis wakeAsked_{-1};
-  int slots_{0};
-  int nextCall_{1};
-  bool freed_{false};
+  Millis timerAt_{-1};
+  int openRequests_{0};
+  int nextRequest_{1};
+  bool capacityFreed_{false};
   std::vector<Millis> samples_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
-  std::map<MessageId, Held> held_;
-  std::map<OrderingKey, std::deque<MessageId>> lines_;
-  std::set<MessageId> changed_;
-  std::set<MessageId> waiting_;  // for a slot
-  std::set<std::pair<Millis, MessageId>> later_;
-  std::set<std::pair<Millis, MessageId>> ends_;
-  std::deque<std::pair<MessageId, int>> losers_;
+  std::map<MessageId, PendingMessage> messages_;
+  std::map<OrderingKey, std::deque<MessageId>> orderingQueues_;
+  std::set<MessageId> toConsider_;
+  std::set<MessageId> waitingForCapacity_;  // for a slot
+  std::set<std::pair<Millis, MessageId>> retryTimes_;
+  std::set<std::pair<Millis, MessageId>> deadlines_;
+  std::deque<std::pair<MessageId, int>> toCancel_;
 };
 
 }  // namespace
 
-std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentSettings& terms,
-                                    std::uint64_t seed) {
-  if (name == "ours") return std::make_unique<Ours>(terms, seed);
-  for (const Recipe& r : kRecipes) {
-    if (name == r.name) return std::make_unique<Textbook>(r, terms, seed);
+std::unique_ptr<LabPolicy> makePolicy(const std::string& name, const DeploymentSettings& settings,
+                                      std::uint64_t seed) {
+  if (name == "ours") return std::make_unique<ProductPolicy>(settings, seed);
+  for (const BaselineSettings& r : kBaselines) {
+    if (name == r.name) return std::make_unique<BaselinePolicy>(r, settings, seed);
   }
   std::string known;
   for (const std::string& n : policyNames()) known += (known.empty() ? "" : ", ") + n;
@@ -384,7 +393,7 @@
 const std::vector<std::string>& policyNames() {
   static const std::vector<std::string> names = [] {
     std::vector<std::string> all{"ours"};
-    for (const Recipe& r : kRecipes) all.emplace_back(r.name);
+    for (const BaselineSettings& r : kBaselines) all.emplace_back(r.name);
     return all;
   }();
   return names;
--- a/src/lab/emulated_servers.cpp
+++ b/src/lab/emulated_servers.cpp
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-std::string EmulatedServers::messageReference(std::uint32_t callback) {
+std::string EmulatedServers::messageReference(std::uint32_t message) {
   char text[20];
-  std::snprintf(text, sizeof text, "%08x%08x", kReferencePrefix, callback);
+  std::snprintf(text, sizeof text, "%08x%08x", kReferencePrefix, message);
   return text;
 }
 
@@ -52,15 +52,15 @@
   auto [end, error] = std::from_chars(ref.data(), ref.data() + ref.size(), value, 16);
   if (error != std::errc() || end != ref.data() + ref.size() || value >> 32 != kReferencePrefix)
     return std::nullopt;
-  auto callback = static_cast<std::uint32_t>(value);
+  auto message = static_cast<std::uint32_t>(value);
   constexpr std::uint32_t kMaxUnknownMessage = 1u << 26;
-  if (acceptsUnknownMessages_ && callback < kMaxUnknownMessage) {
-    while (trace_.callbacks.size() <= callback) {
-      trace_.callbacks.push_back({.origin = static_cast<std::uint32_t>(trace_.callbacks.size())});
+  if (acceptsUnknownMessages_ && message < kMaxUnknownMessage) {
+    while (trace_.messages.size() <= message) {
+      trace_.messages.push_back({.origin = static_cast<std::uint32_t>(trace_.messages.size())});
     }
   }
-  if (callback >= trace_.callbacks.size()) return std::nullopt;
-  return callback;
+  if (message >= trace_.messages.size()) return std::nullopt;
+  return message;
 }
 
 EmulatedServers::EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
@@ -138,7 +138,7 @@
     if (notified == e.state) continue;
     notified = e.state;
     trace_.events.push_back({.at = clock_.now(),
-                             .what = What::told,
+                             .type = TraceEventType::endpointStateNotified,
                              .endpoint = e.endpoint,
                              .dispatcher = static_cast<std::uint16_t>(dispatcher),
                              .status = static_cast<std::int16_t>(e.state)});
@@ -192,7 +192,7 @@
 void EmulatedServers::handleNotifications(HttpServerConnection& connection, const HttpRequest& request) {
   std::string_view rest = request.body;
   struct Notification {
-    std::uint32_t callback;
+    std::uint32_t message;
     int result;
     Millis wait;
   };
@@ -205,19 +205,19 @@
     json row = json::parse(text, nullptr, false);
     if (!row.is_object() || !row.contains("ref") || !row.contains("result"))
       return connection.respond(responseHead(400, 0));
-    auto callback = messageOf(row.value("ref", ""));
+    auto message = messageOf(row.value("ref", ""));
     std::string result = row.value("result", "");
-    if (!callback || (result != "dead" && result != "bounced"))
+    if (!message || (result != "dead" && result != "bounced"))
       return connection.respond(responseHead(400, 0));
-    notifications.push_back({*callback, result == "dead" ? 1 : 2, row.value("wait_ms", 0.0)});
+    notifications.push_back({*message, result == "dead" ? 1 : 2, row.value("wait_ms", 0.0)});
   }
   for (const Notification& notification : notifications) {
     trace_.events.push_back({.at = clock_.now(),
-                             .what = What::noticed,
-                             .callback = notification.callback,
+                             .type = TraceEventType::notificationReceived,
+                             .message = notification.message,
                              .status = static_cast<std::int16_t>(notification.result),
-                             .span = notification.wait});
-    if (onNotification) onNotification(notification.callback, notification.result, notification.wait);
+                             .duration = notification.wait});
+    if (onNotification) onNotification(notification.message, notification.result, notification.wait);
   }
   connection.respond(responseHead(204, 0));
 }
@@ -278,9 +278,9 @@
   pending.dispatcher = static_cast<std::uint16_t>(location.dispatcher);
   pending.endpoint = static_cast<std::uint32_t>(location.endpoint);
   auto add = [&](std::string_view ref) {
-    auto callback = messageOf(ref);
-    if (!callback) return false;
-    pending.callbacks.push_back(*callback);
+    auto message = messageOf(ref);
+    if (!message) return false;
+    pending.messages.push_back(*message);
     pending.references.emplace_back(ref);
     return true;
   };
@@ -297,25 +297,25 @@
              add(row.substr(0, first));
       if (good) rest.remove_prefix(lineEnd + 4 + *length);
     }
-    good = good && !pending.callbacks.empty();
+    good = good && !pending.messages.empty();
   } else {
     good = add(request.header("X-Request-Id"));
   }
   if (!good) return connection.respond(responseHead(400, 0));
-  std::uint32_t call = nextRequest_++;
-  requestOf_[&connection] = call;
+  std::uint32_t requestNumber = nextRequest_++;
+  requestOf_[&connection] = requestNumber;
   Millis delay = oneWayDelay(location);
-  pendingRequests_[call] = std::move(pending);
-  timers_.schedule(loop_.now() + delay, [this, call] { deliverToEndpoint(call); });
+  pendingRequests_[requestNumber] = std::move(pending);
+  timers_.schedule(loop_.now() + delay, [this, requestNumber] { deliverToEndpoint(requestNumber); });
 }
 
-void EmulatedServers::deliverToEndpoint(std::uint32_t call) {
-  auto at = pendingRequests_.find(call);
+void EmulatedServers::deliverToEndpoint(std::uint32_t request) {
+  auto at = pendingRequests_.find(request);
   if (at == pendingRequests_.end() || endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher))
     return;
   PendingRequest& pending = at->second;
-  auto immediate = endpointModel_.receiveRequest(clock_.now(), call, pending.endpoint, pending.dispatcher,
-                                                 pending.callbacks);
+  auto immediate = endpointModel_.receiveRequest(clock_.now(), request, pending.endpoint, pending.dispatcher,
+                                                 pending.messages);
   if (immediate) scheduleResponse(*immediate);
   scheduleAdvance(pending.endpoint);
 }
@@ -340,8 +340,8 @@
                    [this, r] { writeResponse(r.request, r); });
 }
 
-void EmulatedServers::writeResponse(std::uint32_t call, const EndpointResponse& r) {
-  auto at = pendingRequests_.find(call);
+void EmulatedServers::writeResponse(std::uint32_t request, const EndpointResponse& r) {
+  auto at = pendingRequests_.find(request);
   if (at == pendingRequests_.end()) return;
   // Called off while the reply was on its way: nobody hears it, and the end of its connection says so.
   if (!endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher) &&
@@ -351,16 +351,16 @@
   pendingRequests_.erase(at);
   requestOf_.erase(pending.connection);
   if (endpointModel_.unreachable(pending.endpoint, pending.dispatcher)) return;
-  for (std::uint32_t c : pending.callbacks) {
+  for (std::uint32_t c : pending.messages) {
     trace_.events.push_back({.at = clock_.now(),
-                             .what = What::replied,
-                             .callback = c,
-                             .call = call,
+                             .type = TraceEventType::responded,
+                             .message = c,
+                             .request = request,
                              .endpoint = pending.endpoint,
                              .dispatcher = pending.dispatcher,
                              .status = static_cast<std::int16_t>(r.kind),
-                             .span = r.retryAfter,
-                             .ran = r.executed});
+                             .duration = r.retryAfter,
+                             .executed = r.executed});
   }
   std::string more;
   if (r.retryAfter > 0)
@@ -390,19 +390,19 @@
   }
   auto endpoint = static_cast<std::uint32_t>(location.endpoint);
   if (auto at = requestOf_.find(&connection); at != requestOf_.end()) {
-    std::uint32_t call = at->second;
+    std::uint32_t request = at->second;
     requestOf_.erase(at);
-    PendingRequest pending = std::move(pendingRequests_.at(call));
-    pendingRequests_.erase(call);
-    bool ran = endpointModel_.abandonRequest(clock_.now(), call, endpoint);
-    for (std::uint32_t c : pending.callbacks) {
+    PendingRequest pending = std::move(pendingRequests_.at(request));
+    pendingRequests_.erase(request);
+    bool ran = endpointModel_.abandonRequest(clock_.now(), request, endpoint);
+    for (std::uint32_t c : pending.messages) {
       trace_.events.push_back({.at = clock_.now(),
-                               .what = What::abandoned,
-                               .callback = c,
-                               .call = call,
+                               .type = TraceEventType::abandoned,
+                               .message = c,
+                               .request = request,
                                .endpoint = endpoint,
                                .dispatcher = pending.dispatcher,
-                               .ran = ran});
+                               .executed = ran});
     }
     scheduleAdvance(endpoint);
   }
--- a/src/lab/emulated_servers.h
+++ b/src/lab/emulated_servers.h
@@ -30,8 +30,8 @@
   // A trouble among endpoints or in discovery begins or ends; those of dispatchers are not ours.
   void applyFault(const Fault& fault, bool begins);
   // Messages that the platform is told of, with the result (1 failed, 2 shed) and the time to come back.
-  std::function<void(std::uint32_t callback, int result, Millis wait)> onNotification;
-  static std::string messageReference(std::uint32_t callback);
+  std::function<void(std::uint32_t message, int result, Millis wait)> onNotification;
+  static std::string messageReference(std::uint32_t message);
   // Takes any message by a name of ours as one of the first type: a load in another process draws its own.
   void acceptUnknownMessages() { acceptsUnknownMessages_ = true; }
 
@@ -52,7 +52,7 @@
   };
   struct PendingRequest {
     HttpServerConnection* connection{};
-    std::vector<std::uint32_t> callbacks;
+    std::vector<std::uint32_t> messages;
     std::vector<std::string> references;
     bool batch{false};
     bool closed{false};
@@ -68,9 +68,9 @@
   std::string loadReportText(std::uint32_t endpoint) const;
   void receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
                        const HttpRequest& request);
-  void deliverToEndpoint(std::uint32_t call);
+  void deliverToEndpoint(std::uint32_t request);
   void scheduleResponse(const EndpointResponse& reply);
-  void writeResponse(std::uint32_t call, const EndpointResponse& reply);
+  void writeResponse(std::uint32_t request, const EndpointResponse& reply);
   void scheduleAdvance(std::uint32_t endpoint);
   void updateConnectionLimit(std::uint32_t endpoint);
   void handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
--- a/src/lab/endpoint_model.cpp
+++ b/src/lab/endpoint_model.cpp
@@ -31,7 +31,7 @@
 
 // A room is out while all its endpoints are.
 void EndpointModel::updateZoneState(Millis now, int number) {
-  if (!experiment_.environment.zonesReturnCold) return;
+  if (!experiment_.environment.zonesSlowStart) return;
   Zone& zone = zones_[static_cast<std::size_t>(number)];
   bool isDown = true;
   for (int e = 0; e < experiment_.endpointCount() && isDown; ++e) {
@@ -49,7 +49,7 @@
 }
 
 double EndpointModel::zoneCapacityShare(Millis now, std::uint32_t endpoint) {
-  if (!experiment_.environment.zonesReturnCold) return 1;
+  if (!experiment_.environment.zonesSlowStart) return 1;
   double progress = std::clamp(
       (now - zoneAt(endpoint).slowStartSince) / experiment_.environment.slowStartDuration, 0.0, 1.0);
   return experiment_.environment.slowStartInitialShare +
@@ -59,7 +59,7 @@
 // What reaches a room, probes too. A cold one falls as a whole when it is pushed too hard, and is cold again
 // after.
 bool EndpointModel::recordZoneRequest(Millis now, std::uint32_t endpoint, double weight) {
-  if (!experiment_.environment.zonesReturnCold) return true;
+  if (!experiment_.environment.zonesSlowStart) return true;
   Zone& zone = zoneAt(endpoint);
   if (zone.isDown || now < zone.overloadedUntil) return zone.isDown;
   zone.recentRequests.emplace_back(now, weight);
@@ -77,7 +77,7 @@
                   kOverloadAllowance;
   if (zone.recentWeight <= budget) return true;
   trace_.events.push_back(
-      {.at = now, .what = What::roomFell, .callback = static_cast<std::uint32_t>(number)});
+      {.at = now, .type = TraceEventType::zoneOverloaded, .message = static_cast<std::uint32_t>(number)});
   zone.overloadedUntil = zone.slowStartSince = now + experiment_.environment.slowStartDuration;
   zone.recentRequests.clear();
   zone.recentWeight = 0;
@@ -163,9 +163,9 @@
     if (begins && fault.kind == FaultKind::refuseConnections) {
       // The process is gone, with all that it had: what had begun may have run.
       for (const RunningRequest& r : e.running)
-        responses.push_back({r.call, id, ResponseKind::connectionReset, 0, true});
+        responses.push_back({r.request, id, ResponseKind::connectionReset, 0, true});
       for (const QueuedRequest& w : e.queued)
-        responses.push_back({w.call, id, ResponseKind::connectionReset, 0, false});
+        responses.push_back({w.request, id, ResponseKind::connectionReset, 0, false});
       e.running.clear();
       e.queued.clear();
       e.connections = 0;
@@ -196,13 +196,13 @@
   auto number = static_cast<std::uint32_t>(n);
   if (isDown) {
     d.downSince = now;
-    trace_.events.push_back({.at = now, .what = What::out, .callback = number});
+    trace_.events.push_back({.at = now, .type = TraceEventType::destinationDown, .message = number});
   } else {
     if (now - d.downSince > experiment_.environment.overloadWindow)
       d.slowStartSince = now;  // a blip leaves it warm
     d.recentRequests.clear();
     d.recentWeight = 0;
-    trace_.events.push_back({.at = now, .what = What::back, .callback = number});
+    trace_.events.push_back({.at = now, .type = TraceEventType::destinationUp, .message = number});
   }
 }
 
@@ -243,7 +243,9 @@
                       experiment_.environment.overloadWindow +
                   kOverloadAllowance;
   if (d.recentWeight <= budget) return true;
-  trace_.events.push_back({.at = now, .what = What::fell, .callback = static_cast<std::uint32_t>(number)});
+  trace_.events.push_back({.at = now,
+                           .type = TraceEventType::destinationOverloaded,
+                           .message = static_cast<std::uint32_t>(number)});
   d.overloadedUntil = now + experiment_.environment.slowStartDuration;
   updateDestinationState(now, number);
   return false;
@@ -254,7 +256,7 @@
   if (unreachable(id, dispatcher)) return ConnectResult::unanswered;
   if (e.condition.refusing > 0 || connectionTableFull(id)) {
     trace_.events.push_back(
-        {.at = now, .what = What::refusedConnect, .endpoint = id, .dispatcher = dispatcher});
+        {.at = now, .type = TraceEventType::connectionRefused, .endpoint = id, .dispatcher = dispatcher});
     return ConnectResult::refused;
   }
   ++e.connections;
@@ -266,48 +268,48 @@
   e.connections = std::max(0, e.connections - 1);
 }
 
-std::optional<EndpointResponse> EndpointModel::receiveRequest(Millis now, std::uint32_t call,
+std::optional<EndpointResponse> EndpointModel::receiveRequest(Millis now, std::uint32_t request,
                                                               std::uint32_t id, std::uint16_t dispatcher,
-                                                              const std::vector<std::uint32_t>& callbacks) {
+                                                              const std::vector<std::uint32_t>& messages) {
   Endpoint& e = endpoints_[id];
-  for (std::uint32_t c : callbacks) {
+  for (std::uint32_t c : messages) {
     trace_.events.push_back({.at = now,
-                             .what = What::arrived,
-                             .callback = c,
-                             .call = call,
+                             .type = TraceEventType::arrived,
+                             .message = c,
+                             .request = request,
                              .endpoint = id,
                              .dispatcher = dispatcher});
   }
   Destination& d = destinationOf(id);
-  double weight = 1 + kAdditionalMessageWeight * (static_cast<double>(callbacks.size()) - 1);
+  double weight = 1 + kAdditionalMessageWeight * (static_cast<double>(messages.size()) - 1);
   bool withinCapacity = recordRequest(now, id, weight);
   withinCapacity = recordZoneRequest(now, id, weight) && withinCapacity;
   if (!withinCapacity || now < d.overloadedUntil || now < zoneAt(id).overloadedUntil)
-    return EndpointResponse{call, id, ResponseKind::unavailable, 0, false};
+    return EndpointResponse{request, id, ResponseKind::unavailable, 0, false};
   if (e.condition.rejecting > 0)
-    return EndpointResponse{call, id, ResponseKind::unavailable, kRejectionRetryAfter, false};
+    return EndpointResponse{request, id, ResponseKind::unavailable, kRejectionRetryAfter, false};
   if (experiment_.environment.rateLimitPerSecond > 0) {
-    auto window = static_cast<std::int64_t>(now / experiment_.environment.rateLimitWindow);
-    if (window != d.rateLimitWindow) d.requestsInWindow = 0;
-    d.rateLimitWindow = window;
+    auto windowIndex = static_cast<std::int64_t>(now / experiment_.environment.rateLimitWindow);
+    if (windowIndex != d.rateLimitWindow) d.requestsInWindow = 0;
+    d.rateLimitWindow = windowIndex;
     double maxRequests =
         std::max(1.0, experiment_.environment.rateLimitPerSecond * experiment_.environment.rateLimitWindow /
                           1000 * capacityShare(now, d));
     if (++d.requestsInWindow > maxRequests) {
       return EndpointResponse{
-          call, id, ResponseKind::tooManyRequests,
-          (static_cast<double>(window) + 1) * experiment_.environment.rateLimitWindow - now, false};
+          request, id, ResponseKind::tooManyRequests,
+          (static_cast<double>(windowIndex) + 1) * experiment_.environment.rateLimitWindow - now, false};
     }
   }
   if (uniform(randomEngine_) < e.condition.errorShare) {
     // It fails at once and holds no place for long; whether it took effect, nobody can tell.
-    return EndpointResponse{call, id, ResponseKind::serverError, 0, true};
+    return EndpointResponse{request, id, ResponseKind::serverError, 0, true};
   }
   bool busy = static_cast<int>(e.running.size()) >= experiment_.environment.concurrency;
   if (busy && static_cast<int>(e.queued.size()) >= experiment_.environment.queueCapacity) {
-    return EndpointResponse{call, id, ResponseKind::unavailable, 0, false};
+    return EndpointResponse{request, id, ResponseKind::unavailable, 0, false};
   }
-  e.queued.push_back({call, dispatcher, callbacks});
+  e.queued.push_back({request, dispatcher, messages});
   startQueuedRequests(now, id);
   return std::nullopt;
 }
@@ -322,11 +324,11 @@
   }
 }
 
-void EndpointModel::startRequest(Millis now, std::uint32_t id, QueuedRequest call) {
+void EndpointModel::startRequest(Millis now, std::uint32_t id, QueuedRequest request) {
   Endpoint& e = endpoints_[id];
   const Condition& c = e.condition;
-  for (std::uint32_t callback : call.callbacks) {
-    const Handed& submitted = trace_.callbacks[callback];
+  for (std::uint32_t message : request.messages) {
+    const SubmittedMessage& submitted = trace_.messages[message];
     const TrafficType& type = experiment_.types[submitted.type].settings;
     bool firstExecution = true;
     if (type.idempotency == Idempotency::idempotentWithKey) {
@@ -341,11 +343,11 @@
     }
     if (!firstExecution) continue;
     trace_.events.push_back({.at = now,
-                             .what = What::effect,
-                             .callback = callback,
-                             .call = call.call,
+                             .type = TraceEventType::effect,
+                             .message = message,
+                             .request = request.request,
                              .endpoint = id,
-                             .dispatcher = call.dispatcher});
+                             .dispatcher = request.dispatcher});
   }
   ResponseKind responseKind = ResponseKind::ok;
   double roll = uniform(randomEngine_);
@@ -362,19 +364,19 @@
   if (c.unresponsive > 0) responseKind = ResponseKind::none;
   Millis service = drawDuration(experiment_.environment.serviceTime, randomEngine_) * c.slowdown /
                    (capacityShare(now, destinationOf(id)) * zoneCapacityShare(now, id));
-  e.running.push_back({call.call, now + std::max(kMinServiceTime, service), responseKind});
+  e.running.push_back({request.request, now + std::max(kMinServiceTime, service), responseKind});
 }
 
-bool EndpointModel::abandonRequest(Millis now, std::uint32_t call, std::uint32_t id) {
+bool EndpointModel::abandonRequest(Millis now, std::uint32_t request, std::uint32_t id) {
   Endpoint& e = endpoints_[id];
   auto running =
-      std::find_if(e.running.begin(), e.running.end(), [&](const auto& r) { return r.call == call; });
+      std::find_if(e.running.begin(), e.running.end(), [&](const auto& r) { return r.request == request; });
   bool ran = running != e.running.end();
   if (ran) {
     e.running.erase(running);
     startQueuedRequests(now, id);
   } else {
-    std::erase_if(e.queued, [&](const QueuedRequest& w) { return w.call == call; });
+    std::erase_if(e.queued, [&](const QueuedRequest& w) { return w.request == request; });
   }
   return ran;
 }
@@ -390,7 +392,7 @@
         ++n;
         continue;
       }
-      responses.push_back({e.running[n].call, id, e.running[n].responseKind, 0, true});
+      responses.push_back({e.running[n].request, id, e.running[n].responseKind, 0, true});
       e.running.erase(e.running.begin() + static_cast<std::ptrdiff_t>(n));
       more = true;
     }
@@ -416,7 +418,7 @@
       now < destinationOf(id).overloadedUntil || now < zoneAt(id).overloadedUntil)
     status = 503;
   trace_.events.push_back({.at = now,
-                           .what = What::probed,
+                           .type = TraceEventType::healthChecked,
                            .endpoint = id,
                            .dispatcher = dispatcher,
                            .status = static_cast<std::int16_t>(status)});
--- a/src/lab/endpoint_model.h
+++ b/src/lab/endpoint_model.h
@@ -59,11 +59,11 @@
   bool refusesConnections(std::uint32_t endpoint) const { return at(endpoint).condition.refusing > 0; }
 
   // The last byte of a call has come, with these messages. No reply yet: it runs, or waits for its turn.
-  std::optional<EndpointResponse> receiveRequest(Millis now, std::uint32_t call, std::uint32_t endpoint,
+  std::optional<EndpointResponse> receiveRequest(Millis now, std::uint32_t request, std::uint32_t endpoint,
                                                  std::uint16_t dispatcher,
-                                                 const std::vector<std::uint32_t>& callbacks);
+                                                 const std::vector<std::uint32_t>& messages);
   // Its connection ended before the reply. Returns whether it has run.
-  bool abandonRequest(Millis now, std::uint32_t call, std::uint32_t endpoint);
+  bool abandonRequest(Millis now, std::uint32_t request, std::uint32_t endpoint);
   // Replies that are due by now.
   std::vector<EndpointResponse> advance(Millis now, std::uint32_t endpoint);
   Millis due(std::uint32_t endpoint) const;  // of the next; negative for none
@@ -89,14 +89,14 @@
     int connectionLimit{0};  // of the connection table; 0: the plan's
   };
   struct RunningRequest {
-    std::uint32_t call{};
+    std::uint32_t request{};
     Millis endsAt{};
     ResponseKind responseKind{};
   };
   struct QueuedRequest {
-    std::uint32_t call{};
+    std::uint32_t request{};
     std::uint16_t dispatcher{};
-    std::vector<std::uint32_t> callbacks;
+    std::vector<std::uint32_t> messages;
   };
   struct Endpoint {
     Condition condition;
@@ -143,7 +143,7 @@
   double capacityShare(Millis now, const Destination& d) const;
   double capacity() const;  // of a warm destination, calls a millisecond
   bool recordRequest(Millis now, std::uint32_t endpoint, double weight);
-  void startRequest(Millis now, std::uint32_t endpoint, QueuedRequest call);
+  void startRequest(Millis now, std::uint32_t endpoint, QueuedRequest request);
   void startQueuedRequests(Millis now, std::uint32_t endpoint);
   bool isEndpointDown(Millis now, std::uint32_t endpoint) const;
 
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -273,7 +273,7 @@
   in.number("order_pause_s", settings.orderingPause, 0, 60, kMillisPerSecond);
   in.number("per_call", settings.maxBatchSize, 1, 1000);
   in.flag("reports", settings.reportsLoad);
-  in.flag("rooms_cold", settings.zonesReturnCold);
+  in.flag("rooms_cold", settings.zonesSlowStart);
   in.rejectUnknownKeys();
 }
 
@@ -305,7 +305,7 @@
   in.number("dispatchers", settings.dispatchers, 1, 5000);
   in.number("slots", settings.maxConcurrentRequests, 1, 1e6);
   in.number("held", settings.maxInFlight, 1, 1e7);
-  in.number("launches", settings.maxAttempts, 1, 100);
+  in.number("launches", settings.attempts, 1, 100);
   in.flag("copies", settings.mayHedge);
   in.flag("probes", settings.mayHealthCheck);
   in.flag("withdraw", settings.mayCancel);
@@ -498,7 +498,7 @@
   settings.overQuotaWeightShare = 0.05;
   settings.maxConcurrentRequests = fleet.maxConcurrentRequests;
   settings.maxInFlight = fleet.maxInFlight;
-  settings.maxAttempts = fleet.maxAttempts;
+  settings.maxAttempts = fleet.attempts;
   settings.dispatcherCount = fleet.dispatchers;
   settings.dispatcherIndex = static_cast<std::uint32_t>(dispatcher);
   settings.zone = ZoneId{static_cast<std::uint8_t>(dispatcher % static_cast<int>(environment.zones.size()))};
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -45,7 +45,7 @@
   Millis orderingPause{500};
   int maxBatchSize{1};
   bool reportsLoad{false};
-  bool zonesReturnCold{false};  // a room that was out as a whole returns cold, and falls when it is pushed
+  bool zonesSlowStart{false};  // a room that was out as a whole returns cold, and falls when it is pushed
 };
 
 // Tiers of rooms as a dispatcher is told of them: none; its own, then all others; its own, then the others in
@@ -121,7 +121,7 @@
   int dispatchers{1};
   int maxConcurrentRequests{32};
   int maxInFlight{1000};
-  int maxAttempts{5};
+  int attempts{5};
   bool mayHedge{true};
   bool mayHealthCheck{true};
   bool mayCancel{true};
--- a/src/lab/lab_policy.h
+++ b/src/lab/lab_policy.h
@@ -13,37 +13,38 @@
 // it is compared with. Those are baselines of the laboratory; the dispatcher has none of them.
 namespace stonewing::lab {
 
-struct ListRow {
+struct EndpointListEntry {
   EndpointId id{};
   DestinationId destination{};
-  ZoneId room{};
+  ZoneId zone{};
   double weight{1};
-  EndpointState phase{EndpointState::ready};
+  EndpointState state{EndpointState::ready};
 };
 
-class Policy {
+class LabPolicy {
  public:
-  virtual ~Policy() = default;
-  virtual void roundBegins(Millis now) = 0;
-  virtual void list(const std::vector<ListRow>& rows, bool whole) = 0;
-  virtual void taken(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
-                     DestinationId destination, Millis outerLimit) = 0;
-  virtual void launchedBefore(MessageId id, EndpointId endpoint, Millis sent, bool neverRan) = 0;
-  virtual void goesOutOn(MessageId id, int launch, Millis idle) = 0;
-  virtual void launchEnded(MessageId id, int launch, AttemptOutcome ending, Millis spent, bool over,
-                           Millis wait, LoadReport report) = 0;
-  virtual void probeEnded(EndpointId id, AttemptOutcome ending, LoadReport report) = 0;
-  virtual void clientGone(MessageId id) = 0;
-  virtual void woken() = 0;
-  virtual std::optional<Decision> next() = 0;
-  virtual bool mayBegin(MessageId id, int launch) const = 0;
-  virtual int callOf(MessageId id, int launch) const = 0;  // attempts of one call share its number
-  virtual int held() const = 0;
+  virtual ~LabPolicy() = default;
+  virtual void beginRound(Millis now) = 0;
+  virtual void updateEndpointList(const std::vector<EndpointListEntry>& entries, bool isWhole) = 0;
+  virtual void acceptMessage(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
+                             DestinationId destination, Millis deadline) = 0;
+  virtual void recordEarlierAttempt(MessageId id, EndpointId endpoint, Millis sentAt,
+                                    bool provablyNotExecuted) = 0;
+  virtual void recordConnectionIdleTime(MessageId id, int attempt, Millis idle) = 0;
+  virtual void recordAttemptOutcome(MessageId id, int attempt, AttemptOutcome outcome, Millis latency,
+                                    bool isFinal, Millis retryAfter, LoadReport report) = 0;
+  virtual void recordHealthCheckOutcome(EndpointId id, AttemptOutcome outcome, LoadReport report) = 0;
+  virtual void cancelMessage(MessageId id) = 0;
+  virtual void recordTimerFired() = 0;
+  virtual std::optional<Decision> nextDecision() = 0;
+  virtual bool mayStartAttempt(MessageId id, int attempt) const = 0;
+  virtual int requestOf(MessageId id, int attempt) const = 0;  // attempts of one call share its number
+  virtual int messagesInFlight() const = 0;
 };
 
 // "ours", or a baseline by its name. Throws ConfigError with the names there are.
-std::unique_ptr<Policy> policyNamed(const std::string& name, const DeploymentSettings& terms,
-                                    std::uint64_t seed);
+std::unique_ptr<LabPolicy> makePolicy(const std::string& name, const DeploymentSettings& settings,
+                                      std::uint64_t seed);
 const std::vector<std::string>& policyNames();
 
 }  // namespace stonewing::lab
--- a/src/lab/load_generator.cpp
+++ b/src/lab/load_generator.cpp
@@ -26,15 +26,16 @@
 
 // What a command is answered.
 struct CommandResponse {
-  What type{What::failed};
+  TraceEventType type{TraceEventType::failed};
   Millis retryAfter{0};
 };
 
 CommandResponse parseResponse(const redisReply& reply) {
   std::string_view text(reply.str != nullptr ? reply.str : "", reply.str != nullptr ? reply.len : 0);
-  if (reply.type == REDIS_REPLY_STATUS || reply.type == REDIS_REPLY_STRING) return {What::taken, 0};
-  if (reply.type != REDIS_REPLY_ERROR || !text.starts_with("BUSY")) return {What::failed, 0};
-  CommandResponse response{What::busy, 0};
+  if (reply.type == REDIS_REPLY_STATUS || reply.type == REDIS_REPLY_STRING)
+    return {TraceEventType::accepted, 0};
+  if (reply.type != REDIS_REPLY_ERROR || !text.starts_with("BUSY")) return {TraceEventType::failed, 0};
+  CommandResponse response{TraceEventType::rejected, 0};
   if (text.size() > 5) std::from_chars(text.data() + 5, text.data() + text.size(), response.retryAfter);
   return response;
 }
@@ -105,19 +106,19 @@
     awaitingResponse = false;
     --generator_.awaitingResponse_;
     generator_.trace_.events.push_back({.at = generator_.clock_.now(),
-                                        .what = response.type,
-                                        .callback = callback,
-                                        .span = response.retryAfter});
-    if (response.type == What::busy)
-      generator_.arrivalModel_.recordRejection(generator_.clock_.now(), callback, response.retryAfter);
-    if (response.type == What::failed) return generator_.connectionEnded(*this, false);
+                                        .type = response.type,
+                                        .message = message,
+                                        .duration = response.retryAfter});
+    if (response.type == TraceEventType::rejected)
+      generator_.arrivalModel_.recordRejection(generator_.clock_.now(), message, response.retryAfter);
+    if (response.type == TraceEventType::failed) return generator_.connectionEnded(*this, false);
     generator_.idleConnections_[static_cast<std::size_t>(dispatcher)].push_back(this);
     generator_.submitDue();
   }
 
   int dispatcher;
   bool awaitingResponse{false};
-  std::uint32_t callback{0};
+  std::uint32_t message{0};
   std::uint64_t commandNumber{0};  // of its commands, so that an old patience ends no newer one
   std::function<void()> onPong;
 
@@ -150,34 +151,34 @@
   submitDue();
 }
 
-void LoadGenerator::recordShed(std::uint32_t callback, Millis wait) {
-  arrivalModel_.recordRejection(clock_.now(), callback, wait);
+void LoadGenerator::recordShed(std::uint32_t message, Millis wait) {
+  arrivalModel_.recordRejection(clock_.now(), message, wait);
   submitDue();
 }
 
 void LoadGenerator::submitDue() {
   if (!started_) return;
   Millis now = clock_.now();
-  while (auto callback = arrivalModel_.nextDue(now)) submit(*callback);
+  while (auto message = arrivalModel_.nextDue(now)) submit(*message);
   auto due = arrivalModel_.due();
   if (!due || (timerAt_ >= now && timerAt_ <= *due)) return;
   timerAt_ = *due;
   timers_.schedule(clock_.epoch + *due, [this] { submitDue(); });
 }
 
-std::string LoadGenerator::submitCommand(std::uint32_t callback) const {
-  const Handed& c = trace_.callbacks[callback];
+std::string LoadGenerator::submitCommand(std::uint32_t message) const {
+  const SubmittedMessage& c = trace_.messages[message];
   const TrafficTypeSettings& type = experiment_.types[c.type];
   char key[20];
   std::snprintf(key, sizeof key, "%016x", c.key);
   char fields[200];
   std::snprintf(fields, sizeof fields, "c=%s,t=tenant-%u,d=%.0f,dest=%u", type.name.c_str(), c.tenant,
-                std::max(0.0, std::floor(arrivalModel_.timeLeft(callback, clock_.now()))), c.destination);
+                std::max(0.0, std::floor(arrivalModel_.timeLeft(message, clock_.now()))), c.destination);
   std::string list = fields;
   if (type.settings.idempotency == Idempotency::idempotentWithKey)
     list += ",k=" + EmulatedServers::messageReference(c.origin);
-  if (arrivalModel_.isResubmission(callback)) list += ",r=1";
-  std::string ref = EmulatedServers::messageReference(callback);
+  if (arrivalModel_.isResubmission(message)) list += ",r=1";
+  std::string ref = EmulatedServers::messageReference(message);
   std::string body = "callback " + ref + " " + padding_;
   const char* words[] = {"SUBMIT", key, ref.c_str(), list.c_str(), body.data()};
   std::size_t lengths[] = {6, 16, ref.size(), list.size(), body.size()};
@@ -188,9 +189,9 @@
   return text;
 }
 
-void LoadGenerator::submit(std::uint32_t callback) {
+void LoadGenerator::submit(std::uint32_t message) {
   Millis now = clock_.now();
-  if (arrivalModel_.timeLeft(callback, now) <= 0) return;
+  if (arrivalModel_.timeLeft(message, now) <= 0) return;
   for (std::size_t n = 0; n < dispatchers_.size(); ++n) {
     std::size_t d = nextDispatcher_++ % dispatchers_.size();
     if (avoidUntil_[d] > now) continue;
@@ -207,36 +208,36 @@
       connection = opened.get();
       connections_.push_back(std::move(opened));
     }
-    return sendCommand(*connection, callback);
+    return sendCommand(*connection, message);
   }
-  arrivalModel_.recordRejection(now, callback, 0);
+  arrivalModel_.recordRejection(now, message, 0);
 }
 
-void LoadGenerator::sendCommand(ClientConnection& connection, std::uint32_t callback) {
+void LoadGenerator::sendCommand(ClientConnection& connection, std::uint32_t message) {
   Millis now = clock_.now();
-  const Handed& c = trace_.callbacks[callback];
-  if (c.origin == callback) maxLag_ = std::max(maxLag_, now - c.due);
+  const SubmittedMessage& c = trace_.messages[message];
+  if (c.origin == message) maxLag_ = std::max(maxLag_, now - c.due);
   trace_.events.push_back({.at = now,
-                           .what = What::handedIn,
-                           .callback = callback,
+                           .type = TraceEventType::submitted,
+                           .message = message,
                            .dispatcher = static_cast<std::uint16_t>(connection.dispatcher),
-                           .span = arrivalModel_.timeLeft(callback, now)});
+                           .duration = arrivalModel_.timeLeft(message, now)});
   connection.awaitingResponse = true;
-  connection.callback = callback;
+  connection.message = message;
   ++awaitingResponse_;
   std::uint64_t commandNumber = ++connection.commandNumber;
-  connection.send(submitCommand(callback));
+  connection.send(submitCommand(message));
   timers_.schedule(
-      loop_.now() + ArrivalModel::kClientTimeout, [this, sender = &connection, commandNumber, callback] {
+      loop_.now() + ArrivalModel::kClientTimeout, [this, sender = &connection, commandNumber, message] {
         auto found = std::find_if(connections_.begin(), connections_.end(),
                                   [&](const auto& l) { return l.get() == sender; });
         if (found == connections_.end() || !sender->awaitingResponse ||
-            sender->commandNumber != commandNumber || sender->callback != callback)
+            sender->commandNumber != commandNumber || sender->message != message)
           return;
         sender->awaitingResponse = false;
         --awaitingResponse_;
-        trace_.events.push_back({.at = clock_.now(), .what = What::unanswered, .callback = callback});
-        arrivalModel_.recordTimeout(clock_.now(), callback);
+        trace_.events.push_back({.at = clock_.now(), .type = TraceEventType::unanswered, .message = message});
+        arrivalModel_.recordTimeout(clock_.now(), message);
         removeConnection(*sender);
         submitDue();
       });
@@ -248,14 +249,15 @@
   if (connection.awaitingResponse) {
     connection.awaitingResponse = false;
     --awaitingResponse_;
-    std::uint32_t callback = connection.callback;
+    std::uint32_t message = connection.message;
     if (connectRefused) {
       // Never handed in: the front deals it to another.
-      arrivalModel_.recordRejection(clock_.now(), callback, 1);
-      trace_.events.push_back({.at = clock_.now(), .what = What::failed, .callback = callback, .status = 1});
+      arrivalModel_.recordRejection(clock_.now(), message, 1);
+      trace_.events.push_back(
+          {.at = clock_.now(), .type = TraceEventType::failed, .message = message, .status = 1});
     } else {
-      trace_.events.push_back({.at = clock_.now(), .what = What::failed, .callback = callback});
-      arrivalModel_.recordTimeout(clock_.now(), callback);
+      trace_.events.push_back({.at = clock_.now(), .type = TraceEventType::failed, .message = message});
+      arrivalModel_.recordTimeout(clock_.now(), message);
     }
   }
   removeConnection(connection);
--- a/src/lab/load_generator.h
+++ b/src/lab/load_generator.h
@@ -29,7 +29,7 @@
   // Whether a dispatcher answers PING; tries until it does, then calls back once.
   void whenReady(int dispatcher, std::function<void()> onReady);
   // The platform had a notice of a shed message.
-  void recordShed(std::uint32_t callback, Millis wait);
+  void recordShed(std::uint32_t message, Millis wait);
   bool done() const { return started_ && !arrivalModel_.due() && awaitingResponse_ == 0; }
   // How late commands went out against when they were due, at the worst.
   Millis maxLag() const { return maxLag_; }
@@ -38,11 +38,11 @@
  private:
   class ClientConnection;
   void submitDue();
-  void submit(std::uint32_t callback);
-  void sendCommand(ClientConnection& connection, std::uint32_t callback);
+  void submit(std::uint32_t message);
+  void sendCommand(ClientConnection& connection, std::uint32_t message);
   void connectionEnded(ClientConnection& connection, bool connectRefused);
   void removeConnection(ClientConnection& connection);
-  std::string submitCommand(std::uint32_t callback) const;
+  std::string submitCommand(std::uint32_t message) const;
 
   EventLoop& loop_;
   TimerQueue& timers_;
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -25,7 +25,7 @@
 using stonewing::Error;
 namespace fs = std::filesystem;
 
-constexpr int kRuleBroken = 2;
+constexpr int kRuleViolated = 2;
 
 std::string textOf(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
@@ -33,7 +33,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-struct Choices {
+struct Options {
   std::vector<std::string> files;
   std::vector<std::string> changes;
   std::vector<std::string> otherChanges;
@@ -51,7 +51,7 @@
   bool sockets{false};
 };
 
-std::string beside(const char* name) {
+std::string siblingProgram(const char* name) {
   std::error_code none;
   fs::path own = fs::read_symlink("/proc/self/exe", none);
   for (const fs::path& folder :
@@ -61,7 +61,7 @@
   throw ConfigError(std::string("the program ") + name + " was not found; name it with --dispatcher");
 }
 
-std::uint64_t seedOf(const Choices& c, const Experiment& experiment) {
+std::uint64_t seedOf(const Options& c, const Experiment& experiment) {
   return c.seed >= 0 ? static_cast<std::uint64_t>(c.seed) : experiment.seed;
 }
 
@@ -75,117 +75,123 @@
   };
 }
 
-Row modelRow(const Experiment& experiment, std::uint64_t seed, const std::string& policy) {
-  Trace trace = playModel(experiment, seed, policy);
-  return {"model, " + policy, tally(experiment, trace), audit(experiment, trace).size()};
+SummaryRow summarizeModel(const Experiment& experiment, std::uint64_t seed, const std::string& policy) {
+  Trace trace = runModel(experiment, seed, policy);
+  return {"model, " + policy, summarize(experiment, trace), audit(experiment, trace).size()};
 }
 
-int tellAll(const Report& report, const Choices& c, const std::string& text) {
-  std::vector<Row> rows{{report.how, report.tally, report.breaks.size()}};
-  rows.insert(rows.end(), report.beside.begin(), report.beside.end());
-  if (c.json) {
+int printReport(const RunReport& report, const Options& options, const std::string& text) {
+  std::vector<SummaryRow> rows{{report.mode, report.summary, report.violations.size()}};
+  rows.insert(rows.end(), report.comparisons.begin(), report.comparisons.end());
+  if (options.json) {
     std::cout << resultText(report);
   } else {
     std::cout << report.experiment.name << ", seed " << report.seed << "\n" << tableOf(rows);
-    for (std::size_t n = 0; n < std::min<std::size_t>(3, report.breaks.size()); ++n) {
-      std::cout << told(report.breaks[n], report.trace);
+    for (std::size_t n = 0; n < std::min<std::size_t>(3, report.violations.size()); ++n) {
+      std::cout << describe(report.violations[n], report.trace);
     }
   }
-  if (!c.out.empty()) {
-    std::string folder = c.files.size() > 1 ? c.out + "/" + report.experiment.name : c.out;
-    std::string left = writeReport(report, folder, text);
-    if (!c.json) std::cout << "report: " << folder << "/report.html\n" << (left.empty() ? "" : left + "\n");
+  if (!options.out.empty()) {
+    std::string folder = options.files.size() > 1 ? options.out + "/" + report.experiment.name : options.out;
+    std::string omitted = writeReport(report, folder, text);
+    if (!options.json)
+      std::cout << "report: " << folder << "/report.html\n" << (omitted.empty() ? "" : omitted + "\n");
   }
-  bool crashed = report.played != nullptr && !report.played->crashes.empty();
-  if (crashed && !c.json) {
-    for (const std::string& crash : report.played->crashes) std::cout << "crash: " << crash << "\n";
+  bool crashed = report.run != nullptr && !report.run->crashes.empty();
+  if (crashed && !options.json) {
+    for (const std::string& crash : report.run->crashes) std::cout << "crash: " << crash << "\n";
   }
-  return report.breaks.empty() && !crashed ? 0 : kRuleBroken;
+  return report.violations.empty() && !crashed ? 0 : kRuleViolated;
 }
 
-int model(const Choices& c) {
+int model(const Options& c) {
   int code = 0;
   for (const std::string& file : c.files) {
     Experiment experiment = readExperimentFile(file, c.changes);
     std::uint64_t seed = seedOf(c, experiment);
     ModelCost cost;
     auto began = std::chrono::steady_clock::now();
-    Trace trace = playModel(experiment, seed, c.policy, &cost);
+    Trace trace = runModel(experiment, seed, c.policy, &cost);
     double spent = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    Report report{
-        experiment, seed,   "model, " + c.policy, trace, tally(experiment, trace), audit(experiment, trace),
-        {},         nullptr};
+    RunReport report{experiment,
+                     seed,
+                     "model, " + c.policy,
+                     trace,
+                     summarize(experiment, trace),
+                     audit(experiment, trace),
+                     {},
+                     nullptr};
     if (c.baselines) {
       for (const std::string& name : policyNames()) {
-        if (name != c.policy) report.beside.push_back(modelRow(experiment, seed, name));
+        if (name != c.policy) report.comparisons.push_back(summarizeModel(experiment, seed, name));
       }
     }
-    code = std::max(code, tellAll(report, c, textOf(file)));
+    code = std::max(code, printReport(report, c, textOf(file)));
     if (!c.json) std::printf("%llu steps in %.2f s\n", static_cast<unsigned long long>(cost.steps), spent);
   }
   return code;
 }
 
-int run(const Choices& c) {
+int run(const Options& c) {
   int code = 0;
   for (const std::string& file : c.files) {
     Experiment experiment = readExperimentFile(file, c.changes);
     std::uint64_t seed = seedOf(c, experiment);
-    RunChoices choices;
-    choices.binary = c.dispatcher.empty() ? beside("stonewing") : c.dispatcher;
-    choices.folder =
+    RunOptions options;
+    options.binary = c.dispatcher.empty() ? siblingProgram("stonewing") : c.dispatcher;
+    options.folder =
         (c.out.empty() ? fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))
                        : fs::path(c.out) / (c.files.size() > 1 ? experiment.name : ""))
             .string();
-    choices.progress = progressOf(experiment);
-    Played played = playSockets(experiment, seed, choices);
-    Report report{experiment,
-                  seed,
-                  "sockets",
-                  played.trace,
-                  tally(experiment, played.trace),
-                  audit(experiment, played.trace),
-                  {},
-                  &played};
-    report.beside.push_back(modelRow(experiment, seed, "ours"));
+    options.progress = progressOf(experiment);
+    RunResult result = runOnSockets(experiment, seed, options);
+    RunReport report{experiment,
+                     seed,
+                     "sockets",
+                     result.trace,
+                     summarize(experiment, result.trace),
+                     audit(experiment, result.trace),
+                     {},
+                     &result};
+    report.comparisons.push_back(summarizeModel(experiment, seed, "ours"));
     if (c.baselines) {
       for (const std::string& name : policyNames()) {
-        if (name != "ours") report.beside.push_back(modelRow(experiment, seed, name));
+        if (name != "ours") report.comparisons.push_back(summarizeModel(experiment, seed, name));
       }
     }
-    code = std::max(code, tellAll(report, c, textOf(file)));
-    if (c.out.empty()) fs::remove_all(choices.folder);
-    if (played.interrupted) return 130;
+    code = std::max(code, printReport(report, c, textOf(file)));
+    if (c.out.empty()) fs::remove_all(options.folder);
+    if (result.interrupted) return 130;
   }
   return code;
 }
 
-int auditFolder(const Choices& c) {
+int auditFolder(const Options& c) {
   Experiment experiment = readExperimentFile(c.files.front() + "/experiment.toml");
   Trace trace = loadTrace(c.files.front());
-  auto breaks = audit(experiment, trace);
-  for (const Break& b : breaks) std::cout << told(b, trace);
-  std::cout << (breaks.empty() ? "no rule broken" : std::to_string(breaks.size()) + " breaks") << ", "
-            << trace.callbacks.size() << " callbacks, " << trace.events.size() << " events\n";
-  return breaks.empty() ? 0 : kRuleBroken;
+  auto violations = audit(experiment, trace);
+  for (const RuleViolation& b : violations) std::cout << describe(b, trace);
+  std::cout << (violations.empty() ? "no rule broken" : std::to_string(violations.size()) + " breaks") << ", "
+            << trace.messages.size() << " callbacks, " << trace.events.size() << " events\n";
+  return violations.empty() ? 0 : kRuleViolated;
 }
 
-struct Figures {
-  double gain{0};
+struct ComparedFigures {
+  double deliveredWeightShare{0};
   double p99{0};
-  double launches{0};
-  double broken{0};
+  double attemptsPerMessage{0};
+  double violations{0};
 };
 
-Figures figuresOf(const Tally& t, std::size_t broken) {
-  return {t.share(), t.delivery.p99,
-          static_cast<double>(t.launches) / std::max<double>(1, static_cast<double>(t.due)),
-          static_cast<double>(broken)};
+ComparedFigures figuresOf(const RunSummary& t, std::size_t violations) {
+  return {t.deliveredWeightShare(), t.deliveryLatency.p99,
+          static_cast<double>(t.attempts) / std::max<double>(1, static_cast<double>(t.due)),
+          static_cast<double>(violations)};
 }
 
 // One day by another build of the laboratory.
-Figures byOtherLab(const std::string& lab, const std::string& file, std::uint64_t seed,
-                   const std::string& policy) {
+ComparedFigures byOtherLab(const std::string& lab, const std::string& file, std::uint64_t seed,
+                           const std::string& policy) {
   std::string command =
       "'" + lab + "' model '" + file + "' --json --seed " + std::to_string(seed) + " --policy " + policy;
   std::FILE* from = ::popen(command.c_str(), "r");
@@ -202,7 +208,7 @@
           static_cast<double>(result.at("broken").size())};
 }
 
-int compare(const Choices& c) {
+int compare(const Options& c) {
   const std::string& fileA = c.files.front();
   const std::string& fileB = c.files.back();
   Experiment experimentA = readExperimentFile(fileA, c.changes);
@@ -210,50 +216,52 @@
   changesB.insert(changesB.end(), c.otherChanges.begin(), c.otherChanges.end());
   Experiment experimentB = readExperimentFile(fileB, changesB);
   std::string policyB = c.otherPolicy.empty() ? c.policy : c.otherPolicy;
-  std::vector<Figures> a, b;
+  std::vector<ComparedFigures> a, b;
   std::uint64_t first = seedOf(c, experimentA);
-  auto day = [&](const Experiment& experiment, const std::string& file, const std::string& policy,
-                 const std::string& lab, const std::string& dispatcher, std::uint64_t seed) {
+  auto measure = [&](const Experiment& experiment, const std::string& file, const std::string& policy,
+                     const std::string& lab, const std::string& dispatcher, std::uint64_t seed) {
     if (c.sockets) {
-      RunChoices choices;
-      choices.binary = dispatcher.empty() ? beside("stonewing") : dispatcher;
-      choices.folder = (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
-      Played played = playSockets(experiment, seed, choices);
-      fs::remove_all(choices.folder);
-      if (played.interrupted) throw ConfigError("interrupted");
-      return figuresOf(tally(experiment, played.trace), audit(experiment, played.trace).size());
+      RunOptions options;
+      options.binary = dispatcher.empty() ? siblingProgram("stonewing") : dispatcher;
+      options.folder = (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
+      RunResult result = runOnSockets(experiment, seed, options);
+      fs::remove_all(options.folder);
+      if (result.interrupted) throw ConfigError("interrupted");
+      return figuresOf(summarize(experiment, result.trace), audit(experiment, result.trace).size());
     }
     if (!lab.empty()) return byOtherLab(lab, file, seed, policy);
-    Trace trace = playModel(experiment, seed, policy);
-    return figuresOf(tally(experiment, trace), audit(experiment, trace).size());
+    Trace trace = runModel(experiment, seed, policy);
+    return figuresOf(summarize(experiment, trace), audit(experiment, trace).size());
   };
   for (int n = 0; n < c.seeds; ++n) {  // interleaved, so that what the machine does strikes both
-    a.push_back(day(experimentA, fileA, c.policy, "", c.dispatcher, first + static_cast<std::uint64_t>(n)));
-    b.push_back(day(experimentB, fileB, policyB, c.otherLab, c.otherDispatcher,
-                    first + static_cast<std::uint64_t>(n)));
+    a.push_back(
+        measure(experimentA, fileA, c.policy, "", c.dispatcher, first + static_cast<std::uint64_t>(n)));
+    b.push_back(measure(experimentB, fileB, policyB, c.otherLab, c.otherDispatcher,
+                        first + static_cast<std::uint64_t>(n)));
   }
-  auto column = [](const std::vector<Figures>& rows, double Figures::*field) {
+  auto column = [](const std::vector<ComparedFigures>& rows, double ComparedFigures::*field) {
     std::vector<double> all;
-    for (const Figures& f : rows) all.push_back(f.*field);
+    for (const ComparedFigures& f : rows) all.push_back(f.*field);
     return all;
   };
   std::printf("%d paired days; B less A, with the interval of 95 in 100\n", c.seeds);
   struct Kind {
     const char* name;
-    double Figures::*field;
+    double ComparedFigures::*field;
     bool more;
   };
   std::string verdict;
   Figure figure{
       "B less A, gain kept, day by day", "day", "difference", false, true, true, {{"days", {}}}, {}};
-  for (const Kind& k :
-       {Kind{"gain kept", &Figures::gain, true}, Kind{"p99 ms", &Figures::p99, false},
-        Kind{"launches each", &Figures::launches, false}, Kind{"rules broken", &Figures::broken, false}}) {
+  for (const Kind& k : {Kind{"gain kept", &ComparedFigures::deliveredWeightShare, true},
+                        Kind{"p99 ms", &ComparedFigures::p99, false},
+                        Kind{"launches each", &ComparedFigures::attemptsPerMessage, false},
+                        Kind{"rules broken", &ComparedFigures::violations, false}}) {
     auto as = column(a, k.field);
     auto bs = column(b, k.field);
     Difference d = paired(as, bs);
     std::printf("%-14s %+10.4f  [%+.4f, %+.4f]  %s\n", k.name, d.mean, d.low, d.high, d.verdict(k.more));
-    if (k.field == &Figures::gain) {
+    if (k.field == &ComparedFigures::deliveredWeightShare) {
       verdict = d.verdict(true);
       for (std::size_t n = 0; n < as.size(); ++n) figure.lines[0].points.emplace_back(n + 1, bs[n] - as[n]);
     }
@@ -266,18 +274,19 @@
   return 0;
 }
 
-int loadAlone(const Choices& c) {
+int loadAlone(const Options& c) {
   Experiment experiment = readExperimentFile(c.files.front(), c.changes);
-  Played played = driveLoad(experiment, seedOf(c, experiment), c.addresses, progressOf(experiment));
-  Tally t = tally(experiment, played.trace);
-  std::uint64_t taken = 0;
-  for (const Event& e : played.trace.events) taken += e.what == What::taken ? 1 : 0;
+  RunResult result = generateLoad(experiment, seedOf(c, experiment), c.addresses, progressOf(experiment));
+  RunSummary t = summarize(experiment, result.trace);
+  std::uint64_t accepted = 0;
+  for (const TraceEvent& e : result.trace.events) accepted += e.type == TraceEventType::accepted ? 1 : 0;
   std::printf(
       "%llu due, %llu taken, %llu refused, %llu unanswered in %.2f s; answers p50 %.2f p99 %.2f p99.9 %.2f "
       "ms; sent %.1f ms late at the worst\n",
-      static_cast<unsigned long long>(t.due), static_cast<unsigned long long>(taken),
-      static_cast<unsigned long long>(t.refused), static_cast<unsigned long long>(t.unanswered),
-      played.until / 1000, t.answers.p50, t.answers.p99, t.answers.p999, played.maxLag);
+      static_cast<unsigned long long>(t.due), static_cast<unsigned long long>(accepted),
+      static_cast<unsigned long long>(t.rejected), static_cast<unsigned long long>(t.unanswered),
+      result.endedAt / 1000, t.responseLatency.p50, t.responseLatency.p99, t.responseLatency.p999,
+      result.maxLag);
   return 0;
 }
 
@@ -286,7 +295,7 @@
 int main(int argc, char** argv) {
   CLI::App app{"stonewing_lab plays days of trouble against dispatchers and says what came of them"};
   app.require_subcommand(1);
-  Choices c;
+  Options c;
   auto files = [&](CLI::App* sub, int least, int most) {
     sub->add_option("experiment", c.files, "experiment files (TOML; docs/lab.md)")
         ->required()
@@ -337,14 +346,15 @@
   loads->add_option("--to", c.addresses, "addresses of the dispatchers, such as 127.0.0.1:6379")->required();
   auto* checks = app.add_subcommand("check", "reads experiment files and says what is wrong with them");
   checks->add_option("experiment", c.files, "experiment files")->required();
-  GatePlan gates;
-  auto* gate =
+  AdmissionScenario scenario;
+  auto* gates =
       app.add_subcommand("gates", "ways to turn callbacks away while the dispatcher itself is behind");
-  gate->add_option("--per-s", gates.perSecond, "callbacks a second before the surge")->capture_default_str();
-  gate->add_option("--surge", gates.surge, "times as many for 10 s")->capture_default_str();
-  gate->add_option("--stall-ms", gates.stallFor, "the loop stands still for so long, at 2 s");
-  gate->add_option("--retries", gates.retries, "of a client")->capture_default_str();
-  gate->add_option("--seed", gates.seed, "another day")->capture_default_str();
+  gates->add_option("--per-s", scenario.perSecond, "callbacks a second before the surge")
+      ->capture_default_str();
+  gates->add_option("--surge", scenario.surgeFactor, "times as many for 10 s")->capture_default_str();
+  gates->add_option("--stall-ms", scenario.stallDuration, "the loop stands still for so long, at 2 s");
+  gates->add_option("--retries", scenario.retries, "of a client")->capture_default_str();
+  gates->add_option("--seed", scenario.seed, "another day")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   try {
     if (*runs) return run(c);
@@ -352,17 +362,18 @@
     if (*compares) return compare(c);
     if (*audits) return auditFolder(c);
     if (*loads) return loadAlone(c);
-    if (*gate) {
-      if (gates.stallFor > 0) gates.stallAt = 2000;
-      std::vector<GateResult> rows;
-      for (const std::string& name : gateNames()) rows.push_back(playGate(gates, name));
+    if (*gates) {
+      if (scenario.stallDuration > 0) scenario.stallAt = 2000;
+      std::vector<AdmissionResult> rows;
+      for (const std::string& name : admissionStrategyNames())
+        rows.push_back(runAdmissionScenario(scenario, name));
       std::cout << tableOf(rows);
     }
     if (*worlds) {
       Experiment experiment = readExperimentFile(c.files.front(), c.changes);
       std::string folder = c.out.empty() ? "lab-world" : c.out;
       fs::create_directories(folder);
-      serveWorld(experiment, seedOf(c, experiment), folder);
+      serveEnvironment(experiment, seedOf(c, experiment), folder);
     }
     if (*checks) {
       for (const std::string& file : c.files) readExperimentFile(file);
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -11,31 +11,32 @@
 namespace stonewing::lab {
 
 // One line of a report: the same day by one policy or build.
-struct Row {
+struct SummaryRow {
   std::string name;
-  Tally tally;
-  std::size_t breaks{0};
+  RunSummary summary;
+  std::size_t violations{0};
 };
 
-struct Report {
+struct RunReport {
   const Experiment& experiment;
   std::uint64_t seed{};
-  std::string how;  // "sockets" or "model", and by what
+  std::string mode;  // "sockets" or "model", and by what
   const Trace& trace;
-  Tally tally;
-  std::vector<Break> breaks;
-  std::vector<Row> beside;        // the model, the baselines
-  const Played* played{nullptr};  // of a day on sockets
+  RunSummary summary;
+  std::vector<RuleViolation> violations;
+  std::vector<SummaryRow> comparisons;  // the model, the baselines
+  const RunResult* run{nullptr};        // of a day on sockets
 };
 
 // Writes result.json, series.csv, the trace, resources.csv and report.html with its plots into a folder,
 // which is made where it is missing. Returns what was left out and why, empty where nothing was.
-std::string writeReport(const Report& report, const std::string& folder, const std::string& experimentText);
+std::string writeReport(const RunReport& report, const std::string& folder,
+                        const std::string& experimentText);
 
 // The figures alone, as JSON text.
-std::string resultText(const Report& report);
+std::string resultText(const RunReport& report);
 // A table of rows for a terminal.
-std::string tableOf(const std::vector<Row>& rows);
+std::string tableOf(const std::vector<SummaryRow>& rows);
 
 // Draws lines over x; false where gnuplot cannot be run.
 struct Line {
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -22,10 +22,10 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr Millis kReadyWithin = 20000;
-constexpr Millis kSampleEvery = 500;
-constexpr Millis kProgressEvery = 1000;
-constexpr Millis kEndWithin = 4000;
+constexpr Millis kReadyTimeout = 20000;
+constexpr Millis kSampleInterval = 500;
+constexpr Millis kProgressInterval = 1000;
+constexpr Millis kStopTimeout = 4000;
 
 // SIGINT and SIGTERM as events of the loop.
 class Interrupts : public EventHandler {
@@ -48,9 +48,9 @@
   }
   void onEvents(std::uint32_t) override {
     signalfd_siginfo info;
-    while (::read(fd_, &info, sizeof info) == sizeof info) seen = true;
+    while (::read(fd_, &info, sizeof info) == sizeof info) received = true;
   }
-  bool seen{false};
+  bool received{false};
 
  private:
   EventLoop& loop_;
@@ -72,45 +72,45 @@
   return host + ":" + std::to_string(ntohs(at.sin_port));
 }
 
-class Day {
+class SocketRun {
  public:
-  Day(const Experiment& experiment, std::uint64_t seed, const RunChoices& choices)
+  SocketRun(const Experiment& experiment, std::uint64_t seed, const RunOptions& options)
       : experiment_(experiment),
-        choices_(choices),
+        options_(options),
         interrupts_(loop_),
-        arrivalModel_(experiment, seed, played_.trace),
-        endpointModel_(experiment, seed ^ 0x5bd1e995u, played_.trace),
-        world_(loop_, timers_, clock_, experiment, endpointModel_, played_.trace) {
+        arrivalModel_(experiment, seed, result_.trace),
+        endpointModel_(experiment, seed ^ 0x5bd1e995u, result_.trace),
+        servers_(loop_, timers_, clock_, experiment, endpointModel_, result_.trace) {
     std::vector<std::string> addresses;
     bool hangs = std::any_of(experiment.faults.begin(), experiment.faults.end(),
                              [](const Fault& t) { return t.kind == FaultKind::diskHang; });
     for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
       addresses.push_back(freeAddress(d));
-      std::string folder = choices.folder + "/n" + std::to_string(d);
+      std::string folder = options.folder + "/n" + std::to_string(d);
       processes_.push_back(
-          std::make_unique<DispatcherProcess>(choices.binary, folder, hangs ? STONEWING_HANG : ""));
+          std::make_unique<DispatcherProcess>(options.binary, folder, hangs ? STONEWING_HANG : ""));
       std::filesystem::remove(folder + "/state/journal");
       processes_.back()->configure(
-          configurationOf(experiment, d, addresses.back(), world_.discoveryAddress(d),
-                          std::filesystem::absolute(folder + "/state").string(), world_.endpointList(d)));
+          configurationOf(experiment, d, addresses.back(), servers_.discoveryAddress(d),
+                          std::filesystem::absolute(folder + "/state").string(), servers_.endpointList(d)));
     }
     loadGenerator_ = std::make_unique<LoadGenerator>(loop_, timers_, clock_, experiment, arrivalModel_,
-                                                     played_.trace, addresses);
-    world_.onNotification = [this](std::uint32_t callback, int result, Millis wait) {
-      if (result == 2) loadGenerator_->recordShed(callback, wait);
+                                                     result_.trace, addresses);
+    servers_.onNotification = [this](std::uint32_t message, int result, Millis wait) {
+      if (result == 2) loadGenerator_->recordShed(message, wait);
     };
   }
 
-  Played play() {
+  RunResult run() {
     clock_.epoch = steadyNow();
     int ready = 0;
     for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
       process(d).start();
       loadGenerator_->whenReady(d, [&ready] { ++ready; });
     }
-    Millis by = steadyNow() + kReadyWithin;
-    while (ready < experiment_.fleet.dispatchers && !interrupts_.seen) {
-      turn();
+    Millis by = steadyNow() + kReadyTimeout;
+    while (ready < experiment_.fleet.dispatchers && !interrupts_.received) {
+      runLoopOnce();
       for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
         if (!process(d).running())
           throw std::runtime_error("a dispatcher ended at its start; see " + process(d).folder() +
@@ -121,55 +121,55 @@
     }
     begin();
     Millis end = experiment_.end();
-    while (clock_.now() < end && !interrupts_.seen) {
-      turn();
-      if (loadGenerator_->done() && clock_.now() > experiment_.duration && allOver()) break;
+    while (clock_.now() < end && !interrupts_.received) {
+      runLoopOnce();
+      if (loadGenerator_->done() && clock_.now() > experiment_.duration && allMessagesEnded()) break;
     }
-    played_.until = clock_.now();
-    played_.interrupted = interrupts_.seen;
+    result_.endedAt = clock_.now();
+    result_.interrupted = interrupts_.received;
     finish();
-    played_.maxLag = loadGenerator_->maxLag();
-    return std::move(played_);
+    result_.maxLag = loadGenerator_->maxLag();
+    return std::move(result_);
   }
 
  private:
   DispatcherProcess& process(int d) { return *processes_[static_cast<std::size_t>(d)]; }
 
-  void turn() { timer_.runOnce(timers_); }
+  void runLoopOnce() { timer_.runOnce(timers_); }
 
   void begin() {
-    played_.trace.events.clear();
+    result_.trace.events.clear();
     clock_.epoch = steadyNow();
-    for (int d = 0; d < experiment_.fleet.dispatchers; ++d) note(What::up, d);
+    for (int d = 0; d < experiment_.fleet.dispatchers; ++d) record(TraceEventType::dispatcherUp, d);
     for (const Fault& t : experiment_.faults) {
-      timers_.schedule(clock_.epoch + t.from, [this, &t] { strike(t, true); });
-      timers_.schedule(clock_.epoch + t.until, [this, &t] { strike(t, false); });
+      timers_.schedule(clock_.epoch + t.from, [this, &t] { applyFault(t, true); });
+      timers_.schedule(clock_.epoch + t.until, [this, &t] { applyFault(t, false); });
     }
     sample();
     progress();
     loadGenerator_->start();
   }
 
-  void note(What what, int d, int status = 0) {
-    played_.trace.events.push_back({.at = clock_.now(),
-                                    .what = what,
+  void record(TraceEventType type, int d, int status = 0) {
+    result_.trace.events.push_back({.at = clock_.now(),
+                                    .type = type,
                                     .dispatcher = static_cast<std::uint16_t>(d),
                                     .status = static_cast<std::int16_t>(status)});
   }
 
   void restart(int d) {
     process(d).start();
-    loadGenerator_->whenReady(d, [this, d] { note(What::up, d); });
+    loadGenerator_->whenReady(d, [this, d] { record(TraceEventType::dispatcherUp, d); });
   }
 
-  void strike(const Fault& t, bool begins) {
-    world_.applyFault(t, begins);
-    std::vector<int> struck = t.dispatchers.empty() ? std::vector<int>{0} : t.dispatchers;
-    for (int d : struck) {
+  void applyFault(const Fault& t, bool begins) {
+    servers_.applyFault(t, begins);
+    std::vector<int> affected = t.dispatchers.empty() ? std::vector<int>{0} : t.dispatchers;
+    for (int d : affected) {
       switch (t.kind) {
         case FaultKind::kill:
           process(d).expectExit();
-          if (begins) process(d).signal(SIGKILL), note(What::down, d);
+          if (begins) process(d).signal(SIGKILL), record(TraceEventType::dispatcherDown, d);
           if (!begins)
             timers_.schedule(loop_.now() + experiment_.fleet.restartDelay, [this, d] { restart(d); });
           break;
@@ -177,10 +177,10 @@
           process(d).expectExit();
           if (begins) {
             process(d).signal(SIGTERM);
-            note(What::down, d, 2);
+            record(TraceEventType::dispatcherDown, d, 2);
             timers_.schedule(loop_.now() + 3700, [this, d] {
               process(d).signal(SIGKILL);
-              note(What::down, d);
+              record(TraceEventType::dispatcherDown, d);
             });
           } else {
             Millis after = std::max(0.0, 3700 - (t.until - t.from));
@@ -189,7 +189,7 @@
           break;
         case FaultKind::stop:
           process(d).signal(begins ? SIGSTOP : SIGCONT);
-          note(begins ? What::down : What::up, d, 1);
+          record(begins ? TraceEventType::dispatcherDown : TraceEventType::dispatcherUp, d, 1);
           break;
         case FaultKind::diskFull:
           process(d).limitFileSize(begins);
@@ -204,44 +204,44 @@
   }
 
   // Nothing is owed any more: each message that was accepted has been delivered or ended by a notice.
-  bool allOver() {
-    if (loop_.now() < overCheckAt_) return false;
-    overCheckAt_ = loop_.now() + kSampleEvery;
-    const Trace& t = played_.trace;
-    std::vector<bool> owed(t.callbacks.size(), false);
-    for (const Event& e : t.events) {
-      if (e.what == What::taken) owed[e.callback] = true;
+  bool allMessagesEnded() {
+    if (loop_.now() < nextEndCheckAt_) return false;
+    nextEndCheckAt_ = loop_.now() + kSampleInterval;
+    const Trace& t = result_.trace;
+    std::vector<bool> unfinished(t.messages.size(), false);
+    for (const TraceEvent& e : t.events) {
+      if (e.type == TraceEventType::accepted) unfinished[e.message] = true;
     }
-    for (const Event& e : t.events) {
-      bool delivered = e.what == What::replied && (e.status == 200 || e.status == 3);
-      if (delivered || e.what == What::noticed) owed[e.callback] = false;
+    for (const TraceEvent& e : t.events) {
+      bool delivered = e.type == TraceEventType::responded && (e.status == 200 || e.status == 3);
+      if (delivered || e.type == TraceEventType::notificationReceived) unfinished[e.message] = false;
     }
     for (const Fault& fault : experiment_.faults) {
-      if (clock_.now() < fault.until + 2 * kSampleEvery) return false;
+      if (clock_.now() < fault.until + 2 * kSampleInterval) return false;
     }
-    return std::find(owed.begin(), owed.end(), true) == owed.end();
+    return std::find(unfinished.begin(), unfinished.end(), true) == unfinished.end();
   }
 
   void sample() {
-    Sampled s{clock_.now(), {}};
+    UsageSample s{clock_.now(), {}};
     for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
       bool was = process(d).crashed();
       process(d).running();
       if (process(d).crashed() && !was) {
-        played_.crashes.push_back("dispatcher " + std::to_string(d) + " ended by itself at " +
+        result_.crashes.push_back("dispatcher " + std::to_string(d) + " ended by itself at " +
                                   std::to_string(static_cast<int>(clock_.now())) + " ms");
-        note(What::down, d);
+        record(TraceEventType::dispatcherDown, d);
       }
       s.dispatchers.push_back(process(d).usage());
     }
-    played_.usage.push_back(std::move(s));
-    timers_.schedule(loop_.now() + kSampleEvery, [this] { sample(); });
+    result_.usage.push_back(std::move(s));
+    timers_.schedule(loop_.now() + kSampleInterval, [this] { sample(); });
   }
 
   void progress() {
-    if (!choices_.progress) return;
-    choices_.progress(clock_.now(), played_.trace.events.size());
-    timers_.schedule(loop_.now() + kProgressEvery, [this] { progress(); });
+    if (!options_.progress) return;
+    options_.progress(clock_.now(), result_.trace.events.size());
+    timers_.schedule(loop_.now() + kProgressInterval, [this] { progress(); });
   }
 
   void finish() {
@@ -250,37 +250,37 @@
       p->signal(SIGCONT);
       p->signal(SIGTERM);
     }
-    Millis by = steadyNow() + kEndWithin;
+    Millis by = steadyNow() + kStopTimeout;
     for (bool running = true; running && steadyNow() < by;) {
-      turn();
+      runLoopOnce();
       running = false;
       for (auto& p : processes_) running = p->running() || running;
     }
   }
 
   const Experiment& experiment_;
-  const RunChoices& choices_;
+  const RunOptions& options_;
   EventLoop loop_;
   TimerQueue timers_;
   PreciseTimer timer_{loop_};
   ExperimentClock clock_{loop_};
   Interrupts interrupts_;
-  Played played_;
+  RunResult result_;
   ArrivalModel arrivalModel_;
   EndpointModel endpointModel_;
-  EmulatedServers world_;
+  EmulatedServers servers_;
   std::vector<std::unique_ptr<DispatcherProcess>> processes_;
   std::unique_ptr<LoadGenerator> loadGenerator_;
-  Millis overCheckAt_{0};
+  Millis nextEndCheckAt_{0};
 };
 
 }  // namespace
 
-Played playSockets(const Experiment& experiment, std::uint64_t seed, const RunChoices& choices) {
-  return Day(experiment, seed, choices).play();
+RunResult runOnSockets(const Experiment& experiment, std::uint64_t seed, const RunOptions& options) {
+  return SocketRun(experiment, seed, options).run();
 }
 
-void serveWorld(const Experiment& experiment, std::uint64_t seed, const std::string& folder) {
+void serveEnvironment(const Experiment& experiment, std::uint64_t seed, const std::string& folder) {
   EventLoop loop;
   TimerQueue timers;
   PreciseTimer timer(loop);
@@ -288,53 +288,53 @@
   Interrupts interrupts(loop);
   Trace trace;
   EndpointModel endpointModel(experiment, seed ^ 0x5bd1e995u, trace);
-  EmulatedServers world(loop, timers, clock, experiment, endpointModel, trace);
-  world.acceptUnknownMessages();
+  EmulatedServers servers(loop, timers, clock, experiment, endpointModel, trace);
+  servers.acceptUnknownMessages();
   for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
     std::string own = folder + "/n" + std::to_string(d);
     std::filesystem::create_directories(own + "/state");
     std::string listen = freeAddress(d);
     std::string state = std::filesystem::absolute(own + "/state").string();
-    std::ofstream(own + "/config.json")
-        << configurationOf(experiment, d, listen, world.discoveryAddress(d), state, world.endpointList(d));
+    std::ofstream(own + "/config.json") << configurationOf(experiment, d, listen, servers.discoveryAddress(d),
+                                                           state, servers.endpointList(d));
     std::printf("dispatcher %d: serve --config %s/config.json, then listens at %s\n", d, own.c_str(),
                 listen.c_str());
   }
   std::fflush(stdout);
   for (const Fault& t : experiment.faults) {
-    timers.schedule(clock.epoch + t.from, [&world, &t] { world.applyFault(t, true); });
-    timers.schedule(clock.epoch + t.until, [&world, &t] { world.applyFault(t, false); });
+    timers.schedule(clock.epoch + t.from, [&servers, &t] { servers.applyFault(t, true); });
+    timers.schedule(clock.epoch + t.until, [&servers, &t] { servers.applyFault(t, false); });
   }
-  while (!interrupts.seen) {
+  while (!interrupts.received) {
     timer.runOnce(timers);
   }
-  save(trace, folder);
+  saveTrace(trace, folder);
 }
 
-Played driveLoad(const Experiment& experiment, std::uint64_t seed,
-                 const std::vector<std::string>& dispatchers,
-                 const std::function<void(Millis, std::size_t)>& progress) {
-  Played played;
+RunResult generateLoad(const Experiment& experiment, std::uint64_t seed,
+                       const std::vector<std::string>& dispatchers,
+                       const std::function<void(Millis, std::size_t)>& progress) {
+  RunResult result;
   EventLoop loop;
   TimerQueue timers;
   PreciseTimer timer(loop);
   ExperimentClock clock{loop, steadyNow()};
   Interrupts interrupts(loop);
-  ArrivalModel arrivalModel(experiment, seed, played.trace);
-  LoadGenerator loadGenerator(loop, timers, clock, experiment, arrivalModel, played.trace, dispatchers);
+  ArrivalModel arrivalModel(experiment, seed, result.trace);
+  LoadGenerator loadGenerator(loop, timers, clock, experiment, arrivalModel, result.trace, dispatchers);
   loadGenerator.start();
-  Millis told = 0;
-  while (!interrupts.seen && !loadGenerator.done() && clock.now() < experiment.end()) {
+  Millis nextProgressAt = 0;
+  while (!interrupts.received && !loadGenerator.done() && clock.now() < experiment.end()) {
     timer.runOnce(timers);
-    if (progress && clock.now() > told) {
-      progress(clock.now(), played.trace.events.size());
-      told = clock.now() + kProgressEvery;
+    if (progress && clock.now() > nextProgressAt) {
+      progress(clock.now(), result.trace.events.size());
+      nextProgressAt = clock.now() + kProgressInterval;
     }
   }
-  played.maxLag = loadGenerator.maxLag();
-  played.interrupted = interrupts.seen;
-  played.until = clock.now();
-  return played;
+  result.maxLag = loadGenerator.maxLag();
+  result.interrupted = interrupts.received;
+  result.endedAt = clock.now();
+  return result;
 }
 
 }  // namespace stonewing::lab
--- a/src/lab/run_summary.cpp
+++ b/src/lab/run_summary.cpp
@@ -9,23 +9,24 @@
 
 namespace bh = boost::histogram;
 
-constexpr Millis kLeast = 1e-3;
-constexpr Millis kMost = 8.64e7;
+constexpr Millis kMinDuration = 1e-3;
+constexpr Millis kMaxDuration = 8.64e7;
 
 auto logHistogram() {
-  return bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(1280, kLeast, kMost * 1.001));
+  return bh::make_histogram(
+      bh::axis::regular<double, bh::axis::transform::log>(1280, kMinDuration, kMaxDuration * 1.001));
 }
 using LogHistogram = decltype(logHistogram());
 
 // Spans from a microsecond to a day, two percent apart.
-class Spans {
+class DurationHistogram {
  public:
-  void add(Millis span) {
-    histogram_(std::clamp(span, kLeast, kMost));
-    most_ = std::max(most_, span);
+  void add(Millis duration) {
+    histogram_(std::clamp(duration, kMinDuration, kMaxDuration));
+    max_ = std::max(max_, duration);
     ++count_;
   }
-  Quantiles quantiles() const { return {count_, at(0.5), at(0.95), at(0.99), at(0.999), most_}; }
+  Quantiles quantiles() const { return {count_, at(0.5), at(0.95), at(0.99), at(0.999), max_}; }
   Millis at(double share) const {
     if (count_ == 0) return 0;
     double below = 0;
@@ -33,111 +34,112 @@
     for (auto&& bin : bh::indexed(histogram_)) {
       double here = *bin;
       if (here > 0 && below + here >= wanted) {
-        double along = (wanted - below) / here;
-        return std::min(most_, bin.bin().lower() + along * (bin.bin().upper() - bin.bin().lower()));
+        double progress = (wanted - below) / here;
+        return std::min(max_, bin.bin().lower() + progress * (bin.bin().upper() - bin.bin().lower()));
       }
       below += here;
     }
-    return most_;
+    return max_;
   }
 
  private:
   LogHistogram histogram_ = logHistogram();
   std::uint64_t count_{0};
-  Millis most_{0};
+  Millis max_{0};
 };
 
 }  // namespace
 
-Tally tally(const Experiment& experiment, const Trace& trace, Millis slice) {
-  Tally t;
+RunSummary summarize(const Experiment& experiment, const Trace& trace, Millis slice) {
+  RunSummary t;
   auto slices = static_cast<std::size_t>(std::ceil(experiment.end() / slice)) + 1;
   t.series.resize(slices);
-  for (std::size_t n = 0; n < slices; ++n) t.series[n].from = static_cast<double>(n) * slice;
-  auto sliceOf = [&](Millis at) -> Tally::Slice& {
+  for (std::size_t n = 0; n < slices; ++n) t.series[n].startsAt = static_cast<double>(n) * slice;
+  auto sliceOf = [&](Millis at) -> RunSummary::Slice& {
     auto n = static_cast<std::size_t>(std::clamp(at / slice, 0.0, static_cast<double>(slices - 1)));
     return t.series[n];
   };
   constexpr Millis kNever = 1e300;
-  std::size_t callbacks = trace.callbacks.size();
-  std::vector<Millis> delivered(callbacks, kNever);  // by origin
-  std::vector<Millis> handed(callbacks, kNever);
-  std::vector<bool> launched(callbacks, false);
-  std::vector<bool> taken(callbacks, false);
-  Spans answers;
-  for (const Event& e : trace.events) {
-    bool known = e.callback < callbacks;
-    switch (e.what) {
-      case What::handedIn:
-        if (known) handed[e.callback] = e.at;
+  std::size_t messageCount = trace.messages.size();
+  std::vector<Millis> delivered(messageCount, kNever);  // by origin
+  std::vector<Millis> submittedAt(messageCount, kNever);
+  std::vector<bool> attempted(messageCount, false);
+  std::vector<bool> accepted(messageCount, false);
+  DurationHistogram responseLatency;
+  for (const TraceEvent& e : trace.events) {
+    bool known = e.message < messageCount;
+    switch (e.type) {
+      case TraceEventType::submitted:
+        if (known) submittedAt[e.message] = e.at;
         break;
-      case What::taken:
-      case What::busy:
-        if (known && handed[e.callback] < kNever) answers.add(e.at - handed[e.callback]);
-        if (known && e.what == What::taken) taken[e.callback] = true;
-        if (e.what == What::busy) ++t.refused, ++sliceOf(e.at).refused;
+      case TraceEventType::accepted:
+      case TraceEventType::rejected:
+        if (known && submittedAt[e.message] < kNever) responseLatency.add(e.at - submittedAt[e.message]);
+        if (known && e.type == TraceEventType::accepted) accepted[e.message] = true;
+        if (e.type == TraceEventType::rejected) ++t.rejected, ++sliceOf(e.at).rejected;
         break;
-      case What::unanswered:
+      case TraceEventType::unanswered:
         ++t.unanswered;
         break;
-      case What::arrived:
-        ++t.launches;
-        ++sliceOf(e.at).launches;
-        if (known && launched[e.callback]) ++t.secondLaunches;
-        if (known) launched[e.callback] = true;
+      case TraceEventType::arrived:
+        ++t.attempts;
+        ++sliceOf(e.at).attempts;
+        if (known && attempted[e.message]) ++t.repeatedAttempts;
+        if (known) attempted[e.message] = true;
         break;
-      case What::replied:
+      case TraceEventType::responded:
         if (known && (e.status == 200 || e.status == 3)) {
-          Millis& first = delivered[trace.callbacks[e.callback].origin];
+          Millis& first = delivered[trace.messages[e.message].origin];
           first = std::min(first, e.at);
         }
         break;
-      case What::probed:
-        ++t.probes;
+      case TraceEventType::healthChecked:
+        ++t.healthChecks;
         break;
-      case What::noticed:
-        ++(e.status == 2 ? t.shed : t.givenUp);
+      case TraceEventType::notificationReceived:
+        ++(e.status == 2 ? t.shed : t.failed);
         ++sliceOf(e.at).ended;
         break;
       default:
         break;
     }
   }
-  t.answers = answers.quantiles();
-  Spans all;
-  std::vector<Spans> each(0);
+  t.responseLatency = responseLatency.quantiles();
+  DurationHistogram all;
+  std::vector<DurationHistogram> each(0);
   std::vector<std::vector<Millis>> bySlice(slices);
-  for (std::uint32_t c = 0; c < callbacks; ++c) {
-    const Handed& h = trace.callbacks[c];
-    if (h.origin != c) continue;
-    const TrafficType& type = experiment.types[h.type].settings;
+  for (std::uint32_t c = 0; c < messageCount; ++c) {
+    const SubmittedMessage& message = trace.messages[c];
+    if (message.origin != c) continue;
+    const TrafficType& type = experiment.types[message.type].settings;
     ++t.due;
-    t.gainDue += type.priorityWeight;
-    Tally::Slice& s = sliceOf(h.due);
+    t.dueWeight += type.priorityWeight;
+    RunSummary::Slice& s = sliceOf(message.due);
     ++s.due;
-    s.gainDue += type.priorityWeight;
-    Millis span = delivered[c] - h.due;
-    if (span > type.deadlineAfter) continue;
+    s.dueWeight += type.priorityWeight;
+    Millis latency = delivered[c] - message.due;
+    if (latency > type.deadlineAfter) continue;
     ++t.completed;
     ++s.completed;
-    double gain = type.priorityWeight * type.weightShareAt(span - type.latencyObjective, WeightDecay::linear);
-    t.gain += gain;
-    s.gain += gain;
-    if (span <= type.latencyObjective) ++t.inTime;
-    all.add(std::max(0.0, span));
-    bySlice[static_cast<std::size_t>(&s - t.series.data())].push_back(span);
+    double weight =
+        type.priorityWeight * type.weightShareAt(latency - type.latencyObjective, WeightDecay::linear);
+    t.deliveredWeight += weight;
+    s.deliveredWeight += weight;
+    if (latency <= type.latencyObjective) ++t.withinObjective;
+    all.add(std::max(0.0, latency));
+    bySlice[static_cast<std::size_t>(&s - t.series.data())].push_back(latency);
   }
   for (std::size_t n = 0; n < slices; ++n) {
-    auto& spans = bySlice[n];
-    if (spans.empty()) continue;
-    std::sort(spans.begin(), spans.end());
+    auto& latencies = bySlice[n];
+    if (latencies.empty()) continue;
+    std::sort(latencies.begin(), latencies.end());
     auto place = [&](double share) {
-      return spans[static_cast<std::size_t>(share * static_cast<double>(spans.size() - 1))];
+      return latencies[static_cast<std::size_t>(share * static_cast<double>(latencies.size() - 1))];
     };
     t.series[n].p50 = place(0.5);
     t.series[n].p99 = place(0.99);
   }
-  t.delivery = all.quantiles();
+  t.deliveryLatency = all.quantiles();
   return t;
 }
 
@@ -146,8 +148,8 @@
   std::vector<bool> wanted(static_cast<std::size_t>(experiment.endpointCount()), false);
   for (int e : endpoints) wanted[static_cast<std::size_t>(e)] = true;
   std::vector<std::uint64_t> counts(static_cast<std::size_t>(std::ceil(experiment.end() / slice)) + 1, 0);
-  for (const Event& e : trace.events) {
-    if (e.what != What::arrived || e.endpoint >= wanted.size() || !wanted[e.endpoint]) continue;
+  for (const TraceEvent& e : trace.events) {
+    if (e.type != TraceEventType::arrived || e.endpoint >= wanted.size() || !wanted[e.endpoint]) continue;
     auto n = static_cast<std::size_t>(std::max(0.0, e.at / slice));
     if (n < counts.size()) ++counts[n];
   }
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -11,36 +11,36 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr std::array kNames{"handed-in",
-                            "taken",
-                            "busy",
-                            "failed",
-                            "unanswered",
-                            "arrived",
-                            "replied",
-                            "abandoned",
-                            "effect",
-                            "probed",
-                            "refused-connect",
-                            "noticed",
-                            "told",
-                            "up",
-                            "down",
-                            "out",
-                            "back",
-                            "fell",
-                            "room-fell"};
+constexpr std::array kEventTypeNames{"handed-in",
+                                     "taken",
+                                     "busy",
+                                     "failed",
+                                     "unanswered",
+                                     "arrived",
+                                     "replied",
+                                     "abandoned",
+                                     "effect",
+                                     "probed",
+                                     "refused-connect",
+                                     "noticed",
+                                     "told",
+                                     "up",
+                                     "down",
+                                     "out",
+                                     "back",
+                                     "fell",
+                                     "room-fell"};
 
-std::ofstream opened(const std::string& path) {
+std::ofstream openForWriting(const std::string& path) {
   std::ofstream out(path, std::ios::binary);
   if (!out) throw ConfigError("cannot write " + path);
   return out;
 }
 
 // Reads a line's fields one after the other.
-class Fields {
+class CsvFields {
  public:
-  Fields(std::string_view line, const std::string& file, std::size_t number)
+  CsvFields(std::string_view line, const std::string& file, std::size_t number)
       : rest_(line), file_(file), number_(number) {}
   std::string_view word() {
     if (done_) fail("a field is missing");
@@ -63,8 +63,8 @@
   void end() const {
     if (!done_) fail("there are more fields than columns");
   }
-  [[noreturn]] void fail(const std::string& what) const {
-    throw ConfigError(file_ + ":" + std::to_string(number_) + ": " + what);
+  [[noreturn]] void fail(const std::string& problem) const {
+    throw ConfigError(file_ + ":" + std::to_string(number_) + ": " + problem);
   }
 
  private:
@@ -75,13 +75,13 @@
 };
 
 template <class Row>
-void eachLine(const std::string& path, Row row) {
+void forEachRow(const std::string& path, Row row) {
   std::ifstream in(path, std::ios::binary);
   if (!in) throw ConfigError("cannot read " + path + "; a folder of `stonewing_lab run` or `model` has it");
   std::string line;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     if (number == 1) continue;
-    Fields fields(line, path, number);
+    CsvFields fields(line, path, number);
     row(fields);
     fields.end();
   }
@@ -89,54 +89,54 @@
 
 }  // namespace
 
-const char* nameOf(What what) { return kNames.at(static_cast<std::size_t>(what)); }
+const char* nameOf(TraceEventType type) { return kEventTypeNames.at(static_cast<std::size_t>(type)); }
 
-void save(const Trace& trace, const std::string& folder) {
-  std::ofstream events = opened(folder + "/events.csv");
+void saveTrace(const Trace& trace, const std::string& folder) {
+  std::ofstream events = openForWriting(folder + "/events.csv");
   events << "at_ms,what,callback,call,endpoint,dispatcher,status,span_ms,ran\n";
   char row[160];
-  for (const Event& e : trace.events) {
-    std::snprintf(row, sizeof row, "%.4f,%s,%u,%u,%u,%u,%d,%.4f,%d\n", e.at, nameOf(e.what), e.callback,
-                  e.call, e.endpoint, e.dispatcher, e.status, e.span, e.ran ? 1 : 0);
+  for (const TraceEvent& e : trace.events) {
+    std::snprintf(row, sizeof row, "%.4f,%s,%u,%u,%u,%u,%d,%.4f,%d\n", e.at, nameOf(e.type), e.message,
+                  e.request, e.endpoint, e.dispatcher, e.status, e.duration, e.executed ? 1 : 0);
     events << row;
   }
-  std::ofstream callbacks = opened(folder + "/callbacks.csv");
-  callbacks << "origin,type,tenant,destination,key,due_ms\n";
-  for (const Handed& c : trace.callbacks) {
+  std::ofstream messages = openForWriting(folder + "/callbacks.csv");
+  messages << "origin,type,tenant,destination,key,due_ms\n";
+  for (const SubmittedMessage& c : trace.messages) {
     std::snprintf(row, sizeof row, "%u,%u,%u,%u,%u,%.4f\n", c.origin, c.type, c.tenant, c.destination, c.key,
                   c.due);
-    callbacks << row;
+    messages << row;
   }
-  if (!events.flush() || !callbacks.flush()) throw ConfigError("no room to write the trace in " + folder);
+  if (!events.flush() || !messages.flush()) throw ConfigError("no room to write the trace in " + folder);
 }
 
 Trace loadTrace(const std::string& folder) {
   Trace trace;
-  eachLine(folder + "/callbacks.csv", [&](Fields& in) {
-    Handed c;
+  forEachRow(folder + "/callbacks.csv", [&](CsvFields& in) {
+    SubmittedMessage c;
     c.origin = in.number<std::uint32_t>();
     c.type = in.number<std::uint16_t>();
     c.tenant = in.number<std::uint16_t>();
     c.destination = in.number<std::uint16_t>();
     c.key = in.number<std::uint32_t>();
     c.due = in.number<double>();
-    trace.callbacks.push_back(c);
+    trace.messages.push_back(c);
   });
-  eachLine(folder + "/events.csv", [&](Fields& in) {
-    Event e;
+  forEachRow(folder + "/events.csv", [&](CsvFields& in) {
+    TraceEvent e;
     e.at = in.number<double>();
     std::string_view name = in.word();
     std::size_t place = 0;
-    while (place < kNames.size() && name != kNames[place]) ++place;
-    if (place == kNames.size()) in.fail("'" + std::string(name) + "' is not a kind of event");
-    e.what = static_cast<What>(place);
-    e.callback = in.number<std::uint32_t>();
-    e.call = in.number<std::uint32_t>();
+    while (place < kEventTypeNames.size() && name != kEventTypeNames[place]) ++place;
+    if (place == kEventTypeNames.size()) in.fail("'" + std::string(name) + "' is not a kind of event");
+    e.type = static_cast<TraceEventType>(place);
+    e.message = in.number<std::uint32_t>();
+    e.request = in.number<std::uint32_t>();
     e.endpoint = in.number<std::uint32_t>();
     e.dispatcher = in.number<std::uint16_t>();
     e.status = in.number<std::int16_t>();
-    e.span = in.number<double>();
-    e.ran = in.number<int>() != 0;
+    e.duration = in.number<double>();
+    e.executed = in.number<int>() != 0;
     trace.events.push_back(e);
   });
   return trace;
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -64,7 +64,7 @@
 
 Experiment experimentWith(const std::string& more) { return readExperiment(kExperiment + more, "plan.toml"); }
 
-std::string complaintOf(const std::string& text) {
+std::string errorOf(const std::string& text) {
   try {
     readExperiment(text, "plan.toml");
   } catch (const ConfigError& problem) {
@@ -74,7 +74,7 @@
 }
 
 TEST(Plans, NameEveryMistakeWithItsPlaceAndWhatWouldBeRight) {
-  std::string wrong = complaintOf(
+  std::string wrong = errorOf(
       "name = \"x\"\nduration_s = -1\n[world]\ndestinatons = 4\nparallel = 2.5\n[load]\narrivals = "
       "\"poison\"\n"
       "[[type]]\nname = \"t\"\neffect = \"receipted\"\n[[trouble]]\nkind = \"refuse\"\nfrom_s = 5\nuntil_s = "
@@ -86,12 +86,12 @@
         "needs 'window_ms'", "must be later than 'from_s'", "there is no room \"z\""}) {
     EXPECT_NE(wrong.find(part), std::string::npos) << part << "\n" << wrong;
   }
-  EXPECT_NE(complaintOf("name = ").find("plan.toml:1:"), std::string::npos);
-  EXPECT_NE(complaintOf("name = \"x\"").find("at least one [[type]]"), std::string::npos);
-  EXPECT_NE(complaintOf(std::string(kExperiment) +
-                        "[[trouble]]\nkind = \"lost\"\nfactor = 3\nfrom_s=1\nuntil_s=2\n")
-                .find("share of the calls"),
-            std::string::npos);
+  EXPECT_NE(errorOf("name = ").find("plan.toml:1:"), std::string::npos);
+  EXPECT_NE(errorOf("name = \"x\"").find("at least one [[type]]"), std::string::npos);
+  EXPECT_NE(
+      errorOf(std::string(kExperiment) + "[[trouble]]\nkind = \"lost\"\nfactor = 3\nfrom_s=1\nuntil_s=2\n")
+          .find("share of the calls"),
+      std::string::npos);
 }
 
 TEST(Plans, TakeWhatTheCommandLinePutsInPlaceOfTheFile) {
@@ -108,154 +108,164 @@
 // ---- the audit ----
 
 // A trace by hand: one message of each type of the plan, handed to dispatcher 0 and taken.
-struct Hand {
+struct TraceBuilder {
   Experiment experiment = experimentWith("");
   Trace trace;
-  std::uint32_t calls = 0;
+  std::uint32_t requests = 0;
 
-  explicit Hand(std::uint16_t type, int callbacks = 1, std::uint32_t key = 0) {
-    for (int n = 0; n < callbacks; ++n) {
+  explicit TraceBuilder(std::uint16_t type, int messages = 1, std::uint32_t key = 0) {
+    for (int n = 0; n < messages; ++n) {
       auto id = static_cast<std::uint32_t>(n);
-      trace.callbacks.push_back({id, type, 0, 0, key, 10.0 * n});
-      add({.at = 10.0 * n, .what = What::handedIn, .callback = id, .span = 3000});
-      add({.at = 10.0 * n + 1, .what = What::taken, .callback = id});
+      trace.messages.push_back({id, type, 0, 0, key, 10.0 * n});
+      add({.at = 10.0 * n, .type = TraceEventType::submitted, .message = id, .duration = 3000});
+      add({.at = 10.0 * n + 1, .type = TraceEventType::accepted, .message = id});
     }
   }
-  void add(Event e) { trace.events.push_back(e); }
-  std::uint32_t arrive(Millis at, std::uint32_t endpoint = 0, std::uint32_t callback = 0) {
-    add({.at = at, .what = What::arrived, .callback = callback, .call = ++calls, .endpoint = endpoint});
-    return calls;
+  void add(TraceEvent e) { trace.events.push_back(e); }
+  std::uint32_t arrive(Millis at, std::uint32_t endpoint = 0, std::uint32_t message = 0) {
+    add({.at = at,
+         .type = TraceEventType::arrived,
+         .message = message,
+         .request = ++requests,
+         .endpoint = endpoint});
+    return requests;
   }
-  void reply(Millis at, std::uint32_t call, int status, std::uint32_t endpoint = 0,
-             std::uint32_t callback = 0, Millis wait = 0) {
+  void respond(Millis at, std::uint32_t request, int status, std::uint32_t endpoint = 0,
+               std::uint32_t message = 0, Millis wait = 0) {
     add({.at = at,
-         .what = What::replied,
-         .callback = callback,
-         .call = call,
+         .type = TraceEventType::responded,
+         .message = message,
+         .request = request,
          .endpoint = endpoint,
          .status = static_cast<std::int16_t>(status),
-         .span = wait,
-         .ran = status != 503 && status != 429});
+         .duration = wait,
+         .executed = status != 503 && status != 429});
+  }
+  void notify(Millis at, int result, std::uint32_t message = 0) {
+    add({.at = at,
+         .type = TraceEventType::notificationReceived,
+         .message = message,
+         .status = static_cast<std::int16_t>(result)});
   }
-  void notice(Millis at, int result, std::uint32_t callback = 0) {
-    add({.at = at, .what = What::noticed, .callback = callback, .status = static_cast<std::int16_t>(result)});
+  void addLateEvent() {
+    add({.at = 60000, .type = TraceEventType::endpointStateNotified, .endpoint = 5, .status = 1});
   }
-  void later() { add({.at = 60000, .what = What::told, .endpoint = 5, .status = 1}); }
   std::vector<Rule> broken() {
     std::vector<Rule> rules;
-    for (const Break& b : audit(experiment, trace)) {
+    for (const RuleViolation& b : audit(experiment, trace)) {
       rules.push_back(b.rule);
-      EXPECT_NE(told(b, trace).find(b.text), std::string::npos);
+      EXPECT_NE(describe(b, trace).find(b.text), std::string::npos);
     }
     return rules;
   }
 };
-using Rules = std::vector<Rule>;
+using RuleList = std::vector<Rule>;
 
 TEST(Audit, FindsACallbackWithoutAnEndOrWithALateOne) {
-  Hand none(2);
-  none.later();
-  EXPECT_EQ(none.broken(), Rules{Rule::oneAnswer});
-  Hand late(2);
-  late.notice(3500, 1);
-  late.later();
-  EXPECT_EQ(late.broken(), Rules{Rule::oneAnswer});
-  Hand inTime(2);
-  inTime.notice(3290, 1);
-  inTime.later();
-  EXPECT_EQ(inTime.broken(), Rules{});
-  Hand afterIts(2);
-  afterIts.notice(500, 1);
+  TraceBuilder none(2);
+  none.addLateEvent();
+  EXPECT_EQ(none.broken(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder late(2);
+  late.notify(3500, 1);
+  late.addLateEvent();
+  EXPECT_EQ(late.broken(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder inTime(2);
+  inTime.notify(3290, 1);
+  inTime.addLateEvent();
+  EXPECT_EQ(inTime.broken(), RuleList{});
+  TraceBuilder afterIts(2);
+  afterIts.notify(500, 1);
   afterIts.arrive(900);
-  EXPECT_EQ(afterIts.broken(), Rules{Rule::oneAnswer});
-  Hand two(2);
-  two.notice(500, 1);
-  two.notice(600, 2);
-  EXPECT_EQ(two.broken(), Rules{Rule::oneAnswer});
-  Hand refused(2);
-  refused.trace.events[1].what = What::busy;
-  refused.later();
-  EXPECT_EQ(refused.broken(), Rules{});
+  EXPECT_EQ(afterIts.broken(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder two(2);
+  two.notify(500, 1);
+  two.notify(600, 2);
+  EXPECT_EQ(two.broken(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder refused(2);
+  refused.trace.events[1].type = TraceEventType::rejected;
+  refused.addLateEvent();
+  EXPECT_EQ(refused.broken(), RuleList{});
 }
 
 TEST(Audit, FindsARepeatOfWhatMayHaveRunAndLetsOneThatNeverRanGo) {
-  for (auto [type, status, again, broken] : {std::tuple{0, 500, 300.0, true},
-                                             {0, 503, 300.0, false},
-                                             {1, 500, 300.0, false},
-                                             {1, 500, 2300.0, true},
-                                             {1, 503, 2300.0, false},
-                                             {2, 500, 2300.0, false}}) {
-    Hand hand(static_cast<std::uint16_t>(type));
-    std::uint32_t first = hand.arrive(100);
-    hand.reply(150, first, status);
-    hand.reply(again + 50, hand.arrive(again), 200);
-    EXPECT_EQ(hand.broken(), broken ? Rules{Rule::noEffectTwice} : Rules{})
-        << type << " " << status << " " << again;
+  for (auto [type, status, repeatAt, broken] : {std::tuple{0, 500, 300.0, true},
+                                                {0, 503, 300.0, false},
+                                                {1, 500, 300.0, false},
+                                                {1, 500, 2300.0, true},
+                                                {1, 503, 2300.0, false},
+                                                {2, 500, 2300.0, false}}) {
+    TraceBuilder builder(static_cast<std::uint16_t>(type));
+    std::uint32_t first = builder.arrive(100);
+    builder.respond(150, first, status);
+    builder.respond(repeatAt + 50, builder.arrive(repeatAt), 200);
+    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::noDuplicateEffect} : RuleList{})
+        << type << " " << status << " " << repeatAt;
   }
-  Hand rooms(1);
-  rooms.experiment.types[1].settings.deduplicationScope = DeduplicationScope::zone;
-  rooms.reply(150, rooms.arrive(100, 0), 500);
-  rooms.reply(350, rooms.arrive(300, 1), 200, 1);  // the other room
-  EXPECT_EQ(rooms.broken(), Rules{Rule::noEffectTwice});
-  Hand shed(0);
-  shed.reply(150, shed.arrive(100), 500);
-  shed.notice(300, 2);
-  EXPECT_EQ(shed.broken(), Rules{Rule::noEffectTwice});
-  Hand twice(1);
-  for (std::uint32_t call : {1u, 2u}) twice.add({.at = 100.0 * call, .what = What::effect, .call = call});
-  twice.notice(400, 1);
-  EXPECT_EQ(twice.broken(), Rules{Rule::noEffectTwice});
+  TraceBuilder builder(1);
+  builder.experiment.types[1].settings.deduplicationScope = DeduplicationScope::zone;
+  builder.respond(150, builder.arrive(100, 0), 500);
+  builder.respond(350, builder.arrive(300, 1), 200, 1);  // the other room
+  EXPECT_EQ(builder.broken(), RuleList{Rule::noDuplicateEffect});
+  TraceBuilder shed(0);
+  shed.respond(150, shed.arrive(100), 500);
+  shed.notify(300, 2);
+  EXPECT_EQ(shed.broken(), RuleList{Rule::noDuplicateEffect});
+  TraceBuilder twice(1);
+  for (std::uint32_t request : {1u, 2u})
+    twice.add({.at = 100.0 * request, .type = TraceEventType::effect, .request = request});
+  twice.notify(400, 1);
+  EXPECT_EQ(twice.broken(), RuleList{Rule::noDuplicateEffect});
 }
 
 TEST(Audit, FindsALaunchAtAnEndpointThatDrains) {
   for (auto [at, broken] : {std::pair{560.0, false}, {700.0, true}}) {
-    Hand hand(2);
-    hand.add({.at = 100, .what = What::told, .endpoint = 0, .status = 2});
-    hand.reply(at + 20, hand.arrive(at), 200);
-    EXPECT_EQ(hand.broken(), broken ? Rules{Rule::drains} : Rules{});
+    TraceBuilder builder(2);
+    builder.add({.at = 100, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 2});
+    builder.respond(at + 20, builder.arrive(at), 200);
+    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::noAttemptsWhileDraining} : RuleList{});
   }
-  Hand back(2);
-  back.add({.at = 100, .what = What::told, .endpoint = 0, .status = 2});
-  back.add({.at = 600, .what = What::told, .endpoint = 0, .status = 1});
-  back.reply(720, back.arrive(700), 200);
-  EXPECT_EQ(back.broken(), Rules{});
+  TraceBuilder back(2);
+  back.add({.at = 100, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 2});
+  back.add({.at = 600, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 1});
+  back.respond(720, back.arrive(700), 200);
+  EXPECT_EQ(back.broken(), RuleList{});
 }
 
 TEST(Audit, FindsThoseWhoPushedADestinationOverKnowingly) {
   for (bool knew : {true, false}) {
-    Hand hand(2, 6);
-    hand.add({.at = 100, .what = What::out});
-    if (knew) hand.add({.at = 150, .what = What::probed, .endpoint = 0, .status = 503});
-    hand.add({.at = 400, .what = What::back});
-    for (std::uint32_t c = 0; c < 6; ++c) hand.reply(420, hand.arrive(410 + c, 0, c), 200, 0, c);
-    hand.add({.at = 420, .what = What::fell});
-    EXPECT_EQ(hand.broken(), knew ? Rules{Rule::returns} : Rules{});
+    TraceBuilder builder(2, 6);
+    builder.add({.at = 100, .type = TraceEventType::destinationDown});
+    if (knew) builder.add({.at = 150, .type = TraceEventType::healthChecked, .endpoint = 0, .status = 503});
+    builder.add({.at = 400, .type = TraceEventType::destinationUp});
+    for (std::uint32_t c = 0; c < 6; ++c) builder.respond(420, builder.arrive(410 + c, 0, c), 200, 0, c);
+    builder.add({.at = 420, .type = TraceEventType::destinationOverloaded});
+    EXPECT_EQ(builder.broken(), knew ? RuleList{Rule::noOverloadInSlowStart} : RuleList{});
   }
 }
 
 TEST(Audit, FindsKeysOutOfOrderAndThePauseLeftOut) {
   for (auto [firstEnds, status, secondAt, broken] :
        {std::tuple{200.0, 200, 150.0, true}, {200.0, 200, 250.0, false}, {200.0, 1, 300.0, true}}) {
-    Hand hand(0, 2, 7);
-    hand.experiment.types[0].settings.ordered = true;
-    std::uint32_t first = hand.arrive(100, 0, 0);
-    std::uint32_t second = hand.arrive(secondAt, 0, 1);
-    hand.reply(firstEnds, first, status, 0, 0);
-    if (status != 200) hand.notice(firstEnds + 10, 1, 0);
-    hand.reply(secondAt + 60, second, 200, 0, 1);
-    std::sort(hand.trace.events.begin(), hand.trace.events.end(),
+    TraceBuilder builder(0, 2, 7);
+    builder.experiment.types[0].settings.ordered = true;
+    std::uint32_t first = builder.arrive(100, 0, 0);
+    std::uint32_t second = builder.arrive(secondAt, 0, 1);
+    builder.respond(firstEnds, first, status, 0, 0);
+    if (status != 200) builder.notify(firstEnds + 10, 1, 0);
+    builder.respond(secondAt + 60, second, 200, 0, 1);
+    std::sort(builder.trace.events.begin(), builder.trace.events.end(),
               [](const auto& a, const auto& b) { return a.at < b.at; });
-    EXPECT_EQ(hand.broken(), broken ? Rules{Rule::keyOrder} : Rules{}) << secondAt;
+    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::orderPerKey} : RuleList{}) << secondAt;
   }
 }
 
 TEST(Audit, FindsALaunchInsideAWaitAtTheWholeDestination) {
   for (auto [at, broken] : {std::pair{240.0, false}, {400.0, true}, {720.0, false}}) {
-    Hand hand(2, 2);
-    hand.reply(200, hand.arrive(150, 0, 0), 429, 0, 0, 500);
-    hand.reply(at + 20, hand.arrive(at, 1, 1), 200, 1, 1);  // another endpoint, the same destination
-    hand.notice(900, 1, 0);
-    EXPECT_EQ(hand.broken(), broken ? Rules{Rule::waits} : Rules{}) << at;
+    TraceBuilder builder(2, 2);
+    builder.respond(200, builder.arrive(150, 0, 0), 429, 0, 0, 500);
+    builder.respond(at + 20, builder.arrive(at, 1, 1), 200, 1, 1);  // another endpoint, the same destination
+    builder.notify(900, 1, 0);
+    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::retryAfterRespected} : RuleList{}) << at;
   }
 }
 
@@ -264,30 +274,33 @@
 TEST(Audit, CatchesEachDeliberateMistakeInTheModel) {
   struct Case {
     const char* fault;
-    Sabotage sabotage;
+    PolicyDefects defects;
     Rule rule;
   };
-  Sabotage forgets, waits, effects, drains, cold;
-  forgets.forgetsCallbacks = waits.ignoresWaits = effects.repeatsEffects = drains.ignoresDrains =
-      cold.pushesCold = true;
-  for (const Case& c :
-       {Case{"", forgets, Rule::oneAnswer},
-        Case{"[[trouble]]\nkind=\"shut\"\ndestinations=[0]\nfrom_s=1\nuntil_s=3\n", waits, Rule::waits},
-        Case{"[[trouble]]\nkind=\"reset\"\nfactor=0.4\nfrom_s=1\nuntil_s=5\n", effects, Rule::noEffectTwice},
-        Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", drains, Rule::drains},
-        Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n", cold, Rule::returns}}) {
+  PolicyDefects forgets, waits, effects, drains, cold;
+  forgets.losesMessages = waits.ignoresRetryAfter = effects.repeatsExecuted = drains.ignoresDraining =
+      cold.overloadsInSlowStart = true;
+  for (const Case& c : {Case{"", forgets, Rule::exactlyOneOutcome},
+                        Case{"[[trouble]]\nkind=\"shut\"\ndestinations=[0]\nfrom_s=1\nuntil_s=3\n", waits,
+                             Rule::retryAfterRespected},
+                        Case{"[[trouble]]\nkind=\"reset\"\nfactor=0.4\nfrom_s=1\nuntil_s=5\n", effects,
+                             Rule::noDuplicateEffect},
+                        Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", drains,
+                             Rule::noAttemptsWhileDraining},
+                        Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n", cold,
+                             Rule::noOverloadInSlowStart}}) {
     Experiment experiment = experimentWith(c.fault);
-    if (c.sabotage.pushesCold) {
+    if (c.defects.overloadsInSlowStart) {
       experiment.environment.concurrency = 1;
       experiment.environment.slowStartInitialShare = 0.05;
       experiment.environment.overloadThreshold = 1;
     }
-    auto clean = audit(experiment, playModel(experiment, 3, "ours"));
+    auto clean = audit(experiment, runModel(experiment, 3, "ours"));
     EXPECT_TRUE(clean.empty()) << nameOf(c.rule) << clean.size();
-    Trace wrong = playModel(experiment, 3, "ours", nullptr, c.sabotage);
+    Trace wrong = runModel(experiment, 3, "ours", nullptr, c.defects);
     auto found = audit(experiment, wrong);
     ASSERT_FALSE(found.empty()) << nameOf(c.rule);
-    EXPECT_EQ(found.front().rule, c.rule) << told(found.front(), wrong);
+    EXPECT_EQ(found.front().rule, c.rule) << describe(found.front(), wrong);
   }
 }
 
@@ -298,17 +311,17 @@
       "[[trouble]]\nkind=\"blackhole\"\nroom=\"b\"\nfrom_s=1\nuntil_s=3\n"
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=3\n");
   for (const std::string& policy : policyNames()) {
-    Trace one = playModel(experiment, 5, policy);
-    Trace two = playModel(experiment, 5, policy);
+    Trace one = runModel(experiment, 5, policy);
+    Trace two = runModel(experiment, 5, policy);
     EXPECT_EQ(one.events, two.events) << policy;
-    EXPECT_EQ(one.callbacks, two.callbacks);
-    EXPECT_NE(one.events, playModel(experiment, 6, policy).events);
-    Tally t = tally(experiment, one);
+    EXPECT_EQ(one.messages, two.messages);
+    EXPECT_NE(one.events, runModel(experiment, 6, policy).events);
+    RunSummary t = summarize(experiment, one);
     EXPECT_GT(t.completed, t.due / 3) << policy;
-    EXPECT_EQ(t.delivery.count, t.completed);
-    EXPECT_EQ(t.due, static_cast<std::uint64_t>(
-                         std::count_if(one.callbacks.begin(), one.callbacks.end(),
-                                       [&](const Handed& h) { return &one.callbacks[h.origin] == &h; })));
+    EXPECT_EQ(t.deliveryLatency.count, t.completed);
+    EXPECT_EQ(t.due, static_cast<std::uint64_t>(std::count_if(
+                         one.messages.begin(), one.messages.end(),
+                         [&](const SubmittedMessage& h) { return &one.messages[h.origin] == &h; })));
   }
 }
 
@@ -316,10 +329,10 @@
 TEST(Model, GivesEveryPolicyTheSameDay) {
   Experiment experiment = experimentWith("[[trouble]]\nkind=\"shut\"\nfrom_s=1\nuntil_s=4\n");
   auto days = [&](const std::string& policy) {
-    Trace trace = playModel(experiment, 9, policy);
+    Trace trace = runModel(experiment, 9, policy);
     std::vector<Millis> due;
-    for (std::size_t n = 0; n < trace.callbacks.size(); ++n) {
-      if (trace.callbacks[n].origin == n) due.push_back(trace.callbacks[n].due);
+    for (std::size_t n = 0; n < trace.messages.size(); ++n) {
+      if (trace.messages[n].origin == n) due.push_back(trace.messages[n].due);
     }
     return due;
   };
@@ -330,23 +343,24 @@
   Experiment experiment = experimentWith(
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=2.2\n[[trouble]]\nkind=\"slow\"\nfactor=10\nfrom_s="
       "1\nuntil_s=4\n");
-  Trace trace = playModel(experiment, 4, "ours");
+  Trace trace = runModel(experiment, 4, "ours");
   EXPECT_TRUE(audit(experiment, trace).empty());
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
-                          [](const Event& e) { return e.what == What::down; }),
+                          [](const TraceEvent& e) { return e.type == TraceEventType::dispatcherDown; }),
             1);
 }
 
 TEST(Traces, ComeBackFromTheirFilesAndNameALineThatIsWrong) {
   Folder folder;
   Experiment experiment = experimentWith("");
-  Trace trace = playModel(experiment, 1, "ours");
-  save(trace, folder.path);
-  Trace again = loadTrace(folder.path);
-  ASSERT_EQ(again.events.size(), trace.events.size());
-  EXPECT_EQ(again.callbacks.size(), trace.callbacks.size());
-  EXPECT_EQ(audit(experiment, again).size(), 0u);
-  EXPECT_NEAR(tally(experiment, again).share(), tally(experiment, trace).share(), 1e-6);
+  Trace trace = runModel(experiment, 1, "ours");
+  saveTrace(trace, folder.path);
+  Trace repeatAt = loadTrace(folder.path);
+  ASSERT_EQ(repeatAt.events.size(), trace.events.size());
+  EXPECT_EQ(repeatAt.messages.size(), trace.messages.size());
+  EXPECT_EQ(audit(experiment, repeatAt).size(), 0u);
+  EXPECT_NEAR(summarize(experiment, repeatAt).deliveredWeightShare(),
+              summarize(experiment, trace).deliveredWeightShare(), 1e-6);
   std::ofstream(folder.path / "events.csv", std::ios::app) << "1.0,sneezed,0,0,0,0,0,0,0\n";
   try {
     loadTrace(folder.path);
@@ -360,16 +374,16 @@
   Experiment experiment = experimentWith("");
   experiment.environment.concurrency = 1;
   Trace trace;
-  trace.callbacks.resize(200, {0, 2, 0, 0, 0, 0});
+  trace.messages.resize(200, {0, 2, 0, 0, 0, 0});
   EndpointModel endpointModel(experiment, 1, trace);
   auto push = [&](Millis from, int many) {
     for (int n = 0; n < many; ++n) {
-      auto call = static_cast<std::uint32_t>(from) + static_cast<std::uint32_t>(n);
-      endpointModel.receiveRequest(from + n, call, 0, 0, {static_cast<std::uint32_t>(n)});
-      endpointModel.abandonRequest(from + n, call, 0);
+      auto request = static_cast<std::uint32_t>(from) + static_cast<std::uint32_t>(n);
+      endpointModel.receiveRequest(from + n, request, 0, 0, {static_cast<std::uint32_t>(n)});
+      endpointModel.abandonRequest(from + n, request, 0);
     }
     return std::count_if(trace.events.begin(), trace.events.end(),
-                         [](const Event& e) { return e.what == What::fell; });
+                         [](const TraceEvent& e) { return e.type == TraceEventType::destinationOverloaded; });
   };
   EXPECT_EQ(push(100, 150), 0);
   Fault rejectAll{.kind = FaultKind::rejectAll, .from = 1000, .until = 4000, .destinations = {0}};
@@ -384,14 +398,14 @@
 TEST(Towns, DropARepeatThatTheirReceiptCovers) {
   Experiment experiment = experimentWith("");
   Trace trace;
-  trace.callbacks = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
+  trace.messages = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
   EndpointModel endpointModel(experiment, 1, trace);
   endpointModel.receiveRequest(0, 1, 0, 0, {0});
-  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted again
+  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted repeatAt
   endpointModel.receiveRequest(5000, 3, 0, 0, {1});  // past the window
   endpointModel.receiveRequest(5000, 4, 1, 0, {2});
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
-                          [](const Event& e) { return e.what == What::effect; }),
+                          [](const TraceEvent& e) { return e.type == TraceEventType::effect; }),
             3);
 }
 
@@ -429,7 +443,7 @@
   EXPECT_EQ(arrivalModel.due(), 900);
   auto resubmitted = arrivalModel.nextDue(900);
   ASSERT_TRUE(resubmitted);
-  EXPECT_EQ(trace.callbacks[*resubmitted].origin, *first);
+  EXPECT_EQ(trace.messages[*resubmitted].origin, *first);
   EXPECT_TRUE(arrivalModel.isResubmission(*resubmitted));
   arrivalModel.recordRejection(950, *resubmitted, 9000);
   EXPECT_FALSE(arrivalModel.due());
@@ -460,83 +474,85 @@
 
 // ---- on sockets, with the real dispatcher ----
 
-Played playShort(const std::string& faults, const std::string& folder, Experiment& experiment) {
+RunResult runShort(const std::string& faults, const std::string& folder, Experiment& experiment) {
   experiment = experimentWith(faults);
-  RunChoices choices;
-  choices.binary = STONEWING_BINARY;
-  choices.folder = folder;
-  return playSockets(experiment, experiment.seed, choices);
+  RunOptions options;
+  options.binary = STONEWING_BINARY;
+  options.folder = folder;
+  return runOnSockets(experiment, experiment.seed, options);
 }
 
 // The dispatcher keeps the rules through troubles that strike together, and most of the gain.
 TEST(OnSockets, TheRulesHoldWhileAKillABlackholeAndLostAnswersStrikeTogether) {
   Folder folder;
   Experiment experiment;
-  Played played = playShort(
+  RunResult result = runShort(
       "[[trouble]]\nkind=\"blackhole\"\nendpoints=[1]\nfrom_s=1\nuntil_s=4\n"
       "[[trouble]]\nkind=\"lost\"\nfactor=0.3\nendpoints=[2]\nfrom_s=1\nuntil_s=4\n"
       "[[trouble]]\nkind=\"kill\"\ndispatchers=[1]\nfrom_s=2\nuntil_s=2.3\n"
       "[[trouble]]\nkind=\"drain\"\nendpoints=[4]\nfrom_s=3\nuntil_s=5\n",
       folder.path, experiment);
-  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
-  EXPECT_TRUE(played.crashes.empty());
-  Tally t = tally(experiment, played.trace);
-  EXPECT_GT(t.share(), 0.7);
+  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
+  EXPECT_TRUE(result.crashes.empty());
+  RunSummary t = summarize(experiment, result.trace);
+  EXPECT_GT(t.deliveredWeightShare(), 0.7);
   EXPECT_GT(t.due, 250u);
 }
 
 TEST(OnSockets, RefusalsAFullTableSpoiltAnswersAndWaitsReachTheDispatcherAsSuch) {
   Folder folder;
   Experiment experiment;
-  Played played = playShort(
+  RunResult result = runShort(
       "[[trouble]]\nkind=\"refuse\"\nendpoints=[0]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"spoilt\"\nfactor=0.3\nendpoints=[2]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"cut\"\nfactor=0.3\nendpoints=[3]\nfrom_s=0.5\nuntil_s=4\n"
       "[[trouble]]\nkind=\"shut\"\ndestinations=[2]\nfrom_s=1\nuntil_s=2.5\n"
       "[[trouble]]\nkind=\"table\"\nfactor=1\nendpoints=[1]\nfrom_s=1\nuntil_s=4\n",
       folder.path, experiment);
-  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
-  auto saw = [&](What what, int status) {
-    return std::any_of(played.trace.events.begin(), played.trace.events.end(),
-                       [&](const Event& e) { return e.what == what && e.status == status; });
+  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
+  auto saw = [&](TraceEventType what, int status) {
+    return std::any_of(result.trace.events.begin(), result.trace.events.end(),
+                       [&](const TraceEvent& e) { return e.type == what && e.status == status; });
   };
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::malformed)));
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::truncated)));
-  EXPECT_TRUE(saw(What::replied, static_cast<int>(ResponseKind::unavailable)));
-  EXPECT_GT(tally(experiment, played.trace).share(), 0.6);
+  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::malformed)));
+  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::truncated)));
+  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::unavailable)));
+  EXPECT_GT(summarize(experiment, result.trace).deliveredWeightShare(), 0.6);
 }
 
 // Danger: a dispatcher that dies of a full disk, or of a file limit's signal, loses what it took on.
 TEST(OnSockets, AFolderWithoutRoomTurnsCallbacksAwayAndLosesNone) {
   Folder folder;
   Experiment experiment;
-  Played played = playShort("[[trouble]]\nkind=\"disk-full\"\ndispatchers=[0]\nfrom_s=1.5\nuntil_s=3.5\n",
-                            folder.path, experiment);
-  for (const Break& b : audit(experiment, played.trace)) ADD_FAILURE() << told(b, played.trace);
-  EXPECT_TRUE(played.crashes.empty()) << played.crashes.front();
-  EXPECT_GT(tally(experiment, played.trace).refused, 0u);
+  RunResult result = runShort("[[trouble]]\nkind=\"disk-full\"\ndispatchers=[0]\nfrom_s=1.5\nuntil_s=3.5\n",
+                              folder.path, experiment);
+  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
+  EXPECT_TRUE(result.crashes.empty()) << result.crashes.front();
+  EXPECT_GT(summarize(experiment, result.trace).rejected, 0u);
 }
 
 // Danger: a loop that is behind answers clients that have left, they hand in again, and it stays behind for
 // ever.
 TEST(Gates, OursComesBackFromAStallAndAnswersAllInASurgeWhereOthersDoNot) {
-  GatePlan stall;
+  AdmissionScenario stall;
   stall.perSecond = 8000;
-  stall.surge = 1;
+  stall.surgeFactor = 1;
   stall.stallAt = 2000;
-  stall.stallFor = 700;
+  stall.stallDuration = 700;
   stall.duration = 8000;
-  EXPECT_GT(playGate(stall, "work").kept, playGate(stall, "none").kept * 2);
-  EXPECT_GT(playGate(stall, "work").kept, playGate(stall, "codel").kept * 2);
-  GatePlan surge;
+  EXPECT_GT(runAdmissionScenario(stall, "work").acknowledged,
+            runAdmissionScenario(stall, "none").acknowledged * 2);
+  EXPECT_GT(runAdmissionScenario(stall, "work").acknowledged,
+            runAdmissionScenario(stall, "codel").acknowledged * 2);
+  AdmissionScenario surge;
   surge.surgeFrom = 1000;
   surge.surgeUntil = 4000;
   surge.duration = 7000;
-  GateResult ours = playGate(surge, "work");
-  EXPECT_LT(ours.unanswered, playGate(surge, "gradient").unanswered / 20);
-  EXPECT_GT(ours.kept, playGate(surge, "none").kept);
-  EXPECT_EQ(ours.kept, playGate(surge, "work").kept);
-  EXPECT_THROW(playGate(surge, "hope"), ConfigError);
+  AdmissionResult ours = runAdmissionScenario(surge, "work");
+  EXPECT_LT(ours.unanswered, runAdmissionScenario(surge, "gradient").unanswered / 20);
+  EXPECT_GT(ours.acknowledged, runAdmissionScenario(surge, "none").acknowledged);
+  EXPECT_EQ(ours.acknowledged, runAdmissionScenario(surge, "work").acknowledged);
+  EXPECT_THROW(runAdmissionScenario(surge, "hope"), ConfigError);
 }
 
 }  // namespace
