--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -73,7 +73,7 @@
   return "";
 }
 
-TEST(Plans, NameEveryMistakeWithItsPlaceAndWhatWouldBeRight) {
+TEST(ExperimentFile, ReportsEveryMistakeWithItsPlaceAndTheAllowedValues) {
   std::string wrong = errorOf(
       "name = \"x\"\nduration_s = -1\n[world]\ndestinatons = 4\nparallel = 2.5\n[load]\narrivals = "
       "\"poison\"\n"
@@ -94,7 +94,7 @@
       std::string::npos);
 }
 
-TEST(Plans, TakeWhatTheCommandLinePutsInPlaceOfTheFile) {
+TEST(ExperimentFile, AppliesOverridesOfTheCommandLine) {
   Experiment experiment =
       readExperiment(kExperiment, "plan.toml", {"load.per_s=90", "fleet.held=12", "name=\"other\""});
   EXPECT_EQ(experiment.load.perSecond, 90);
@@ -161,7 +161,7 @@
 };
 using RuleList = std::vector<Rule>;
 
-TEST(Audit, FindsACallbackWithoutAnEndOrWithALateOne) {
+TEST(Audit, FindsAMessageWithoutAnOutcomeOrWithALateOne) {
   TraceBuilder none(2);
   none.addLateEvent();
   EXPECT_EQ(none.broken(), RuleList{Rule::exactlyOneOutcome});
@@ -187,7 +187,7 @@
   EXPECT_EQ(refused.broken(), RuleList{});
 }
 
-TEST(Audit, FindsARepeatOfWhatMayHaveRunAndLetsOneThatNeverRanGo) {
+TEST(Audit, FindsARepeatOfAnAttemptThatMayHaveExecuted) {
   for (auto [type, status, repeatAt, broken] : {std::tuple{0, 500, 300.0, true},
                                                 {0, 503, 300.0, false},
                                                 {1, 500, 300.0, false},
@@ -217,7 +217,7 @@
   EXPECT_EQ(twice.broken(), RuleList{Rule::noDuplicateEffect});
 }
 
-TEST(Audit, FindsALaunchAtAnEndpointThatDrains) {
+TEST(Audit, FindsAnAttemptAtADrainingEndpoint) {
   for (auto [at, broken] : {std::pair{560.0, false}, {700.0, true}}) {
     TraceBuilder builder(2);
     builder.add({.at = 100, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 2});
@@ -231,7 +231,7 @@
   EXPECT_EQ(back.broken(), RuleList{});
 }
 
-TEST(Audit, FindsThoseWhoPushedADestinationOverKnowingly) {
+TEST(Audit, FindsAnOverloadByDispatchersThatKnewOfTheOutage) {
   for (bool knew : {true, false}) {
     TraceBuilder builder(2, 6);
     builder.add({.at = 100, .type = TraceEventType::destinationDown});
@@ -243,7 +243,7 @@
   }
 }
 
-TEST(Audit, FindsKeysOutOfOrderAndThePauseLeftOut) {
+TEST(Audit, FindsMessagesOfAKeyOutOfOrderOrWithoutThePause) {
   for (auto [firstEnds, status, secondAt, broken] :
        {std::tuple{200.0, 200, 150.0, true}, {200.0, 200, 250.0, false}, {200.0, 1, 300.0, true}}) {
     TraceBuilder builder(0, 2, 7);
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(Audit, FindsALaunchInsideAWaitAtTheWholeDestination) {
+TEST(Audit, FindsAnAttemptBeforeRetryAfterOfTheDestination) {
   for (auto [at, broken] : {std::pair{240.0, false}, {400.0, true}, {720.0, false}}) {
     TraceBuilder builder(2, 2);
     builder.respond(200, builder.arrive(150, 0, 0), 429, 0, 0, 500);
@@ -277,9 +277,9 @@
     PolicyDefects defects;
     Rule rule;
   };
-  PolicyDefects forgets, waits, effects, drains, cold;
+  PolicyDefects forgets, waits, effects, drains, overloads;
   forgets.losesMessages = waits.ignoresRetryAfter = effects.repeatsExecuted = drains.ignoresDraining =
-      cold.overloadsInSlowStart = true;
+      overloads.overloadsInSlowStart = true;
   for (const Case& c : {Case{"", forgets, Rule::exactlyOneOutcome},
                         Case{"[[trouble]]\nkind=\"shut\"\ndestinations=[0]\nfrom_s=1\nuntil_s=3\n", waits,
                              Rule::retryAfterRespected},
@@ -287,8 +287,8 @@
                              Rule::noDuplicateEffect},
                         Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", drains,
                              Rule::noAttemptsWhileDraining},
-                        Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n", cold,
-                             Rule::noOverloadInSlowStart}}) {
+                        Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n",
+                             overloads, Rule::noOverloadInSlowStart}}) {
     Experiment experiment = experimentWith(c.fault);
     if (c.defects.overloadsInSlowStart) {
       experiment.environment.concurrency = 1;
@@ -326,7 +326,7 @@
 }
 
 // The day that is due is the clients' own, whatever the dispatchers do with it.
-TEST(Model, GivesEveryPolicyTheSameDay) {
+TEST(Model, GivesEveryPolicyTheSameArrivals) {
   Experiment experiment = experimentWith("[[trouble]]\nkind=\"shut\"\nfrom_s=1\nuntil_s=4\n");
   auto days = [&](const std::string& policy) {
     Trace trace = runModel(experiment, 9, policy);
@@ -339,7 +339,7 @@
   EXPECT_EQ(days("ours"), days("one-try"));
 }
 
-TEST(Model, KeepsWhatAKilledDispatcherHeld) {
+TEST(Model, RestoresTheMessagesOfAKilledDispatcher) {
   Experiment experiment = experimentWith(
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=2.2\n[[trouble]]\nkind=\"slow\"\nfactor=10\nfrom_s="
       "1\nuntil_s=4\n");
@@ -350,16 +350,16 @@
             1);
 }
 
-TEST(Traces, ComeBackFromTheirFilesAndNameALineThatIsWrong) {
+TEST(Trace, IsReadBackFromItsFilesAndAWrongLineIsNamed) {
   Folder folder;
   Experiment experiment = experimentWith("");
   Trace trace = runModel(experiment, 1, "ours");
   saveTrace(trace, folder.path);
-  Trace repeatAt = loadTrace(folder.path);
-  ASSERT_EQ(repeatAt.events.size(), trace.events.size());
-  EXPECT_EQ(repeatAt.messages.size(), trace.messages.size());
-  EXPECT_EQ(audit(experiment, repeatAt).size(), 0u);
-  EXPECT_NEAR(summarize(experiment, repeatAt).deliveredWeightShare(),
+  Trace reloaded = loadTrace(folder.path);
+  ASSERT_EQ(reloaded.events.size(), trace.events.size());
+  EXPECT_EQ(reloaded.messages.size(), trace.messages.size());
+  EXPECT_EQ(audit(experiment, reloaded).size(), 0u);
+  EXPECT_NEAR(summarize(experiment, reloaded).deliveredWeightShare(),
               summarize(experiment, trace).deliveredWeightShare(), 1e-6);
   std::ofstream(folder.path / "events.csv", std::ios::app) << "1.0,sneezed,0,0,0,0,0,0,0\n";
   try {
@@ -370,7 +370,7 @@
   }
 }
 
-TEST(Towns, PushedWhileColdFallOverAndNotWhenWarm) {
+TEST(EndpointModel, IsOverloadedDuringSlowStartAndNotAtFullCapacity) {
   Experiment experiment = experimentWith("");
   experiment.environment.concurrency = 1;
   Trace trace;
@@ -395,13 +395,13 @@
             ResponseKind::unavailable);  // it stays down, all of it
 }
 
-TEST(Towns, DropARepeatThatTheirReceiptCovers) {
+TEST(EndpointModel, DropsARepeatWithinTheDeduplicationWindow) {
   Experiment experiment = experimentWith("");
   Trace trace;
   trace.messages = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
   EndpointModel endpointModel(experiment, 1, trace);
   endpointModel.receiveRequest(0, 1, 0, 0, {0});
-  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted repeatAt
+  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted again
   endpointModel.receiveRequest(5000, 3, 0, 0, {1});  // past the window
   endpointModel.receiveRequest(5000, 4, 1, 0, {2});
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
@@ -409,7 +409,7 @@
             3);
 }
 
-TEST(Clients, ComeAsOftenAsTheirPlanSaysWhateverItsShape) {
+TEST(ArrivalModel, HasTheRateOfTheExperimentForEachShape) {
   for (const char* shape : {"arrivals = \"poisson\"", "arrivals = \"bursts\"\nburst_factor = 3",
                             "arrivals = \"dusk\"\ndusk_factor = 4", "clump_share = 0.5\nclump_size = 20"}) {
     std::string text = kExperiment;
@@ -431,7 +431,7 @@
   }
 }
 
-TEST(Clients, ComeAgainAfterTheTimeTheyWereToldAndNotPastTheOuterLimit) {
+TEST(ArrivalModel, ResubmitsAfterRetryAfterAndNotPastTheDeadline) {
   Experiment experiment = experimentWith("");
   experiment.duration = 100;
   Trace trace;
@@ -449,7 +449,7 @@
   EXPECT_FALSE(arrivalModel.due());
 }
 
-RC_GTEST_PROP(Draws, KeepTheirMedian, (std::uint32_t seed)) {
+RC_GTEST_PROP(Distributions, KeepTheirMedian, (std::uint32_t seed)) {
   std::mt19937 randomEngine(seed);
   for (DistributionShape shape : {DistributionShape::lognormal, DistributionShape::pareto}) {
     DurationDistribution distribution{shape, 30, shape == DistributionShape::pareto ? 1.5 : 0.7};
@@ -499,7 +499,7 @@
   EXPECT_GT(t.due, 250u);
 }
 
-TEST(OnSockets, RefusalsAFullTableSpoiltAnswersAndWaitsReachTheDispatcherAsSuch) {
+TEST(OnSockets, FaultsOfEndpointsReachTheDispatcherAsSuch) {
   Folder folder;
   Experiment experiment;
   RunResult result = runShort(
@@ -521,7 +521,7 @@
 }
 
 // Danger: a dispatcher that dies of a full disk, or of a file limit's signal, loses what it took on.
-TEST(OnSockets, AFolderWithoutRoomTurnsCallbacksAwayAndLosesNone) {
+TEST(OnSockets, AFullDiskRejectsMessagesAndLosesNone) {
   Folder folder;
   Experiment experiment;
   RunResult result = runShort("[[trouble]]\nkind=\"disk-full\"\ndispatchers=[0]\nfrom_s=1.5\nuntil_s=3.5\n",
@@ -533,7 +533,7 @@
 
 // Danger: a loop that is behind answers clients that have left, they hand in again, and it stays behind for
 // ever.
-TEST(Gates, OursComesBackFromAStallAndAnswersAllInASurgeWhereOthersDoNot) {
+TEST(AdmissionScenario, DispatcherRecoversFromAStallAndAnswersASurgeWhereOthersDoNot) {
   AdmissionScenario stall;
   stall.perSecond = 8000;
   stall.surgeFactor = 1;
