--- /dev/null
+++ b/src/lab/emulated_servers.cpp
@@ -0,0 +1,455 @@
+#include "lab/emulated_servers.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <cstdio>
+#include <nlohmann/json.hpp>
+#include <set>
+
+#include "net/http_client_connection.h"
+#include "policy/endpoint_state.h"
+
+namespace stonewing::lab {
+namespace {
+
+using nlohmann::json;
+
+constexpr std::uint32_t kReferencePrefix = 0x5705e000;  // so that a message's name is not a bare number
+constexpr Millis kMaxWatchTimeout = 60000;
+
+std::string responseHead(int status, std::size_t length, const std::string& more = "") {
+  const char* reason = status == 200 ? "OK" : status == 204 ? "No Content" : "Trouble";
+  std::string head = "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n" + more;
+  if (status != 204) head += "Content-Length: " + std::to_string(length) + "\r\n";
+  return head + "\r\n";
+}
+
+const char* stateName(EndpointState state) {
+  return state == EndpointState::ready      ? "in_service"
+         : state == EndpointState::draining ? "terminating"
+                                            : "terminated";
+}
+
+std::string parameter(const std::string& target, const std::string& name) {
+  std::size_t at = target.find(name + "=");
+  if (at == std::string::npos) return "";
+  at += name.size() + 1;
+  return target.substr(at, target.find('&', at) - at);
+}
+
+}  // namespace
+
+std::string EmulatedServers::messageReference(std::uint32_t message) {
+  char text[20];
+  std::snprintf(text, sizeof text, "%08x%08x", kReferencePrefix, message);
+  return text;
+}
+
+std::optional<std::uint32_t> EmulatedServers::messageOf(std::string_view ref) {
+  if (ref.size() != 16) return std::nullopt;
+  std::uint64_t value = 0;
+  auto [end, error] = std::from_chars(ref.data(), ref.data() + ref.size(), value, 16);
+  if (error != std::errc() || end != ref.data() + ref.size() || value >> 32 != kReferencePrefix)
+    return std::nullopt;
+  auto message = static_cast<std::uint32_t>(value);
+  constexpr std::uint32_t kMaxUnknownMessage = 1u << 26;
+  if (acceptsUnknownMessages_ && message < kMaxUnknownMessage) {
+    while (trace_.messages.size() <= message) {
+      trace_.messages.push_back({.origin = static_cast<std::uint32_t>(trace_.messages.size())});
+    }
+  }
+  if (message >= trace_.messages.size()) return std::nullopt;
+  return message;
+}
+
+EmulatedServers::EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
+                                 const Experiment& experiment, EndpointModel& endpointModel, Trace& trace)
+    : loop_(loop),
+      timers_(timers),
+      clock_(clock),
+      experiment_(experiment),
+      endpointModel_(endpointModel),
+      trace_(trace) {
+  auto count = static_cast<std::size_t>(experiment.endpointCount());
+  endpointServers_.resize(count);
+  notifiedStates_.assign(static_cast<std::size_t>(experiment.fleet.dispatchers),
+                         std::vector<EndpointState>(2 * count, EndpointState::ready));
+  for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
+    std::string subnet = "127.0." + std::to_string(d + 1) + ".";
+    platformServers_.push_back(std::make_unique<HttpServer>(loop, *this, subnet + "1"));
+    locations_[platformServers_.back().get()] = {d, -1};
+    for (int e = 0; e < experiment.endpointCount(); ++e) {
+      auto& servers = endpointServers_[static_cast<std::size_t>(e)];
+      servers.push_back(
+          std::make_unique<HttpServer>(loop, *this, subnet + std::to_string(experiment.zoneOf(e) + 1)));
+      locations_[servers.back().get()] = {d, e};
+    }
+  }
+  for (std::uint32_t e = 0; e < count; ++e) entries_.push_back({e, EndpointState::ready, 1});
+}
+
+EmulatedServers::~EmulatedServers() = default;
+
+std::string EmulatedServers::discoveryAddress(int dispatcher) const {
+  return platformServers_[static_cast<std::size_t>(dispatcher)]->address();
+}
+
+Millis EmulatedServers::oneWayDelay(const ServerLocation& location) const {
+  int zones = static_cast<int>(experiment_.environment.zones.size());
+  bool near = location.dispatcher % zones == experiment_.zoneOf(location.endpoint);
+  return near ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
+}
+
+// ---- discovery ----
+
+std::string EmulatedServers::entryText(int dispatcher, const DiscoveryEntry& entry) const {
+  auto count = static_cast<std::uint32_t>(experiment_.endpointCount());
+  std::uint32_t real = entry.endpoint % count;
+  bool ghost = entry.endpoint >= count;  // named by a wrong list: nobody is there
+  json row{
+      {"id", (ghost ? "ghost-" : "s-") + std::to_string(real)},
+      {"addr",
+       ghost ? "127.0.0.1:1" : endpointServers_[real][static_cast<std::size_t>(dispatcher)]->address()},
+      {"zone",
+       experiment_.environment.zones[static_cast<std::size_t>(experiment_.zoneOf(static_cast<int>(real)))]},
+      {"kind", "partner"},
+      {"cell", experiment_.destinationOf(static_cast<int>(real))},
+      {"state", stateName(entry.state)},
+      {"weight", ghost ? 1e6 : 1.0},
+      {"started_ms", 0}};
+  return row.dump();
+}
+
+std::string EmulatedServers::endpointList(int dispatcher) const {
+  std::string rows;
+  for (const DiscoveryEntry& e : entries_) {
+    if (e.state != EndpointState::removed) rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
+  }
+  return R"({"version":)" + std::to_string(version_) + R"(,"full":true,"servers":[)" + rows + "]}";
+}
+
+void EmulatedServers::answerWatch(int dispatcher, std::int64_t since, HttpServerConnection& connection) {
+  std::string rows;
+  for (const DiscoveryEntry& e : entries_) {
+    if (e.version <= since) continue;
+    rows += (rows.empty() ? "" : ",") + entryText(dispatcher, e);
+    EndpointState& notified = notifiedStates_[static_cast<std::size_t>(dispatcher)][e.endpoint];
+    if (notified == e.state) continue;
+    notified = e.state;
+    trace_.events.push_back({.at = clock_.now(),
+                             .type = TraceEventType::endpointStateNotified,
+                             .endpoint = e.endpoint,
+                             .dispatcher = static_cast<std::uint16_t>(dispatcher),
+                             .status = static_cast<std::int16_t>(e.state)});
+  }
+  std::string body =
+      R"({"version":)" + std::to_string(version_) + R"(,"full":false,"servers":[)" + rows + "]}";
+  connection.respond(responseHead(200, body.size()) + body);
+}
+
+void EmulatedServers::handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
+                                      const HttpRequest& request) {
+  if (clock_.now() < discoveryUnresponsiveUntil_) return;  // it is there and says nothing
+  std::string since = parameter(request.target, "since");
+  if (since.empty()) {
+    std::string body = endpointList(location.dispatcher);
+    for (const DiscoveryEntry& e : entries_)
+      notifiedStates_[static_cast<std::size_t>(location.dispatcher)][e.endpoint] = e.state;
+    return connection.respond(responseHead(200, body.size()) + body);
+  }
+  auto from = static_cast<std::int64_t>(parseWholeNumber(since).value_or(0));
+  if (version_ > from) return answerWatch(location.dispatcher, from, connection);
+  auto timeout = static_cast<Millis>(parseWholeNumber(parameter(request.target, "timeout_ms")).value_or(0));
+  std::uint64_t serial = ++lastWatchSerial_;
+  watches_[location.dispatcher] = {&connection, from, serial};
+  timers_.schedule(loop_.now() + std::min(timeout, kMaxWatchTimeout),
+                   [this, d = location.dispatcher, serial] {
+                     auto at = watches_.find(d);
+                     if (at == watches_.end() || at->second.serial != serial) return;
+                     PendingWatch watch = at->second;
+                     watches_.erase(at);
+                     if (clock_.now() >= discoveryUnresponsiveUntil_)
+                       answerWatch(d, watch.since, *watch.connection);
+                   });
+}
+
+void EmulatedServers::publish(std::uint32_t endpoint, EndpointState state) {
+  Millis late = std::max(discoveryDelay_, discoveryUnresponsiveUntil_ - clock_.now());
+  timers_.schedule(loop_.now() + std::max(0.0, late), [this, endpoint, state] {
+    ++version_;
+    auto at = std::find_if(entries_.begin(), entries_.end(),
+                           [&](const DiscoveryEntry& e) { return e.endpoint == endpoint; });
+    if (at == entries_.end()) at = entries_.insert(entries_.end(), {endpoint, state, version_});
+    at->state = state;
+    at->version = version_;
+    for (auto& [d, watch] : std::exchange(watches_, {})) answerWatch(d, watch.since, *watch.connection);
+  });
+}
+
+// ---- notices ----
+
+void EmulatedServers::handleNotifications(HttpServerConnection& connection, const HttpRequest& request) {
+  std::string_view rest = request.body;
+  struct Notification {
+    std::uint32_t message;
+    int result;
+    Millis wait;
+  };
+  std::vector<Notification> notifications;
+  while (!rest.empty()) {
+    std::size_t lineEnd = std::min(rest.find('\n'), rest.size());
+    std::string_view text = rest.substr(0, lineEnd);
+    rest.remove_prefix(std::min(rest.size(), lineEnd + 1));
+    if (text.empty()) continue;
+    json row = json::parse(text, nullptr, false);
+    if (!row.is_object() || !row.contains("ref") || !row.contains("result"))
+      return connection.respond(responseHead(400, 0));
+    auto message = messageOf(row.value("ref", ""));
+    std::string result = row.value("result", "");
+    if (!message || (result != "dead" && result != "bounced"))
+      return connection.respond(responseHead(400, 0));
+    notifications.push_back({*message, result == "dead" ? 1 : 2, row.value("wait_ms", 0.0)});
+  }
+  for (const Notification& notification : notifications) {
+    trace_.events.push_back({.at = clock_.now(),
+                             .type = TraceEventType::notificationReceived,
+                             .message = notification.message,
+                             .status = static_cast<std::int16_t>(notification.result),
+                             .duration = notification.wait});
+    if (onNotification) onNotification(notification.message, notification.result, notification.wait);
+  }
+  connection.respond(responseHead(204, 0));
+}
+
+// ---- endpoints ----
+
+bool EmulatedServers::connectionOpened(HttpServer& server, HttpServerConnection&) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint < 0) return true;
+  auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+  auto result =
+      endpointModel_.connect(clock_.now(), endpoint, static_cast<std::uint16_t>(location.dispatcher));
+  updateConnectionLimit(endpoint);
+  return result == EndpointModel::ConnectResult::accepted;
+}
+
+// A full table takes no connection: it is refused before any of a call is written.
+void EmulatedServers::updateConnectionLimit(std::uint32_t endpoint) {
+  bool full = endpointModel_.connectionTableFull(endpoint);
+  for (auto& server : endpointServers_[endpoint]) server->setAcceptPaused(full);
+}
+
+void EmulatedServers::requestReceived(HttpServer& server, HttpServerConnection& connection,
+                                      HttpRequest request) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint >= 0) {
+    if (request.method == "POST" && request.target.starts_with("/v1/messages")) {
+      return receiveMessages(location, connection, request);
+    }
+    bool load = request.target == "/_load";  // the same probe, with the report as its body
+    if (request.method == "GET" && (load || request.target == "/ping")) {
+      auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+      int status = endpointModel_.answerHealthCheck(clock_.now(), endpoint,
+                                                    static_cast<std::uint16_t>(location.dispatcher));
+      std::string body = load && experiment_.environment.reportsLoad ? loadReportText(endpoint) : "";
+      if (status != 0) connection.respond(responseHead(status, body.size()) + body);
+      return;
+    }
+  } else if (request.method == "GET" && request.target.starts_with("/catalog/members")) {
+    return handleDiscovery(location, connection, request);
+  } else if (request.method == "POST" && request.target == "/reports") {
+    return handleNotifications(connection, request);
+  }
+  connection.respond(responseHead(404, 0));
+}
+
+std::string EmulatedServers::loadReportText(std::uint32_t endpoint) const {
+  char limit[64];
+  std::snprintf(limit, sizeof limit, "x1=%.3f", endpointModel_.loadReport(clock_.now(), endpoint).rateLimit);
+  return limit;
+}
+
+void EmulatedServers::receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
+                                      const HttpRequest& request) {
+  PendingRequest pending;
+  pending.connection = &connection;
+  pending.batch = request.target.ends_with(":batch");
+  pending.dispatcher = static_cast<std::uint16_t>(location.dispatcher);
+  pending.endpoint = static_cast<std::uint32_t>(location.endpoint);
+  auto add = [&](std::string_view ref) {
+    auto message = messageOf(ref);
+    if (!message) return false;
+    pending.messages.push_back(*message);
+    pending.references.emplace_back(ref);
+    return true;
+  };
+  bool good = true;
+  if (pending.batch) {
+    std::string_view rest = request.body;
+    while (good && !rest.empty()) {
+      std::size_t lineEnd = rest.find("\r\n");
+      std::string_view row = rest.substr(0, lineEnd);
+      std::size_t first = row.find(' ');
+      std::size_t last = row.rfind(' ');
+      auto length = last == std::string_view::npos ? std::nullopt : parseWholeNumber(row.substr(last + 1));
+      good = lineEnd != std::string_view::npos && length && rest.size() >= lineEnd + 4 + *length &&
+             add(row.substr(0, first));
+      if (good) rest.remove_prefix(lineEnd + 4 + *length);
+    }
+    good = good && !pending.messages.empty();
+  } else {
+    good = add(request.header("X-Request-Id"));
+  }
+  if (!good) return connection.respond(responseHead(400, 0));
+  std::uint32_t requestNumber = nextRequest_++;
+  requestOf_[&connection] = requestNumber;
+  Millis delay = oneWayDelay(location);
+  pendingRequests_[requestNumber] = std::move(pending);
+  timers_.schedule(loop_.now() + delay, [this, requestNumber] { deliverToEndpoint(requestNumber); });
+}
+
+void EmulatedServers::deliverToEndpoint(std::uint32_t request) {
+  auto at = pendingRequests_.find(request);
+  if (at == pendingRequests_.end() || endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher))
+    return;
+  PendingRequest& pending = at->second;
+  auto immediate = endpointModel_.receiveRequest(clock_.now(), request, pending.endpoint, pending.dispatcher,
+                                                 pending.messages);
+  if (immediate) scheduleResponse(*immediate);
+  scheduleAdvance(pending.endpoint);
+}
+
+void EmulatedServers::scheduleAdvance(std::uint32_t endpoint) {
+  Millis due = endpointModel_.due(endpoint);
+  if (due < 0) return;
+  Millis& scheduledAt = advanceAt_.try_emplace(endpoint, -1).first->second;
+  if (scheduledAt >= 0 && scheduledAt <= due) return;
+  scheduledAt = due;
+  timers_.schedule(clock_.epoch + due, [this, endpoint, due] {
+    if (advanceAt_[endpoint] == due) advanceAt_[endpoint] = -1;
+    for (const EndpointResponse& r : endpointModel_.advance(clock_.now(), endpoint)) scheduleResponse(r);
+    scheduleAdvance(endpoint);
+  });
+}
+
+void EmulatedServers::scheduleResponse(const EndpointResponse& r) {
+  auto at = pendingRequests_.find(r.request);
+  if (at == pendingRequests_.end() || r.kind == ResponseKind::none) return;
+  timers_.schedule(loop_.now() + oneWayDelay({at->second.dispatcher, static_cast<int>(at->second.endpoint)}),
+                   [this, r] { writeResponse(r.request, r); });
+}
+
+void EmulatedServers::writeResponse(std::uint32_t request, const EndpointResponse& r) {
+  auto at = pendingRequests_.find(request);
+  if (at == pendingRequests_.end()) return;
+  // Called off while the reply was on its way: nobody hears it, and the end of its connection says so.
+  if (!endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher) &&
+      at->second.connection->peerClosed())
+    return;
+  PendingRequest pending = std::move(at->second);
+  pendingRequests_.erase(at);
+  requestOf_.erase(pending.connection);
+  if (endpointModel_.unreachable(pending.endpoint, pending.dispatcher)) return;
+  for (std::uint32_t c : pending.messages) {
+    trace_.events.push_back({.at = clock_.now(),
+                             .type = TraceEventType::responded,
+                             .message = c,
+                             .request = request,
+                             .endpoint = pending.endpoint,
+                             .dispatcher = pending.dispatcher,
+                             .status = static_cast<std::int16_t>(r.kind),
+                             .duration = r.retryAfter,
+                             .executed = r.executed});
+  }
+  std::string more;
+  if (r.retryAfter > 0)
+    more += "X-Backoff-Ms: " + std::to_string(static_cast<std::int64_t>(std::ceil(r.retryAfter))) + "\r\n";
+  if (experiment_.environment.reportsLoad) more += "X-Load: " + loadReportText(pending.endpoint) + "\r\n";
+  std::string body;
+  if (pending.batch && r.kind == ResponseKind::ok) {
+    for (const std::string& ref : pending.references) body += ref + " ok\r\n";
+  }
+  switch (r.kind) {
+    case ResponseKind::connectionReset:
+      return pending.connection->reset();
+    case ResponseKind::malformed:
+      return pending.connection->respond("HTTP/1.1 2O0 ;;\r\n\x01\x02 noise\r\n\r\n");
+    case ResponseKind::truncated:
+      return pending.connection->respond(responseHead(200, body.size() + 100, more) + body, true);
+    default:
+      return pending.connection->respond(responseHead(static_cast<int>(r.kind), body.size(), more) + body);
+  }
+}
+
+void EmulatedServers::connectionClosed(HttpServer& server, HttpServerConnection& connection) {
+  const ServerLocation& location = locations_.at(&server);
+  if (location.endpoint < 0) {
+    std::erase_if(watches_, [&](const auto& w) { return w.second.connection == &connection; });
+    return;
+  }
+  auto endpoint = static_cast<std::uint32_t>(location.endpoint);
+  if (auto at = requestOf_.find(&connection); at != requestOf_.end()) {
+    std::uint32_t request = at->second;
+    requestOf_.erase(at);
+    PendingRequest pending = std::move(pendingRequests_.at(request));
+    pendingRequests_.erase(request);
+    bool ran = endpointModel_.abandonRequest(clock_.now(), request, endpoint);
+    for (std::uint32_t c : pending.messages) {
+      trace_.events.push_back({.at = clock_.now(),
+                               .type = TraceEventType::abandoned,
+                               .message = c,
+                               .request = request,
+                               .endpoint = endpoint,
+                               .dispatcher = pending.dispatcher,
+                               .executed = ran});
+    }
+    scheduleAdvance(endpoint);
+  }
+  endpointModel_.recordDisconnect(endpoint);
+  updateConnectionLimit(endpoint);
+}
+
+void EmulatedServers::applyFault(const Fault& t, bool begins) {
+  switch (t.kind) {
+    case FaultKind::drain:
+      for (int e : experiment_.affectedEndpoints(t))
+        publish(static_cast<std::uint32_t>(e), begins ? EndpointState::draining : EndpointState::ready);
+      return;
+    case FaultKind::discoveryWrong:
+      for (int e : experiment_.affectedEndpoints(t)) {
+        if (e % experiment_.environment.endpoints != 0) continue;
+        publish(static_cast<std::uint32_t>(experiment_.endpointCount() + e),
+                begins ? EndpointState::ready : EndpointState::removed);
+      }
+      return;
+    case FaultKind::discoveryDelayed:
+      discoveryDelay_ = begins ? t.factor : 0;
+      return;
+    case FaultKind::discoveryUnresponsive:
+      if (begins) discoveryUnresponsiveUntil_ = t.until;
+      return;
+    case FaultKind::kill:
+    case FaultKind::stop:
+    case FaultKind::terminate:
+    case FaultKind::diskFull:
+    case FaultKind::diskHang:
+      return;
+    default:
+      break;
+  }
+  for (const EndpointResponse& r : endpointModel_.applyFault(clock_.now(), t, begins)) scheduleResponse(r);
+  for (int n : experiment_.affectedEndpoints(t)) {
+    auto e = static_cast<std::uint32_t>(n);
+    for (std::uint32_t d = 0; d < endpointServers_[e].size(); ++d) {
+      HttpServer& server = *endpointServers_[e][d];
+      if (t.kind == FaultKind::refuseConnections) server.setRefusing(endpointModel_.refusesConnections(e));
+      if (t.kind == FaultKind::blackhole || t.kind == FaultKind::networkPartition)
+        server.setUnreachable(endpointModel_.unreachable(e, d));
+    }
+    updateConnectionLimit(e);
+    scheduleAdvance(e);
+  }
+}
+
+}  // namespace stonewing::lab
--- /dev/null
+++ b/src/lab/emulated_servers.h
@@ -0,0 +1,107 @@
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "lab/endpoint_model.h"
+#include "lab/experiment.h"
+#include "lab/http_server.h"
+#include "lab/timer_queue.h"
+#include "lab/trace.h"
+#include "policy/endpoint_state.h"
+
+namespace stonewing::lab {
+
+// The partners' endpoints and the platform on loopback: each dispatcher reaches them at addresses of its own,
+// 127.0.<dispatcher + 1>.<room + 1>, so that it is known who calls.
+class EmulatedServers : public HttpServer::Handler {
+ public:
+  EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
+                  const Experiment& experiment, EndpointModel& endpointModel, Trace& trace);
+  ~EmulatedServers() override;
+
+  std::string discoveryAddress(int dispatcher) const;
+  // The list that a dispatcher starts from, in discovery's form.
+  std::string endpointList(int dispatcher) const;
+  // A trouble among endpoints or in discovery begins or ends; those of dispatchers are not ours.
+  void applyFault(const Fault& fault, bool begins);
+  // Messages that the platform is told of, with the result (1 failed, 2 shed) and the time to come back.
+  std::function<void(std::uint32_t message, int result, Millis wait)> onNotification;
+  static std::string messageReference(std::uint32_t message);
+  // Takes any message by a name of ours as one of the first type: a load in another process draws its own.
+  void acceptUnknownMessages() { acceptsUnknownMessages_ = true; }
+
+ private:
+  struct ServerLocation {
+    int dispatcher{};
+    int endpoint{-1};  // the platform where negative
+  };
+  struct DiscoveryEntry {
+    std::uint32_t endpoint{};
+    EndpointState state{EndpointState::ready};
+    std::int64_t version{1};
+  };
+  struct PendingWatch {
+    HttpServerConnection* connection{};
+    std::int64_t since{};
+    std::uint64_t serial{};
+  };
+  struct PendingRequest {
+    HttpServerConnection* connection{};
+    std::vector<std::uint32_t> messages;
+    std::vector<std::string> references;
+    bool batch{false};
+    bool closed{false};
+    std::uint16_t dispatcher{};
+    std::uint32_t endpoint{};
+  };
+
+  // No value: nobody handed in anything by that name.
+  std::optional<std::uint32_t> messageOf(std::string_view ref);
+  bool connectionOpened(HttpServer&, HttpServerConnection&) override;
+  void requestReceived(HttpServer&, HttpServerConnection&, HttpRequest) override;
+  void connectionClosed(HttpServer&, HttpServerConnection&) override;
+  std::string loadReportText(std::uint32_t endpoint) const;
+  void receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
+                       const HttpRequest& request);
+  void deliverToEndpoint(std::uint32_t request);
+  void scheduleResponse(const EndpointResponse& reply);
+  void writeResponse(std::uint32_t request, const EndpointResponse& reply);
+  void scheduleAdvance(std::uint32_t endpoint);
+  void updateConnectionLimit(std::uint32_t endpoint);
+  void handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
+                       const HttpRequest& request);
+  void answerWatch(int dispatcher, std::int64_t since, HttpServerConnection& connection);
+  void publish(std::uint32_t endpoint, EndpointState state);
+  void handleNotifications(HttpServerConnection& connection, const HttpRequest& request);
+  std::string entryText(int dispatcher, const DiscoveryEntry& entry) const;
+  Millis oneWayDelay(const ServerLocation& location) const;
+
+  EventLoop& loop_;
+  TimerQueue& timers_;
+  const ExperimentClock& clock_;
+  const Experiment& experiment_;
+  EndpointModel& endpointModel_;
+  Trace& trace_;
+  std::map<const HttpServer*, ServerLocation> locations_;
+  std::vector<std::vector<std::unique_ptr<HttpServer>>> endpointServers_;  // by endpoint, then dispatcher
+  std::vector<std::unique_ptr<HttpServer>> platformServers_;               // by dispatcher
+  std::map<const HttpServerConnection*, std::uint32_t> requestOf_;
+  std::map<std::uint32_t, PendingRequest> pendingRequests_;
+  std::map<std::uint32_t, Millis> advanceAt_;
+  std::vector<DiscoveryEntry> entries_;
+  std::int64_t version_{1};
+  std::vector<std::vector<EndpointState>> notifiedStates_;  // by dispatcher, then endpoint
+  std::map<int, PendingWatch> watches_;                     // by dispatcher
+  std::uint64_t lastWatchSerial_{0};
+  std::uint32_t nextRequest_{1};
+  Millis discoveryDelay_{0};
+  Millis discoveryUnresponsiveUntil_{0};
+  bool acceptsUnknownMessages_{false};
+};
+
+}  // namespace stonewing::lab
