--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -6,9 +6,10 @@
 namespace stonewing {
 namespace {
 
-constexpr double kSilenceFactor = 3;               // without a response for so many p95: silent
-constexpr double kMinSilenceObjectiveShare = 0.3;  // p95 counts as at least this much of the objective
-constexpr int kTimeoutsOfSilence = 4;  // attempts cancelled since its last response that count as silence
+constexpr double kUnresponsiveFactor = 3;      // multiple of p95 without a response: the attempt is overdue
+constexpr double kMinP95ObjectiveShare = 0.3;  // of the latency objective; a lower p95 counts as this much
+// Attempts cancelled since an endpoint's last response from which they prove that it does not respond.
+constexpr int kUnresponsiveTimeouts = 4;
 
 }  // namespace
 
@@ -63,8 +64,8 @@
 }
 
 Millis OutlierDetector::silenceThreshold(const Route& route, const TrafficType& type) const {
-  return kSilenceFactor * std::max(latencies_.typicalLatency(route, type).p95,
-                                   kMinSilenceObjectiveShare * type.latencyObjective);
+  return kUnresponsiveFactor *
+         std::max(latencies_.typicalLatency(route, type).p95, kMinP95ObjectiveShare * type.latencyObjective);
 }
 
 void OutlierDetector::detectUnresponsive(const MessageRegistry& messages, SlowStart& slowStart) {
@@ -73,33 +74,34 @@
     const Message& message = messages.at(id);
     for (const Attempt& attempt : message.attempts) {
       if (!attempt.pending || message.responseStarted) continue;
-      Millis silence = silenceThreshold(*attempt.endpoint->route, trafficTypeOf(settings_, message));
-      checkAttempt(attempt, silence, slowStart);
+      Millis threshold = silenceThreshold(*attempt.endpoint->route, trafficTypeOf(settings_, message));
+      checkAttempt(attempt, threshold, slowStart);
     }
   }
 }
 
-void OutlierDetector::checkAttempt(const Attempt& attempt, Millis silence, SlowStart& slowStart) {
+void OutlierDetector::checkAttempt(const Attempt& attempt, Millis threshold, SlowStart& slowStart) {
   Endpoint& endpoint = *attempt.endpoint;
   Route& route = *endpoint.route;
   FailureHistory& failures = endpoint.failures;
-  bool isSilent = clock_.isReached(attempt.sentAt + silence);
-  if (isSilent && !route.recovery.isOutage() && route.recovery.lastSuccessAt() <= attempt.sentAt)
-    slowStart.recordSilence(route);
-  // One endpoint of several hangs: by a request that no later one overtook, or by several cancelled since its
-  // last response. Without the latter, with all concurrent requests in use, attempts would be cancelled
-  // before one is pending for long enough.
-  Millis since = failures.consecutiveTimeouts_ >= kTimeoutsOfSilence
+  bool isOverdue = clock_.isReached(attempt.sentAt + threshold);
+  if (isOverdue && !route.recovery.isOutage() && route.recovery.lastSuccessAt() <= attempt.sentAt)
+    slowStart.recordUnresponsive(route);
+  // One endpoint of several may hang while the others respond. This shows in an attempt that is still pending
+  // after the threshold with no later response from the endpoint, or in several attempts cancelled since its
+  // last response. Without the second rule, a hung endpoint would go undetected while all concurrent requests
+  // are in use: attempts are then cancelled before any of them has been pending for that long.
+  Millis since = failures.consecutiveTimeouts_ >= kUnresponsiveTimeouts
                      ? std::min(failures.firstTimeoutSentAt_, attempt.sentAt)
                      : attempt.sentAt;
-  int enoughRequests = failures.lastSuccessAt_ <= since ? 1 : kFailuresToEject;
-  if (failures.unresponsive_ || endpoint.requests.inFlight() < enoughRequests) return;
-  if (!clock_.isReached(std::max(since, failures.lastSuccessAt_) + silence)) return;
+  int requiredRequests = failures.lastSuccessAt_ <= since ? 1 : kFailuresToEject;
+  if (failures.unresponsive_ || endpoint.requests.inFlight() < requiredRequests) return;
+  if (!clock_.isReached(std::max(since, failures.lastSuccessAt_) + threshold)) return;
   failures.unresponsive_ = true;
   recordFailures(endpoint, std::max(failures.consecutiveFailures_, kFailuresToEject));
   if (!route.recovery.isOutage() && route.recovery.lastSuccessAt() <= since &&
       route.hasAllFailed(kFailuresToEject))
-    slowStart.recordSilence(route);
+    slowStart.recordUnresponsive(route);
 }
 
 }  // namespace stonewing
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -8,18 +8,19 @@
 #include "policy/zone_failover.h"
 #include "settings/deployment_settings.h"
 
-// Decides which endpoints fail or hang while others of their destination work.
+// Decides which endpoints fail or hang while other endpoints of their destination work.
 //
 // Owns: the FailureHistory of each endpoint. Input: failures, successes and cancelled attempts. Queries:
-// whether an endpoint is ejected; a scan of the pending attempts for endpoints and routes that became silent.
+// whether an endpoint is ejected; a scan of the pending attempts for endpoints and routes that no longer
+// respond.
 namespace stonewing {
 
-// Failures in a row after which an endpoint is ejected while others of its destination work.
+// Consecutive failures after which an endpoint is ejected while other endpoints of its destination work.
 constexpr int kFailuresToEject = 2;
 
 class OutlierDetector {
  public:
-  // All outlive it.
+  // The referenced objects must outlive the OutlierDetector.
   OutlierDetector(const DeploymentSettings& settings, RoundClock& clock, const LatencyTracker& latencies,
                   HealthCheckQueue& healthChecks, ZoneFailover& zones)
       : settings_(settings),
@@ -28,37 +29,39 @@
         healthChecks_(healthChecks),
         zones_(zones) {}
 
-  // A failed connection counts as enough failures to eject at once: it holds a request for the whole
-  // time-out, and is no chance.
+  // A failed connection counts as enough failures to eject the endpoint at once: it occupies a request for
+  // the whole time-out and is hardly ever a coincidence.
   void recordFailure(Endpoint& endpoint, AttemptOutcome outcome);
-  // Counts as one failure, whatever its outcome.
+  // A failed health check counts as one failure for any outcome.
   void recordHealthCheckFailure(Endpoint& endpoint);
-  // A message was delivered there: ends an ejection.
+  // Records that the endpoint received a message successfully; ends an ejection.
   void recordDelivery(Endpoint& endpoint);
-  // The same, but nothing was delivered.
+  // Ends an ejection too, but does not count as a delivery.
   void recordHealthCheckSuccess(Endpoint& endpoint);
-  // An attempt sent at that time was cancelled, since no response came.
+  // Records that an attempt sent at the given time was cancelled for lack of a response.
   void recordTimeout(Endpoint& endpoint, Millis sentAt) const;
-  // The endpoint has shown nothing about its health, but gets as long a rest as after a failure.
+  // Restarts the ejection period, as a failure does, without counting a failure. For outcomes that show
+  // nothing about the endpoint's health.
   void restartEjection(Endpoint& endpoint) const { endpoint.failures.lastFailureAt_ = clock_.now(); }
 
-  // Failing while others of its destination work: until a health check succeeds or, with none allowed, for a
-  // while.
+  // Whether the endpoint is ejected, so that others of its destination are preferred. An ejection lasts until
+  // a health check succeeds or, where the settings permit no health checks, until ejectionEndsAt() and while
+  // a request to the endpoint is in flight.
   bool isEjected(const Endpoint& endpoint) const;
-  // When an endpoint that fails may be tried again.
+  // The time from which a failing endpoint may receive an attempt without a successful health check.
   Millis ejectionEndsAt(const Endpoint& endpoint) const;
 
-  // Finds routes and endpoints that went silent: a hung endpoint gives no late response to learn from. Scans
-  // the pending attempts once a round, and again after resetScan().
+  // Finds routes and endpoints that no longer respond. A hung endpoint sends no late response that would show
+  // the problem. Scans the pending attempts once a round, and again after resetScan().
   void detectUnresponsive(const MessageRegistry& messages, SlowStart& slowStart);
   void resetScan() { scannedRound_ = -1; }
-  // After so many milliseconds without a response an attempt counts as silent.
+  // The number of milliseconds without a response after which an attempt counts as unresponsive.
   Millis silenceThreshold(const Route& route, const TrafficType& type) const;
 
  private:
   void recordFailures(Endpoint& endpoint, int consecutiveFailures);
   void recordSuccess(Endpoint& endpoint) const;
-  void checkAttempt(const Attempt& attempt, Millis silence, SlowStart& slowStart);
+  void checkAttempt(const Attempt& attempt, Millis threshold, SlowStart& slowStart);
 
   const DeploymentSettings& settings_;
   RoundClock& clock_;
--- a/src/policy/quota.cpp
+++ b/src/policy/quota.cpp
@@ -6,7 +6,7 @@
 namespace stonewing {
 namespace {
 
-constexpr double kBurstSeconds = 2;  // of a tenant's quota that a bucket holds
+constexpr double kBurstSeconds = 2;  // a bucket holds the quota of this many seconds
 
 }  // namespace
 
@@ -23,8 +23,8 @@
 bool Quota::recordAccepted(TenantId tenant) {
   if (tenant.value >= buckets_.size()) return false;
   Bucket& bucket = buckets_[tenant.value];
-  // Dispatchers carry unequal loads: our part of a quota is an even one, or what came here so far. Messages
-  // a millisecond.
+  // The tenant's rate at this dispatcher, in messages per millisecond: an even share of the quota or, if
+  // higher, the average rate accepted here so far, since dispatchers carry unequal loads.
   double evenRate = settings_.tenantQuotaPerSecond[tenant.value] / settings_.dispatcherCount / 1000;
   double acceptedRate = ++bucket.acceptedCount / std::max(settings_.slowStartDuration, clock_.uptime());
   double rate = std::max(evenRate, acceptedRate);
--- a/src/policy/quota.h
+++ b/src/policy/quota.h
@@ -12,12 +12,12 @@
 
 class Quota {
  public:
-  // Both outlive it.
+  // The referenced objects must outlive the Quota.
   Quota(const DeploymentSettings& settings, const RoundClock& clock);
 
-  // Whether the tenant was over quota when its last message was accepted; false for unknown tenants.
+  // Whether the tenant had less than one token left after its last message; false for unknown tenants.
   bool isOver(TenantId tenant) const;
-  // Counts a message of the tenant; returns whether it is over quota.
+  // Counts an accepted message of the tenant. Returns whether the message is over quota.
   bool recordAccepted(TenantId tenant);
 
  private:
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,18 +7,23 @@
 namespace stonewing {
 namespace {
 
-constexpr double kResponseWeight = 1.0 / 8;     // of each response in the running share that succeeds
-constexpr double kConnectFailedWeight = 0.4;    // in place of it: it holds a request for its whole time-out
-constexpr double kOutageSuccessShare = 0.5;     // at or below it a route is out
-constexpr double kMaxRateLimitWindows = 1.4;    // overload windows; a longer Retry-After is no rate limit's
-constexpr double kShortOutageWindows = 2;       // overload windows without a success that need no slow start
-constexpr double kOverloadBudgetShare = 0.55;   // of the overload threshold; below two thirds, so that our
-                                                // sends alone overload nothing
-constexpr double kMinSendsPerWindow = 1;        // in an overload window from all dispatchers together
-constexpr double kFurtherMessageWeight = 0.25;  // of a further message in a request, in requests
-constexpr double kMaxBatchWeight = 2;  // of a request while warming up, in requests; a full batch would be
-                                       // an overload of its own
-constexpr double kMinJitter = 0.75;    // of an interval, so that dispatchers do not send in step
+constexpr double kResponseWeight = 1.0 / 8;  // of each response in the moving average of successes
+// The same for a failed connection, which occupies a request for its whole time-out.
+constexpr double kConnectFailedWeight = 0.4;
+constexpr double kOutageSuccessShare = 0.5;  // at or below this share of successes a route is in outage
+// In overload windows: a longer Retry-After does not come from a rate limit.
+constexpr double kMaxRateLimitWindows = 1.4;
+// In overload windows: after a shorter time without a success no slow start is needed.
+constexpr double kShortOutageWindows = 2;
+// Of the overload threshold. Below two thirds, so that the requests under slow start alone overload no route.
+constexpr double kOverloadBudgetShare = 0.55;
+constexpr double kMinSendsPerWindow = 1;        // per overload window, of all dispatchers together
+constexpr double kFurtherMessageWeight = 0.25;  // of each further message of a batch, in requests
+// Largest weight of a batch during warm-up, in requests. A full batch would be an overload by itself.
+constexpr double kMaxBatchWeight = 2;
+// Intervals are multiplied by a random factor from kMinJitter to kMinJitter + kJitterRange, so that
+// dispatchers do not send at the same times.
+constexpr double kMinJitter = 0.75;
 constexpr double kJitterRange = 0.5;
 
 }  // namespace
@@ -38,11 +43,13 @@
   recovery.successShare_ += kResponseWeight * (1 - recovery.successShare_);
 }
 
-// One failure proves little, nor do a few in a row where a part of the requests breaks: an outage fails most.
+// A single failure is no evidence of an outage, nor are a few in a row on a route where some requests fail
+// all the time. In an outage most requests fail.
 void SlowStart::recordFailure(Route& route, Millis sentAt, AttemptOutcome outcome) {
   RouteRecovery& recovery = route.recovery;
   if (recovery.outage_) recovery.outageConfirmed_ = true;
-  // Later attempts complete: the route is crowded or this one unlucky, but it is not out.
+  // The route has completed an attempt since this one was sent. It may be busy, or this attempt may have
+  // failed by chance, but the route is not in outage.
   if (recovery.outage_ || recovery.lastSuccessAt_ > sentAt) return;
   recovery.successShare_ *=
       1 - (outcome == AttemptOutcome::connectFailed ? kConnectFailedWeight : kResponseWeight);
@@ -51,8 +58,9 @@
   beginOutage(route);
 }
 
-// An outage, not merely a rate limit: a wait longer than a limit's span, or rejections alone for long. A
-// limit that others use up rejects us a few times in a row too, and a slow start after that would cost
+// Begins an outage if a rate limit does not explain the rejection: its Retry-After is longer than the period
+// of any rate limit, or the route has rejected everything for long. A few rejections in a row are not enough:
+// they also occur where other dispatchers use up a rate limit, and a slow start after them would waste
 // capacity.
 void SlowStart::recordRejection(Route& route, Millis retryAfter) {
   RouteRecovery& recovery = route.recovery;
@@ -66,11 +74,12 @@
 
 void SlowStart::recordHealthCheckSuccess(Route& route, const Endpoint& endpoint) {
   if (route.recovery.outage_) endOutage(route);
-  // Of an endpoint that hung: pending attempts there tell no more of the route.
+  // A success of an endpoint that did not hang counts as a success of the route, so that attempts still
+  // pending at a hung endpoint do not begin the outage again.
   if (!endpoint.failures.isUnresponsive()) route.recovery.lastSuccessAt_ = clock_.now();
 }
 
-void SlowStart::recordSilence(Route& route) { beginOutage(route); }
+void SlowStart::recordUnresponsive(Route& route) { beginOutage(route); }
 
 void SlowStart::beginOutage(Route& route) {
   RouteRecovery& recovery = route.recovery;
@@ -127,28 +136,29 @@
   route.recovery.nextSendAt_ += kFurtherMessageWeight * sendInterval(route);
 }
 
-// The time between two sends: the rate grows linearly from the initial share to the whole over the warm-up.
-// Where our share is not known, all dispatchers together send about kMinSendsPerWindow in an overload window.
+// The time between two sends. During the warm-up the rate grows linearly from the initial share to the full
+// rate. If this dispatcher's share of the capacity is not known, all dispatchers together send about
+// kMinSendsPerWindow per overload window.
 Millis SlowStart::sendInterval(const Route& route) const {
   const RouteRecovery& recovery = route.recovery;
-  double warmShare =
+  double warmUpProgress =
       recovery.warmingUp_
           ? std::clamp((clock_.now() - recovery.warmUpStartedAt_) / settings_.slowStartDuration, 0.0, 1.0)
           : 0;
   double fullRate = kOverloadBudgetShare * settings_.overloadThreshold * provenCapacityShare(route) / 1000;
   double minRate = kMinSendsPerWindow / settings_.dispatcherCount / settings_.overloadWindow;
   double rate = std::max(minRate, fullRate * (settings_.slowStartInitialShare +
-                                              (1 - settings_.slowStartInitialShare) * warmShare));
+                                              (1 - settings_.slowStartInitialShare) * warmUpProgress));
   double growth = recovery.warmingUp_
                       ? fullRate * (1 - settings_.slowStartInitialShare) / settings_.slowStartDuration
                       : 0;
   return growth > 0 ? (std::sqrt(rate * rate + 2 * growth) - rate) / growth : 1 / rate;
 }
 
-// Our share of the route's capacity, requests a second, by what it did for us before the outage if that is
-// more.
+// This dispatcher's share of the route's capacity, in requests per second: the estimate of RatePacer or, if
+// higher, the rate at which requests of this dispatcher succeeded before the outage.
 double SlowStart::provenCapacityShare(const Route& route) const {
-  // At least an overload window: one or two successes alone prove no rate.
+  // At least an overload window, since one or two successes are no evidence of a rate.
   Millis span = std::clamp(clock_.uptime(), settings_.overloadWindow, settings_.slowStartDuration);
   return std::max(route.recovery.recentSuccesses_ / span * 1000, pacer_.capacityShare(route));
 }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -7,26 +7,27 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// Decides when a route is out of service, and how much it gets while it recovers.
+// Decides when a route is in outage, and at which rate it receives requests while it recovers.
 //
-// Owns: the RouteRecovery of each route. Input: responses, failures, rejections and silence. Query: whether a
-// route may get a request now. A route that recovers would be overloaded by all that waits for it. So
-// requests keep an interval that holds them below our share of what the route takes, and that share grows
-// while it warms up.
+// Owns: the RouteRecovery of each route. Input: responses, failures, rejections and missing responses. Query:
+// whether a route may receive a request now. Without slow start, the messages that wait for a recovering
+// route would overload it. So requests keep an interval that holds their rate below this dispatcher's share
+// of the route's capacity, and the rate grows while the route warms up.
 namespace stonewing {
 
 class SlowStart {
  public:
-  // All outlive it.
+  // The referenced objects must outlive the SlowStart.
   SlowStart(const DeploymentSettings& settings, RoundClock& clock, RandomSource& random, RatePacer& pacer,
             HealthCheckQueue& healthChecks)
       : settings_(settings), clock_(clock), random_(random), pacer_(pacer), healthChecks_(healthChecks) {}
 
-  // An attempt sent at that time succeeded: ends an outage, with a warm-up where it lasted and a failure
-  // confirmed it. May draw a random number.
+  // Records the success of an attempt sent at the given time. Ends an outage; a warm-up follows if the outage
+  // was long and a failure confirmed it. May draw a random number.
   void recordSuccess(Route& route, Millis sentAt);
-  // An attempt sent at that time failed; enough of them begin an outage. A failed connection counts for more
-  // than another failure. May draw a random number, as the next four.
+  // Records the failure of an attempt sent at the given time; enough failures begin an outage. A failed
+  // connection counts more than other failures. May draw a random number, as may recordRejection(),
+  // recordHealthCheckSuccess() and recordUnresponsive().
   void recordFailure(Route& route, Millis sentAt, AttemptOutcome outcome);
   // retryAfter: milliseconds from now. Call after RatePacer has recorded the rejection.
   void recordRejection(Route& route, Millis retryAfter);
@@ -34,18 +35,18 @@
   void recordHealthCheckSuccess(Route& route, const Endpoint& endpoint);
   // Confirms an outage, if there is one.
   void recordHealthCheckFailure(Route& route) { route.recovery.outageConfirmed_ = true; }
-  // Nothing was heard for long: an outage that a first success ends without slow start, unless a failure
-  // confirms it before.
-  void recordSilence(Route& route);
+  // Begins an outage because no response has come for long. Its first success ends it without slow start,
+  // unless a failure confirmed the outage before.
+  void recordUnresponsive(Route& route);
 
-  // Whether the route may get a request by this module's rules; if not, the clock wakes the policy when it
-  // may. Ends a warm-up whose time is up.
+  // Whether slow start allows a request to the route now. If not, the clock wakes the policy when it does,
+  // except in an outage that only a health check can end. Ends a warm-up whose duration has passed.
   bool mayRequest(Route& route);
-  // Whether one more message may join a request that holds so many, sent in this round.
+  // Whether one more message may join a request of this round that has batchSize messages.
   bool mayGrowBatch(const Route& route, int batchSize) const;
-  // A request or health check goes out. May draw a random number.
+  // Records that a request or a health check is sent. May draw a random number.
   void recordSend(Route& route);
-  // A message joins a request that goes out anyway.
+  // Records that a message joins a request that was already opened.
   void recordBatchedMessage(Route& route);
 
  private:
