--- a/src/policy/rate_pacer.cpp
+++ b/src/policy/rate_pacer.cpp
@@ -9,19 +9,25 @@
 namespace stonewing {
 namespace {
 
-constexpr double kMaxDoublings = 4;  // of the backoff and of the interval; more would shut a route for good
-constexpr double kRejectionRelief = 0.35;       // of a doubling, undone by a success
-constexpr double kRejectingAllWindows = 3;      // overload windows of rejections alone that no limit explains
-constexpr double kBackoffShare = 0.75;          // of the interval by our share, for the first backoff
-constexpr double kUnknownIntervalShare = 0.16;  // of p50 for each dispatcher, where no limit is reported
-constexpr double kBurstRequests = 1;            // requests at a paced route that may go ahead of their time
-constexpr double kReportStep = 0.05;  // halvings by a report that nothing (or all) of the limit remains
-constexpr double kTargetRemainingShare = 0.5;  // at which all dispatchers together use the limit well
-constexpr double kRejectionStep = 0.5;         // halvings by a rejection
-constexpr double kRecoveryWindows = 1;         // overload windows that undo one halving
-constexpr double kAcceptedShare = 0.5;    // of what we accepted for it, thought to be within its capacity
-constexpr double kWeightShare = 1 / 1.5;  // a listed weight may be up to half too high
-constexpr double kMinRate = 1e-9;         // requests a second; keeps divisions finite
+// Doublings of the backoff and of the interval. More could keep a route closed for good.
+constexpr double kMaxDoublings = 4;
+constexpr double kDoublingsUndoneBySuccess = 0.35;  // of the backoff
+// Overload windows in which a route only rejects, longer than under any rate limit.
+constexpr double kRejectingAllWindows = 3;
+constexpr double kBackoffShare = 0.75;  // of the interval at this dispatcher's share, for the first backoff
+// Upper bound of that interval if no limit is reported: this share of p50, times the number of dispatchers.
+constexpr double kUnknownIntervalShare = 0.16;
+constexpr double kBurstRequests = 1;  // requests that may be sent early to a paced route
+// Halvings added by a report that nothing of the limit remains, or undone by a report that all of it remains.
+constexpr double kReportStep = 0.05;
+// Share of the limit that remains while all dispatchers together use the limit well. Reports of more raise
+// the rate, reports of less lower it.
+constexpr double kTargetRemainingShare = 0.5;
+constexpr double kRejectionStep = 0.5;    // halvings added by a rejection
+constexpr double kRecoveryWindows = 1;    // overload windows in which one halving is undone
+constexpr double kAcceptedShare = 0.5;    // of the accepted rate, assumed to be within the route's capacity
+constexpr double kWeightShare = 1 / 1.5;  // a listed weight may exceed the capacity by up to half
+constexpr double kMinRate = 1e-9;         // requests per second; keeps divisions finite
 
 }  // namespace
 
@@ -79,7 +85,7 @@
   RequestPacing& pacing = route.pacing;
   pacing.rejectedSince_ = -1;
   if (sentAt >= pacing.lastRejectionAt_)
-    pacing.consecutiveRejections_ = std::max(0.0, pacing.consecutiveRejections_ - kRejectionRelief);
+    pacing.consecutiveRejections_ = std::max(0.0, pacing.consecutiveRejections_ - kDoublingsUndoneBySuccess);
 }
 
 void RatePacer::recordLoadReport(Route& route, const Endpoint& endpoint, LoadReport report) {
@@ -100,18 +106,20 @@
          clock_.now() - route.pacing.rejectedSince_ > kRejectingAllWindows * settings_.overloadWindow;
 }
 
-// Dispatchers carry unequal loads, so besides our even share of a reported limit a share of what we accepted
-// for the route counts: limits are made for what comes. Not all of it, since surges and retries by clients
-// are accepted too.
+// Dispatchers carry unequal loads, so the share is the higher of an even share of the reported limit and a
+// part of the rate that this dispatcher accepted for the route, on the assumption that limits are sized for
+// the expected load. The accepted rate does not count in full, since it includes surges and retries by
+// clients.
 double RatePacer::capacityShare(const Route& route) const {
-  auto part = static_cast<double>(route.endpoints.size()) /
-              std::max(1.0, static_cast<double>(route.destination->ranking.size()));
-  double accepted = kAcceptedShare * part * route.destination->acceptedCount /
+  auto endpointShare = static_cast<double>(route.endpoints.size()) /
+                       std::max(1.0, static_cast<double>(route.destination->ranking.size()));
+  double accepted = kAcceptedShare * endpointShare * route.destination->acceptedCount /
                     std::max(settings_.slowStartDuration, clock_.uptime());
   return std::max({reportedRateShare(route), accepted * 1000, kMinRate});
 }
 
-// Our even share of the reported limit, requests a second; 0 where there is none.
+// This dispatcher's even share of the reported limit or, without a report, of the highest listed weight of
+// the route's endpoints, in requests per second; 0 if the route has no limit or none is known.
 double RatePacer::reportedRateShare(const Route& route) const {
   double reported = route.pacing.reportedRateLimit_;
   if (reported < 0 && settings_.hasReportedWeights) {
@@ -121,17 +129,18 @@
   return std::max(0.0, reported) / settings_.dispatcherCount;
 }
 
-// Bounded by the slow-start duration. Without this, noise that reads as a limit near zero would keep a route
-// shut.
+// At most the slow-start duration. Without this bound, noise in the reports that amounts to a limit near zero
+// would keep the route closed.
 Millis RatePacer::requestInterval(const Route& route) const {
   return std::min(settings_.slowStartDuration, 1000 * std::exp2(route.pacing.rateHalvings_) /
                                                    std::max(kMinRate, reportedRateShare(route)));
 }
 
-// A rate limit can lie below one request after the other, at one dispatcher or at all together, and rejected
-// requests can use it up: then all dispatchers keep the route shut for each other. So the limit goes on below
-// one request in flight as a backoff between requests, doubled by a rejection and reduced by a success.
-// Backoffs longer than the interval by our share of the limit would leave the limit unused.
+// A rate limit can be lower than the rate of one request at a time, from one dispatcher or from all together.
+// If rejected requests count against the limit too, the dispatchers would then use it up with requests that
+// are rejected, and no dispatcher would get a message through. So below one request in flight the rate is
+// reduced by a backoff between requests, which a rejection doubles and a success shortens. Backoffs longer
+// than the interval at this dispatcher's share of the limit would leave the limit unused.
 Millis RatePacer::drawBackoff(const Route& route) {
   Millis interval = 1000 / capacityShare(route);
   if (reportedRateShare(route) <= 0) {
--- a/src/policy/rate_pacer.h
+++ b/src/policy/rate_pacer.h
@@ -7,46 +7,47 @@
 #include "policy/route.h"
 #include "settings/deployment_settings.h"
 
-// Decides when the next request to a route may be sent, by the rate limits that the route reports or that its
-// rejections show.
+// Decides when the next request to a route may be sent, from the rate limits that the route reports or that
+// its rejections imply.
 //
 // Owns: the RequestPacing of each route. Input: requests, rejections, successes, Retry-After and load
-// reports. Queries: whether a route is open, and our share of its capacity.
+// reports. Queries: whether a route is open, and this dispatcher's share of its capacity.
 namespace stonewing {
 
 class RatePacer {
  public:
-  // All outlive it.
+  // The referenced objects must outlive the RatePacer.
   RatePacer(const DeploymentSettings& settings, RoundClock& clock, RandomSource& random,
             const LatencyTracker& latencies)
       : settings_(settings), clock_(clock), random_(random), latencies_(latencies) {}
 
-  // Delays the first paced request of a route at random. Without this, all dispatchers that start at one
-  // moment would send at one moment. Call after each endpoint list; has an effect once a route.
+  // Delays the first paced request of a route by a random time. Without this, dispatchers that start at the
+  // same time would all send at the same time. Call after each endpoint list; only the first call for a paced
+  // route has an effect.
   void beginPacing(Route& route);
-  // Whether a known rate limit binds; then requests keep an interval even before any rejection.
+  // Whether the route's rate limit is known; its requests then keep an interval even before any rejection.
   bool isPaced(const Route& route) const;
-  // Whether a request may go by this module's rules; if not, the clock wakes the policy when it may.
+  // Whether the rate limits allow a request now; if not, the clock wakes the policy when they do.
   bool mayRequest(const Route& route);
 
-  // A request goes out. May draw a random number.
+  // Records that a request is sent. May draw a random number.
   void recordRequest(Route& route);
-  // retryAfter: milliseconds from now; 0 where the response holds none.
+  // retryAfter: milliseconds from now; 0 if the response has none.
   void recordRetryAfter(Route& route, Millis retryAfter);
-  // Of an attempt sent at that time. Draws a random number.
+  // Records the rejection of an attempt sent at the given time. Draws a random number.
   void recordRejection(Route& route, Millis retryAfter, Millis sentAt);
-  // Of an attempt sent at that time: shortens the backoff.
+  // Records the success of an attempt sent at the given time; shortens the backoff.
   void recordSuccess(Route& route, Millis sentAt);
-  // An outage has ended: what was rejected in it says nothing any more.
+  // Call when an outage ends: rejections during the outage do not indicate a rate limit.
   void clearRejections(Route& route) { route.pacing.consecutiveRejections_ = 0; }
-  // The endpoint may have left the list since, and its route may have no endpoint left.
+  // The endpoint may have been removed from the list, and the route may have no endpoint left.
   void recordLoadReport(Route& route, const Endpoint& endpoint, LoadReport report);
 
   // Whether any response has carried a load report.
   bool hasSeenLoadReport() const { return loadReportSeen_; }
-  // Whether it has rejected everything for longer than a rate limit explains.
+  // Whether the route has rejected everything for longer than a rate limit would.
   bool isRejectingAll(const Route& route) const;
-  // Our share of what the route can do, requests a second, above 0.
+  // This dispatcher's share of the route's capacity, in requests per second; above 0.
   double capacityShare(const Route& route) const;
 
  private:
--- a/src/policy/request_tracker.h
+++ b/src/policy/request_tracker.h
@@ -9,14 +9,14 @@
 
 // Counts the HTTP requests in flight, and the attempts that each carries.
 //
-// Owns: the open requests, and the counts of requests in flight of the dispatcher, each destination, route
-// and endpoint. Input: requests that are opened or joined, ends of attempts. Query: the count of the
+// Owns: the open requests, and the counts of requests in flight of the dispatcher and of each destination,
+// route and endpoint. Input: requests that are opened or joined, and ended attempts. Query: the count of the
 // dispatcher.
 namespace stonewing {
 
 class RequestTracker {
  public:
-  explicit RequestTracker(const RoundClock& clock) : clock_(clock) {}  // outlives it
+  explicit RequestTracker(const RoundClock& clock) : clock_(clock) {}  // must outlive the tracker
 
   int inFlight() const { return inFlight_; }
 
@@ -33,13 +33,14 @@
     ++inFlight_;
   }
 
-  // One more message joins the request that was opened last at the endpoint. It must still be in flight.
+  // Adds a message to the request that was opened last at the endpoint. That request must still be in flight.
   void join(Endpoint& endpoint) {
     ++endpoint.requests.batchSize_;
     ++requests_[endpoint.requests.batchRequestId_].pendingAttempts;
   }
 
-  // An attempt has ended. Returns the endpoint if it was the last one in flight there, else null.
+  // Records that an attempt has ended. Returns its endpoint if that ended the last request in flight there,
+  // else null.
   Endpoint* endAttempt(const Attempt& attempt) {
     auto found = requests_.find(attempt.requestId);
     if (found == requests_.end() || --found->second.pendingAttempts > 0) return nullptr;
@@ -54,7 +55,8 @@
 
  private:
   struct Request {
-    // Stays valid: the request's pending attempts are of registered messages, which keep the endpoint.
+    // Stays valid: EndpointRegistry keeps an endpoint while a registered message has an attempt at it, and
+    // the pending attempts of the request are such attempts.
     Endpoint* endpoint{};
     int pendingAttempts{0};
   };
--- a/src/policy/round_clock.h
+++ b/src/policy/round_clock.h
@@ -4,16 +4,16 @@
 
 #include "base/ids.h"
 
-// The time of the policy, in milliseconds of the host's clock, and the timer it wants.
+// The time of the policy, in milliseconds of the host's clock, and the timer that the policy requests.
 //
-// Owns: the time and number of the current round, the earliest time at which something comes due, the timer
-// that the host was asked for. Input: beginning and end of each round. Queries: the time, and whether a given
-// time has come; each time that has not come yet is remembered, so that the host calls again then.
+// Owns: the time and number of the current round, the earliest time at which something is due, and the timer
+// requested from the host. Input: beginning and end of each round. Queries: the time, and whether a given
+// time has been reached; of the times not reached yet, the earliest is remembered and becomes the next timer.
 namespace stonewing {
 
 class RoundClock {
  public:
-  // now does not run backwards.
+  // now must not be earlier than in the previous round.
   void beginRound(Millis now) {
     now_ = now;
     ++round_;
@@ -28,29 +28,30 @@
   // Counts from 1; 0 before the first round.
   int round() const { return round_; }
 
-  // Whether that time has come; if not, the policy is to be called again then.
+  // Whether the given time has been reached; if not, requests a call of the policy at that time.
   bool isReached(Millis at) {
     if (at > now_ && (nextWakeAt_ < 0 || at < nextWakeAt_)) nextWakeAt_ = at;
     return now_ >= at;
   }
-  // The policy is to be called again at that time, if it lies ahead.
+  // Requests a call of the policy at the given time, if it is in the future.
   void wakeAt(Millis at) { isReached(at); }
 
-  // Whether no pending attempt can come due yet. Between two inputs that tell something of an attempt, a
-  // route or the endpoint list, nothing comes due before the time that the last round asked to be woken at;
-  // until then no scan over the pending attempts is needed.
+  // Whether no pending attempt can be due yet, so that no scan over the pending attempts is needed. Unless
+  // there is new information on an attempt, a route or the endpoint list, nothing is due before the earliest
+  // time that the last round had to wait for.
   bool isQuiet() { return !isReached(quietUntil_); }
-  // Something was learned of an attempt, a route or the endpoint list: pending attempts are scanned again.
+  // Call on new information on an attempt, a route or the endpoint list: pending attempts are scanned again.
   void endQuiet() { quietUntil_ = -1; }
 
   void recordAttemptSent() { lastAttemptRound_ = round_; }
-  // Also when it fires a rounding early: then what is due is asked for again.
+  // Also correct for a timer that fires slightly early due to rounding: the next round then requests it
+  // again.
   void recordTimerFired() { timerSetFor_ = -1; }
 
-  // Ends a round. Returns the time to set the host's timer to, or nothing where the timer already set will
-  // do.
+  // Ends a round. Returns the time to set the host's timer to, or nothing if the timer already set is early
+  // enough.
   std::optional<Millis> endRound() {
-    // An attempt sent in this round may come due before the times that were asked about so far.
+    // An attempt sent in this round may be due before the times that were checked so far.
     quietUntil_ = lastAttemptRound_ == round_ ? -1 : nextWakeAt_;
     if (nextWakeAt_ < 0 || (timerSetFor_ > now_ && timerSetFor_ <= nextWakeAt_)) return std::nullopt;
     timerSetFor_ = nextWakeAt_;
@@ -61,7 +62,7 @@
   Millis now_{0};
   Millis startedAt_{-1};  // -1: before the first round
   int round_{0};
-  Millis nextWakeAt_{-1};   // -1: nothing comes due
+  Millis nextWakeAt_{-1};   // -1: nothing will be due
   Millis timerSetFor_{-1};  // -1: no timer is set
   Millis quietUntil_{-1};
   int lastAttemptRound_{-1};
--- a/src/policy/route.h
+++ b/src/policy/route.h
@@ -24,25 +24,25 @@
   Millis lastDecreaseAt_{0};
 };
 
-// Rate limits as one route showed them. RatePacer alone writes it.
+// The rate limits of one route, as reported or inferred from rejections. RatePacer alone writes it.
 class RequestPacing {
  public:
   Millis retryAfterUntil() const { return retryAfterUntil_; }
   Millis backoffUntil() const { return backoffUntil_; }
   double consecutiveRejections() const { return consecutiveRejections_; }
   double rateHalvings() const { return rateHalvings_; }
-  // Requests a second; 0: it has no limit, below 0: none was reported yet.
+  // Requests per second; 0: the route has no limit; below 0: no limit was reported yet.
   double reportedRateLimit() const { return reportedRateLimit_; }
 
  private:
   friend class RatePacer;
   Millis retryAfterUntil_{0};
   Millis backoffUntil_{0};
-  Millis nextPacedRequestAt_{-1};    // so that all dispatchers together keep to a reported limit
-  double rateHalvings_{0};           // halvings of our even share of that limit; below 0 doublings
-  Millis rateHalvingsAt_{0};         // when they last changed
+  Millis nextPacedRequestAt_{-1};    // keeps all dispatchers together within a reported limit
+  double rateHalvings_{0};           // of this dispatcher's even share of that limit; below 0: doublings
+  Millis rateHalvingsAt_{0};         // when the halvings were last updated
   double consecutiveRejections_{0};  // doublings of the backoff
-  Millis rejectedSince_{-1};         // since then nothing completed; -1: the last response was none
+  Millis rejectedSince_{-1};         // the first rejection since the last success; -1: none
   Millis lastRejectionAt_{0};
   double reportedRateLimit_{-1};
 };
@@ -60,14 +60,14 @@
  private:
   friend class SlowStart;
   bool outage_{false};
-  bool outageConfirmed_{false};  // by a failure, not only by silence
+  bool outageConfirmed_{false};  // by a failure, not only by missing responses
   bool warmingUp_{false};
   Millis warmUpStartedAt_{0};
-  Millis nextSendAt_{0};  // no request before, while it is out or warming up
+  Millis nextSendAt_{0};  // the earliest next request during an outage or a warm-up
   double successShare_{1};
   Millis lastSuccessAt_{0};
   Millis lastSuccessSentAt_{0};
-  double recentSuccesses_{0};  // fading count
+  double recentSuccesses_{0};  // exponentially decaying count
   Millis recentSuccessesAt_{0};
 };
 
@@ -76,13 +76,15 @@
  private:
   friend class HealthChecker;
   bool pending_{false};
-  std::size_t turn_{0};  // whose turn it is among its endpoints
+  std::size_t turn_{0};  // modulo their number, the index of the endpoint to check next
 };
 
-// What limits and outages belong to: a destination, or one endpoint of it where the endpoint kind keeps
-// routes apart. EndpointRegistry owns it and writes the endpoints, RequestTracker the requests in flight.
+// The unit to which limits and outages apply: a destination or, if the endpoint kind has separate routes
+// (routesApart), one of its endpoints. EndpointRegistry owns it and writes the endpoints, RequestTracker
+// writes the requests in flight.
 struct Route {
-  // Ready endpoints. Rebuilt with each endpoint list, before any is forgotten, so the pointers stay valid.
+  // Ready endpoints. Rebuilt with each endpoint list, before any endpoint is forgotten, so the pointers stay
+  // valid.
   std::vector<Endpoint*> endpoints;
   Destination* destination{};  // stays valid: destinations are never removed
   int requestsInFlight{0};
--- a/src/policy/scan_cursor.h
+++ b/src/policy/scan_cursor.h
@@ -4,23 +4,24 @@
 
 namespace stonewing {
 
-// The progress of a scan over the messages with pending attempts. Such a scan goes over them once a round,
-// however many decisions the round brings.
+// The position of a scan over the messages with pending attempts. Each round scans them once, even if the
+// round makes several decisions.
 class ScanCursor {
  public:
-  // Returns whether a new scan begins, since the round is a new one or the cursor was reset.
+  // Returns whether a new scan begins, because the round is new or the cursor was reset.
   bool begin(int round) {
     if (round_ == round) return false;
     round_ = round;
     next_ = MessageId{};
     return true;
   }
-  // Begins the scan of this round again.
+  // Restarts the scan of this round.
   void rewind() { next_ = MessageId{}; }
-  // Where to go on.
+  // The first id that is still to be scanned.
   MessageId next() const { return next_; }
+  // Continues after this message.
   void passOver(MessageId id) { next_ = MessageId{id.value + 1}; }
-  // To be looked at again in this round.
+  // Continues with this message again.
   void stayAt(MessageId id) { next_ = id; }
 
  private:
--- a/src/policy/scheduler.cpp
+++ b/src/policy/scheduler.cpp
@@ -8,23 +8,27 @@
 namespace stonewing {
 namespace {
 
-constexpr double kUrgencyStepShare = 0.5;  // of the latency objective; urgency is the weight lost by waiting
-                                           // for so long
+// Urgency is the weight that a message loses by waiting for this share of its latency objective.
+constexpr double kUrgencyStepShare = 0.5;
 
-// Visits messages of a list among which is the one that loses most by waiting. How much that is follows from
-// the deadline alone, and turns from rising to falling only where the time left meets one of a few spans: the
-// best is next to one of these.
+// Visits a few messages of a list, including the one that loses the most weight by waiting. Within a list
+// this loss depends on the deadline alone. As a function of the deadline it changes from rising to falling
+// only where the response, with or without the additional wait, would come exactly at the latency objective,
+// at the deadline or at the time from which the weight no longer falls. So the maximum is next to one of
+// these deadlines.
 template <class Visit>
 void visitMostUrgent(const WaitList& list, const DeploymentSettings& settings, const TrafficType& type,
                      Millis answeredAt, Visit visit) {
   Millis step = kUrgencyStepShare * type.latencyObjective;
-  Millis lateAgain = type.deadlineAfter - type.latencyObjective;
-  WaitQueue::visitAround(
-      list, {answeredAt, answeredAt + step, answeredAt + lateAgain, answeredAt + step + lateAgain}, visit);
+  Millis objectiveToDeadline = type.deadlineAfter - type.latencyObjective;
+  WaitQueue::visitAround(list,
+                         {answeredAt, answeredAt + step, answeredAt + objectiveToDeadline,
+                          answeredAt + step + objectiveToDeadline},
+                         visit);
   if (settings.decay != WeightDecay::halving || type.lateWeightShare <= 0) return;
-  // From there on nothing more is lost.
-  Millis floor = lateAgain + type.latencyObjective * std::log2(type.lateWeightShare);
-  WaitQueue::visitAround(list, {answeredAt + floor, answeredAt + step + floor}, visit);
+  // After the floor is reached, the weight no longer falls.
+  Millis floorToDeadline = objectiveToDeadline + type.latencyObjective * std::log2(type.lateWeightShare);
+  WaitQueue::visitAround(list, {answeredAt + floorToDeadline, answeredAt + step + floorToDeadline}, visit);
 }
 
 }  // namespace
@@ -39,7 +43,8 @@
   return best->attempt;
 }
 
-// All are asked, since each has a time at which it opens and the policy is to be woken.
+// Checks every endpoint, even after an open one was found: isOpen() of a closed endpoint also requests a call
+// of the policy at the time when that endpoint opens.
 bool Scheduler::hasOpenEndpoint(const Destination& destination) {
   return std::count_if(destination.ranking.begin(), destination.ranking.end(),
                        [&](const Endpoint* endpoint) { return selector_.isOpen(*endpoint); }) > 0;
@@ -48,14 +53,14 @@
 void Scheduler::considerList(const WaitClass& waitClass, const WaitList& list, Best& best) {
   const TrafficType& type = settings_.types[waitClass.type.value];
   if (!waitClass.attempted && !type.ordered) {
-    considerAlike(list, type, best);
+    considerInterchangeable(list, type, best);
   } else {
     considerEach(list, best);
   }
 }
 
-// Where one of the messages may go, all may.
-void Scheduler::considerAlike(const WaitList& list, const TrafficType& type, Best& best) {
+// All messages of the list may be sent to the same endpoints, so one selection is valid for all.
+void Scheduler::considerInterchangeable(const WaitList& list, const TrafficType& type, Best& best) {
   Endpoint* endpoint = selector_.select(messages_.at(list.begin()->second), AttemptKind::regular);
   if (endpoint == nullptr) return;
   Millis answeredAt = clock_.now() + latencies_.typicalLatency(*endpoint->route, type).p50;
@@ -78,11 +83,11 @@
   Millis step = kUrgencyStepShare * type.latencyObjective;
   double lost = weightAt(settings_, message, clock_.now() + latency) -
                 weightAt(settings_, message, clock_.now() + latency + step);
-  // By the time for which it holds a request.
+  // The latency is the time for which the attempt occupies a request.
   std::pair<double, Millis> urgency{lost / std::max(1.0, latency), -message.deadline};
   if (best) {
-    bool isBehind = urgency < best->urgency || (urgency == best->urgency && best->attempt.message <= id);
-    if (isBehind) return;
+    bool isLessUrgent = urgency < best->urgency || (urgency == best->urgency && best->attempt.message <= id);
+    if (isLessUrgent) return;
   }
   best = Candidate{{id, &endpoint}, urgency};
 }
--- a/src/policy/scheduler.h
+++ b/src/policy/scheduler.h
@@ -10,15 +10,15 @@
 #include "policy/round_clock.h"
 #include "settings/deployment_settings.h"
 
-// Decides which waiting message is sent first: the one that loses most weight by waiting, for the time that
-// it takes.
+// Decides which waiting message is sent first: the one that loses the most weight by waiting, in relation to
+// the time for which its attempt occupies a request.
 //
-// Owns nothing; queries what waits, and which endpoints are open.
+// Owns nothing; queries the waiting messages and the open endpoints.
 namespace stonewing {
 
 class Scheduler {
  public:
-  // All outlive it.
+  // The referenced objects must outlive the Scheduler.
   Scheduler(const DeploymentSettings& settings, RoundClock& clock, const LatencyTracker& latencies,
             const MessageRegistry& messages, Ordering& ordering, EndpointSelector& selector)
       : settings_(settings),
@@ -28,21 +28,21 @@
         ordering_(ordering),
         selector_(selector) {}
 
-  // The next attempt, first or retry; nothing if none may go now. Then the clock wakes the policy when one
-  // may.
+  // Returns the next attempt, first or retry, or nothing if none may be sent now. In that case the clock
+  // wakes the policy when one may be sent.
   std::optional<PlannedAttempt> next();
 
  private:
-  // The best so far.
+  // The most urgent attempt found so far.
   struct Candidate {
     PlannedAttempt attempt;
-    std::pair<double, Millis> urgency;  // weight lost a millisecond; of equal ones the earlier deadline
+    std::pair<double, Millis> urgency;  // weight lost per millisecond, negated deadline
   };
   using Best = std::optional<Candidate>;
 
   bool hasOpenEndpoint(const Destination& destination);
   void considerList(const WaitClass& waitClass, const WaitList& list, Best& best);
-  void considerAlike(const WaitList& list, const TrafficType& type, Best& best);
+  void considerInterchangeable(const WaitList& list, const TrafficType& type, Best& best);
   void considerEach(const WaitList& list, Best& best);
   void consider(MessageId id, const Message& message, Endpoint& endpoint, Best& best) const;
 
--- a/src/policy/wait_queue.h
+++ b/src/policy/wait_queue.h
@@ -9,30 +9,31 @@
 
 #include "base/ids.h"
 
-// The messages of one destination that wait, so that a decision costs by what is due and not by how many
-// wait.
+// The waiting messages of one destination, indexed so that the cost of a decision depends on the number of
+// due messages and not on the number of waiting ones.
 //
-// Owns: which messages wait, by class and deadline. MessageRegistry writes it; other modules read it.
+// Owns: the ids of the waiting messages, by class and deadline. MessageRegistry writes it; other modules read
+// it.
 namespace stonewing {
 
-// Messages of one destination whose weight changes alike.
+// A class of messages of one destination whose weight depends on the deadline in the same way.
 struct WaitClass {
   TrafficTypeId type{};
   bool overQuota{false};
-  bool attempted{false};  // at least once, with no attempt pending now
+  bool attempted{false};  // had at least one attempt; none is pending now
   auto operator<=>(const WaitClass&) const = default;
 };
 
-// By deadline; of equal ones the one that was accepted first comes first.
+// Sorted by deadline and, for equal deadlines, by id, which is the order of acceptance.
 using WaitList = std::set<std::pair<Millis, MessageId>>;
 
-// A list that runs empty is dropped, so no list in it is ever empty.
+// Removes a list together with its last message, so none of its lists is empty.
 class WaitQueue {
  public:
   void add(const WaitClass& waitClass, Millis deadline, MessageId id) {
     lists_[waitClass].insert({deadline, id});
   }
-  // What is not in it is ignored.
+  // Ignores a message that is not in the queue.
   void remove(const WaitClass& waitClass, Millis deadline, MessageId id) {
     auto found = lists_.find(waitClass);
     if (found == lists_.end()) return;
@@ -42,9 +43,9 @@
   bool empty() const { return lists_.empty(); }
   const std::map<WaitClass, WaitList>& lists() const { return lists_; }
 
-  // Visits the first message of a list (not empty) and, for each given deadline, its neighbours: the first
-  // message at or after it, and the first of those that share the latest deadline before it. A message may be
-  // visited more than once.
+  // Visits the first message of a list, which must not be empty, and for each given deadline its neighbours:
+  // the first message at or after it, and the first of the messages with the latest deadline before it. A
+  // message may be visited more than once.
   template <class Visit>
   static void visitAround(const WaitList& list, std::initializer_list<Millis> deadlines, Visit visit) {
     visit(list.begin()->second);
