--- a/src/policy/zone_failover.cpp
+++ b/src/policy/zone_failover.cpp
@@ -10,31 +10,32 @@
 // Time constant of the rates of deliveries, spillover and accepted messages: long enough to smooth over
 // single messages, short enough to follow a change of load.
 constexpr Millis kRateTimeConstant = 10000;
-// Consecutive failures of an endpoint from which they say something about its zone. One alone is no evidence.
+// Consecutive failures of an endpoint from which they count as evidence on its zone. One alone does not
+// count.
 constexpr int kEvidentFailures = 2;
-// Part of the accepted messages' rate that a zone is expected to complete. Not all of it, since surges and
-// the clients' own retries count in it.
+// Share of the rate of accepted messages that a zone is expected to complete. Not all of it, since the rate
+// includes surges and retries by clients.
 constexpr double kExpectedShareOfAccepted = 0.5;
-// Shortest time over which accepted messages are averaged. Without it the first messages after the start
-// would count as an immense rate.
+// Shortest time over which accepted messages are averaged. Without it, the first messages after the start
+// would result in a far too high rate.
 constexpr Millis kMinAcceptedSpan = 1000;
-// Overload windows between two health checks of a lost zone; doubled by each further loss.
+// Overload windows between two health checks of a lost zone. Each further loss doubles the interval.
 constexpr double kHealthCheckOverloadWindows = 1;
 // Factor on the share at which a ramp starts, for each further loss without a completed ramp. A zone that
-// falls again was ramped up too fast.
+// is lost again was ramped up too fast.
 constexpr double kRampStartFactorPerLoss = 0.5;
-// Losses that count at most: more would stretch health checks and ramps without bound.
+// Maximum of the counted losses. Without it, the intervals between health checks would grow and the shares at
+// which ramps start would shrink without bound.
 constexpr int kMaxConsecutiveLosses = 4;
-// Attempts within one overload window that all dispatchers together may send into a zone of which they know
-// nothing.
+// Attempts within one overload window that all dispatchers together may send into a zone with no known rate.
 constexpr double kUnknownZoneAttempts = 2;
-// Share at which a ramp starts, at least, after the zone was only absent from the endpoint list: it did not
+// Lowest share at which a ramp starts after the zone was only absent from the endpoint list: the zone did not
 // fail, but may need to warm up.
 constexpr double kRampStartAfterAbsence = 0.5;
-// Unused spillover capacity that may be used at once.
+// Time over which unused spillover capacity accumulates; the accumulated capacity may be used at once.
 constexpr Millis kSpilloverBurstSpan = 1000;
 // Intervals are multiplied by a random factor from kJitterMin to kJitterMin + kJitterRange, so that
-// dispatchers that lost a zone together do not come back to it together.
+// dispatchers that lost a zone at the same time do not return to it at the same time.
 constexpr double kJitterMin = 0.75;
 constexpr double kJitterRange = 0.5;
 constexpr double kRandomRange = 4294967296.0;  // 2^32, the values of std::mt19937
@@ -66,18 +67,17 @@
   }
 }
 
-// --- Zones, their priorities and their endpoints
-
 int ZoneFailover::priority(DestinationId destination, ZoneId zone) const {
   if (!isEnabled()) return zone == ownZone_ ? 0 : 1;
-  auto own = settings_.destinations.find(destination);
+  auto specific = settings_.destinations.find(destination);
   const ZoneFailoverSettings::Priorities& priorities =
-      own == settings_.destinations.end() ? settings_.priorities : own->second;
+      specific == settings_.destinations.end() ? settings_.priorities : specific->second;
   for (std::size_t index = 0; index < priorities.size(); ++index) {
-    const std::vector<ZoneId>& equals = priorities[index];
-    if (std::find(equals.begin(), equals.end(), zone) != equals.end()) return static_cast<int>(index);
+    const std::vector<ZoneId>& equalZones = priorities[index];
+    if (std::find(equalZones.begin(), equalZones.end(), zone) != equalZones.end())
+      return static_cast<int>(index);
   }
-  return static_cast<int>(priorities.size());  // a zone that nobody named comes last
+  return static_cast<int>(priorities.size());  // zones that the settings do not name come last
 }
 
 const ZoneFailover::Zone* ZoneFailover::find(ZoneId zone) const {
@@ -90,7 +90,7 @@
   return found == homeZones_.end() ? ownZone_ : found->second;
 }
 
-bool ZoneFailover::isForeign(DestinationId destination, ZoneId zone) const {
+bool ZoneFailover::hasLowerPriorityThanHome(DestinationId destination, ZoneId zone) const {
   return isEnabled() && priority(destination, zone) > priority(destination, homeZoneOf(destination));
 }
 
@@ -134,8 +134,6 @@
   updateHealth(now, zone);
 }
 
-// --- What happened
-
 void ZoneFailover::recordAccepted(Millis now, DestinationId destination) {
   if (!isEnabled()) return;
   if (!firstAcceptedAt_) firstAcceptedAt_ = now;
@@ -190,15 +188,14 @@
   updateHealth(now, zone);
 }
 
-// --- Lost zones
-
 void ZoneFailover::updateHealth(Millis now, Zone& zone) {
   if (!isEnabled() || zone.health == ZoneHealth::lost || !zone.lossDetector.indicatesLoss()) return;
   if (zone.health == ZoneHealth::healthy) zone.deliveriesPerSecondBeforeLoss = zone.deliveries.perSecond();
   zone.health = ZoneHealth::lost;
   zone.healthChangedAt = now;
   zone.consecutiveLosses = std::min(zone.consecutiveLosses + 1, kMaxConsecutiveLosses);
-  // Two draws: the delay before the first health check, and each dispatcher's own place within an interval.
+  // Two random draws: one for the delay before the first health check, one for this dispatcher's offset
+  // within an interval.
   Millis delay = overloadWindow_ * kHealthCheckOverloadWindows * drawJitter();
   Millis offset = healthCheckInterval(zone) * (drawJitter() - kJitterMin);
   zone.nextHealthCheckAt = now + delay + offset;
@@ -212,8 +209,9 @@
   });
 }
 
-// Each dispatcher keeps its health checks to its part of what the zone takes while it warms up. Without this,
-// the health checks of hundreds of dispatchers alone overload a zone that has just recovered.
+// Limits the health checks of this dispatcher to its share of the rate that the zone can take while it warms
+// up. Without this, the health checks of hundreds of dispatchers alone would overload a zone that has just
+// recovered.
 Millis ZoneFailover::healthCheckInterval(const Zone& zone) const {
   double warmUpPerSecond = expectedPerSecond(zone) * settings_.recoveryRampInitialShare;
   Millis interval = intervalAt(std::max(minimumPerSecond_, warmUpPerSecond));
@@ -228,10 +226,8 @@
   return rampAllowedFrom(*zone);
 }
 
-// --- Recovery ramp
-
-// The zone answers again. It has to warm up, and without a ramp everything that spilled over would return at
-// once.
+// Called when the zone responds or is listed again. The zone has to warm up, and without a ramp all traffic
+// that spilled over would return at once.
 void ZoneFailover::beginRamp(Millis now, Zone& zone, RampStart rampStart) {
   zone.health = ZoneHealth::ramping;
   zone.rampStart = rampStart;
@@ -245,7 +241,7 @@
   return zone != nullptr && zone->health == ZoneHealth::ramping && now < rampEnd(*zone);
 }
 
-// Attempts into a ramping zone keep their distance across all its destinations together.
+// The interval between attempts into a ramping zone applies to all its destinations together.
 void ZoneFailover::countRampAttempt(Millis now, ZoneId zoneId) {
   Zone& zone = zones_[zoneId];
   Millis interval = intervalAt(rampAttemptsPerSecond(now, zoneId)) * drawJitter();
@@ -257,7 +253,8 @@
   return std::min(zone.nextRampAttemptAt, rampEnd(zone));
 }
 
-// Share of its expected rate that a ramping zone is given: linear in time, up to 1 at the ramp's end.
+// Share of its expected rate that a ramping zone is given. Grows linearly with time, up to 1 at the ramp's
+// end.
 double ZoneFailover::rampShare(Millis now, const Zone& zone) const {
   double initial = settings_.recoveryRampInitialShare;
   double start = zone.rampStart == RampStart::afterAbsenceFromList
@@ -274,9 +271,9 @@
   return std::max(minimumPerSecond_, expectedPerSecond(*zone) * rampShare(now, *zone));
 }
 
-// Attempts a second that the zone is expected to take from this dispatcher: what it completed together with
-// what spills over from it, or a part of what clients submit for it. Without the latter a dispatcher that
-// starts while a zone is lost, and so has delivered nothing there, would shed all messages.
+// The rate, in attempts per second, that the zone is expected to take from this dispatcher: its deliveries
+// plus the spillover from it or, if higher, a share of the messages accepted for it. Without the latter, a
+// dispatcher that starts while a zone is lost, and so has delivered nothing there, would shed all messages.
 double ZoneFailover::expectedPerSecond(const Zone& zone) const {
   double completed = zone.deliveries.perSecond() + zone.spilloverAttempts.perSecond();
   Millis acceptedSince = zone.acceptedMessages.updatedAt - firstAcceptedAt_.value_or(0);
@@ -287,10 +284,8 @@
   return std::max(zone.deliveriesPerSecondBeforeLoss, expected);
 }
 
-// --- Spillover
-
 bool ZoneFailover::isSpillover(DestinationId destination, ZoneId zone) const {
-  if (!isForeign(destination, zone)) return false;
+  if (!hasLowerPriorityThanHome(destination, zone)) return false;
   ZoneId homeId = homeZoneOf(destination);
   if (isLost(homeId)) return true;
   const Zone* home = find(homeId);
@@ -302,8 +297,8 @@
     const Zone* found = find(id);
     return found == nullptr ? 0.0 : expectedPerSecond(*found);
   };
-  double busier = std::max(expectedIn(home), expectedIn(zone));
-  double limit = std::max(minimumPerSecond_, settings_.spilloverShare * busier);
+  double higherRate = std::max(expectedIn(home), expectedIn(zone));
+  double limit = std::max(minimumPerSecond_, settings_.spilloverShare * higherRate);
   return settings_.spilloverPerSecond > 0 ? std::min(limit, settings_.spilloverPerSecond) : limit;
 }
 
--- a/src/policy/zone_failover.h
+++ b/src/policy/zone_failover.h
@@ -24,28 +24,28 @@
 //      |               +-----(1)------+
 //      +------------(4)-------------->+
 //
-//   (1) endpoints of several destinations fail and nothing in the zone has worked since the first of them did
-//       (ZoneLossDetector);
-//   (2) a message is delivered there, or a health check answers;
-//   (3) something succeeds there once the ramp's duration has passed. The ramp limits attempts no longer than
-//       that; spillover stays limited until (3);
+//   (1) endpoints of several destinations fail, and no attempt or health check in the zone has succeeded
+//       since the first of these failures (ZoneLossDetector);
+//   (2) a message is delivered there, or a health check succeeds;
+//   (3) an attempt or a health check succeeds there after the ramp's duration has passed. The ramp limits
+//       attempts for its duration only; spillover stays limited until (3);
 //   (4) the zone had traffic, was absent from the endpoint list for longer than the overload window, and is
-//       listed again. This ramp starts higher than one after a loss.
+//       listed again. This ramp starts at a higher rate than one after a loss.
 //
-// The record...() functions only update what is known; DispatchPolicy asks, and decides. Where the settings
-// name no priorities (isEnabled() is false), nothing here ever limits an attempt. Times are milliseconds of
-// the caller's clock, and never go back. No clock, sockets or threads; random numbers follow from the seed
-// alone.
+// The record...() functions only update the state; DispatchPolicy queries it and decides. If the settings
+// name no priorities (isEnabled() is false), this class limits no attempt. Times are milliseconds of the
+// caller's clock and must not decrease. The class uses no clock, sockets or threads, and its random numbers
+// depend on the seed alone.
 class ZoneFailover {
  public:
-  // From attemptAllowedFrom(): not before another event has been recorded.
+  // A result of attemptAllowedFrom(): no attempt is allowed until another event has been recorded.
   static constexpr Millis kNever = 1e15;
 
   ZoneFailover(const DeploymentSettings& settings, std::uint64_t seed);
 
   bool isEnabled() const { return !settings_.priorities.empty(); }
-  // Lower is better. Where the settings name no priorities: 0 for this dispatcher's own zone, 1 for all
-  // others.
+  // A lower number is preferred. If the settings name no priorities: 0 for this dispatcher's own zone, 1 for
+  // all other zones.
   int priority(DestinationId destination, ZoneId zone) const;
 
   // A new endpoint list: every endpoint in service is added between beginEndpointList() and
@@ -59,39 +59,39 @@
   bool recordAttempt(Millis now, DestinationId destination, ZoneId zone);
   void recordAttemptEnd(bool wasSpillover) { pendingSpilloverAttempts_ -= wasSpillover; }
   void recordHealthCheck(Millis now, ZoneId zone);
-  // A message was delivered (`delivered`), or a health check answered.
+  // A message was delivered (`delivered` is true), or a health check succeeded.
   void recordSuccess(Millis now, EndpointId endpoint, ZoneId zone, bool delivered);
-  // The endpoint has failed for the given number of times in a row.
+  // The endpoint has failed the given number of times in a row.
   void recordFailures(Millis now, EndpointId endpoint, DestinationId destination, ZoneId zone,
                       int consecutiveFailures);
   // A message for the destination was accepted.
   void recordAccepted(Millis now, DestinationId destination);
-  // The number of the destination's messages that wait without a pending attempt changed by so many.
+  // The number of the destination's messages that wait without a pending attempt changed by `change`.
   void addWaiting(DestinationId destination, int change);
 
   // The earliest time at which an attempt for the destination into the zone, or a health check in the zone,
-  // is allowed; kNever where only another event can allow it. A time in the past means now.
+  // is allowed; kNever if only another event can allow it. A time in the past means that it is allowed now.
   Millis attemptAllowedFrom(DestinationId destination, ZoneId zone) const;
   Millis healthCheckAllowedFrom(ZoneId zone) const;
 
-  // Whether the zone is lost while another one is not. With every zone lost this dispatcher itself is cut
-  // off, and no zone is reported as lost, since otherwise nothing would be attempted any more.
+  // Whether the zone is lost while another zone is not. If every zone looks lost, this dispatcher itself is
+  // cut off. No zone is then reported as lost, since otherwise no attempt would be sent any more.
   bool isLost(ZoneId zone) const;
   bool isRamping(Millis now, ZoneId zone) const;
-  // Whether the destination's home zone has a better priority than this zone.
-  bool isForeign(DestinationId destination, ZoneId zone) const;
+  // Whether the zone has a lower priority than the destination's home zone.
+  bool hasLowerPriorityThanHome(DestinationId destination, ZoneId zone) const;
   // Whether an attempt for the destination into the zone would be spillover.
   bool isSpillover(DestinationId destination, ZoneId zone) const;
 
   // How long the messages that wait for the destination's home zone take to spill over, in milliseconds; 0
   // where the home zone is not lost.
   Millis backlogDelay(DestinationId destination) const;
-  // Whether that is longer than any message may wait.
+  // Whether the backlog delay is longer than the longest latency objective.
   bool isBacklogTooLong(DestinationId destination) const;
 
-  // Attempts a second that a ramping zone is given now.
+  // The rate, in attempts per second, that a ramping zone is given now.
   double rampAttemptsPerSecond(Millis now, ZoneId zone) const;
-  // Spillover attempts a second from a home zone that `zone` is given at most.
+  // The highest rate, in attempts per second, of spillover from a home zone into `zone`.
   double spilloverPerSecond(ZoneId home, ZoneId zone) const;
 
  private:
@@ -113,7 +113,7 @@
     Millis healthChangedAt{0};
     ZoneLossDetector lossDetector;
     std::optional<Millis> unlistedAt;  // since when the endpoint list has no endpoint in service here
-    int waitingMessages{0};            // messages whose home zone this is that wait without a pending attempt
+    int waitingMessages{0};            // of this home zone, waiting without a pending attempt
 
     DecayingCount deliveries;         // messages delivered here
     DecayingCount spilloverAttempts;  // attempts elsewhere whose home zone this is
@@ -122,9 +122,9 @@
 
     RampStart rampStart{RampStart::afterLoss};
     int consecutiveLosses{0};     // without a completed ramp between them
-    Millis nextRampAttemptAt{0};  // no attempt before, while it is ramping
-    Millis nextSpilloverAt{0};    // no spillover attempt into this zone before
-    Millis nextHealthCheckAt{0};  // no health check before, while it is lost
+    Millis nextRampAttemptAt{0};  // no attempt before this time while the zone is ramping
+    Millis nextSpilloverAt{0};    // no spillover attempt into this zone before this time
+    Millis nextHealthCheckAt{0};  // no health check before this time while the zone is lost
   };
 
   const Zone* find(ZoneId zone) const;
@@ -149,10 +149,10 @@
   int maxConcurrentRequests_;
   Millis overloadWindow_;
   Millis maxBacklogDelay_;   // a message that waits longer for spillover misses every latency objective
-  double minimumPerSecond_;  // attempts a second into a zone of which nothing is known
+  double minimumPerSecond_;  // attempts per second into a zone with no known rate
   std::mt19937 random_;
   std::map<ZoneId, Zone> zones_;               // references into it stay valid: zones are added, never erased
-  std::map<DestinationId, ZoneId> homeZones_;  // by the endpoint list
+  std::map<DestinationId, ZoneId> homeZones_;  // according to the endpoint list
   std::map<DestinationId, int> waitingMessages_;  // without a pending attempt
   std::optional<Millis> firstAcceptedAt_;
   int pendingSpilloverAttempts_{0};
--- a/src/policy/zone_loss_detector.cpp
+++ b/src/policy/zone_loss_detector.cpp
@@ -5,14 +5,14 @@
 namespace stonewing {
 namespace {
 
-// Share of a zone's endpoints that has to fail. A smaller share is left to outlier detection, endpoint by
-// endpoint.
+// Share of a zone's endpoints that has to fail. If fewer fail, outlier detection ejects them one by one.
 constexpr double kFailingShare = 0.5;
-// So many failing endpoints are enough in a zone of any size: in a large zone the traffic of one dispatcher
-// may never reach half of the endpoints within useful time.
+// Number of failing endpoints that is enough in a zone of any size. Without this, a dispatcher could miss the
+// loss of a large zone or detect it too late, since its own traffic may not reach half of the endpoints in
+// time.
 constexpr std::size_t kFailingEndpoints = 3;
-// Destinations that failing endpoints have to belong to, if the zone serves as many. Without this, one
-// destination that is down everywhere would be mistaken for a lost zone.
+// Number of destinations that the failing endpoints have to belong to, if the zone has as many. Without this,
+// a destination that fails in every zone would be mistaken for a lost zone.
 constexpr std::size_t kFailingDestinations = 2;
 
 }  // namespace
@@ -41,8 +41,9 @@
   failures_[endpoint] = {destination, now};
 }
 
-// A zone that still delivers, however little or late, is degraded and not lost: its endpoints are ejected
-// one by one, and only what the others cannot take goes to other zones.
+// A zone in which some attempts still succeed, however few or late, is degraded and not lost: its failing
+// endpoints are ejected one by one, and only the traffic that its other endpoints cannot take goes to other
+// zones.
 bool ZoneLossDetector::indicatesLoss() const {
   if (failures_.empty() || hasWorkedSinceFirstFailure()) return false;
   std::set<DestinationId> failingDestinations;
--- a/src/policy/zone_loss_detector.h
+++ b/src/policy/zone_loss_detector.h
@@ -9,13 +9,14 @@
 
 namespace stonewing {
 
-// Decides, for one zone, whether its endpoints look lost together: several of them fail, they belong to
-// several destinations, and nothing in the zone has worked since the first of them failed. It sees only what
-// this dispatcher attempts. No clock of its own; times are milliseconds of the dispatcher's clock.
+// Decides whether one zone appears to be lost: several of its endpoints fail, they belong to several
+// destinations, and no attempt or health check in the zone has succeeded since the first of these failures.
+// It only sees the attempts and health checks of this dispatcher. Times are milliseconds of the caller's
+// clock.
 class ZoneLossDetector {
  public:
   // A new endpoint list: clearEndpoints(), addEndpoint() for each endpoint in service, then
-  // forgetUnlistedFailures(). The failures known so far are kept in between.
+  // forgetUnlistedFailures(). Failures recorded before are kept until then.
   void clearEndpoints();
   void addEndpoint(EndpointId endpoint, DestinationId destination);
   void forgetUnlistedFailures();
@@ -23,11 +24,11 @@
   bool hasEndpoints() const { return !endpoints_.empty(); }
   bool hasEndpoint(EndpointId endpoint) const { return endpoints_.contains(endpoint); }
 
-  // The endpoint answered: it no longer counts as failing, and failures before now are no evidence any more.
+  // The endpoint responded: it no longer counts as failing, and earlier failures are no evidence any more.
   void recordSuccess(Millis now, EndpointId endpoint);
-  // The endpoint is failing. The caller has checked that one failure alone is not reported.
+  // The endpoint is failing. The caller must not report an endpoint after a single failure.
   void recordFailing(Millis now, EndpointId endpoint, DestinationId destination);
-  // Only what fails from now on is evidence.
+  // Only failures from now on count as evidence.
   void restart(Millis now) { failingSince_ = now; }
 
   bool indicatesLoss() const;
@@ -40,9 +41,9 @@
   bool hasWorkedSinceFirstFailure() const { return lastSuccessAt_ && *lastSuccessAt_ >= failingSince_; }
 
   std::map<EndpointId, DestinationId> endpoints_;  // in service
-  std::set<DestinationId> destinations_;           // those that the endpoints in service belong to
-  std::map<EndpointId, Failure> failures_;         // of endpoints that have not worked since
-  Millis failingSince_{0};                         // when the first of the failures that count was seen
+  std::set<DestinationId> destinations_;           // of the endpoints in service
+  std::map<EndpointId, Failure> failures_;         // of endpoints without a later success
+  Millis failingSince_{0};                         // when the first failure that counts was recorded
   std::optional<Millis> lastSuccessAt_;
 };
 
--- a/tests/policy/zone_failover_test.cpp
+++ b/tests/policy/zone_failover_test.cpp
@@ -105,13 +105,13 @@
   DeploymentSettings settings = zoneSettings();
   settings.zoneFailover.destinations[DestinationId{3}] = {{kFarZone}, {kOwnZone, kNearZone}};
   ZoneFailoverHarness harness(settings);
-  EXPECT_FALSE(harness.zones.isForeign(DestinationId{3}, kFarZone));
-  EXPECT_TRUE(harness.zones.isForeign(DestinationId{3}, kOwnZone));
+  EXPECT_FALSE(harness.zones.hasLowerPriorityThanHome(DestinationId{3}, kFarZone));
+  EXPECT_TRUE(harness.zones.hasLowerPriorityThanHome(DestinationId{3}, kOwnZone));
   EXPECT_EQ(harness.zones.priority(DestinationId{3}, kOwnZone),
             harness.zones.priority(DestinationId{3}, kNearZone));
   // Where the best zone has no endpoint of a destination, the next is its home.
   harness.setEndpoints(1000, {kOwnZone.value});
-  EXPECT_FALSE(harness.zones.isForeign(DestinationId{1}, kNearZone));
+  EXPECT_FALSE(harness.zones.hasLowerPriorityThanHome(DestinationId{1}, kNearZone));
 }
 
 // What spilled over must not return in one moment, into a zone that is warming up: that would overload it.
