--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -24,7 +24,7 @@
       : settings_(settings), clock_(clock), latencies_(latencies), zones_(zones), messages_(messages) {}
 
   void recordAccepted(MessageId id, const Message& message);
-  // Call for each attempt that was sent before a restart: such attempts count towards the maximum, so the
+  // Call for each attempt that was sent before a restart: such attempts count towards maxAttempts, so the
   // message may have none left.
   void recordEarlierAttempt(MessageId id);
   // Call after the attempt is marked as ended.
