--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -4,18 +4,18 @@
 
 #include "support/policy_harness.h"
 
-// Who is shed or failed, and when.
+// Which messages are shed or failed, and when.
 namespace stonewing::testing {
 namespace {
 
-// A message that waits in vain must not count as failed, as if it had been attempted.
+// A message that cannot be delivered in time must not end as failed, as if it might have been executed.
 TEST(LoadShedder, ShedsWhatCannotBeDeliveredInTimeAndWasNotExecuted) {
   PolicyHarness harness;
   harness.accept(1);
   for (const SendAttempt& sent : harness.decisions<SendAttempt>())
     harness.finishAttempt(sent, AttemptOutcome::rejected, 100, 9800);
   harness.accept(2);
-  harness.advanceTo(harness.now + 9700);  // it might still be delivered, were it attempted now
+  harness.advanceTo(harness.now + 9700);  // an attempt sent now could still succeed
   EXPECT_TRUE(harness.decisions<ShedMessage>().empty());
   harness.advanceTo(harness.now + 200);
   EXPECT_EQ(harness.decisions<ShedMessage>().size(), 2u);
--- a/tests/policy/ordering_test.cpp
+++ b/tests/policy/ordering_test.cpp
@@ -2,7 +2,7 @@
 
 #include "support/policy_harness.h"
 
-// Messages with the same ordering key.
+// When messages with the same ordering key are sent.
 namespace stonewing::testing {
 namespace {
 
@@ -18,7 +18,7 @@
   EXPECT_EQ(attempts[0].message, MessageId{1});
   EXPECT_EQ(attempts[1].message, MessageId{3});
   harness.policy.cancelMessage(MessageId{1});
-  EXPECT_TRUE(harness.decisions<SendAttempt>().empty());  // finished, but its attempt has no outcome yet
+  EXPECT_TRUE(harness.decisions<SendAttempt>().empty());  // message 1 has ended, but its attempt is pending
   harness.finishAttempt(attempts[0], AttemptOutcome::cancelled);
   EXPECT_TRUE(harness.decisions<SendAttempt>().empty());
   harness.advanceTo(harness.now + 499);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -6,7 +6,7 @@
 
 #include "support/policy_harness.h"
 
-// Endpoints that fail or do not respond, and outages of a whole destination.
+// Detection of endpoints that fail or do not respond, and of outages of a whole destination.
 namespace stonewing::testing {
 namespace {
 
@@ -60,7 +60,7 @@
   EXPECT_TRUE(harness.firstRoute().recovery.isOutage());
 }
 
-// One endpoint of several hangs, the others complete, and the route as a whole never looks unresponsive.
+// One endpoint of several hangs while the others respond, so the route as a whole never looks unresponsive.
 TEST(OutlierDetector, PrefersOtherEndpointsToAnUnresponsiveOne) {
   PolicyHarness harness;
   harness.completeMessages(60);
@@ -80,11 +80,11 @@
   EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
 }
 
-// With all concurrent requests in use, attempts are cancelled after a few p95 and retried. None is pending
-// for as long as it takes to see that an endpoint is unresponsive, which would then be sent thousands of
-// requests a second.
+// While all concurrent requests are in use, attempts are cancelled after a few p95 and retried. So none of
+// them is pending for as long as it takes to detect an unresponsive endpoint. Undetected, that endpoint would
+// be sent thousands of requests per second.
 TEST(OutlierDetector, SeesUnresponsiveEndpointsThoughAttemptsAreCancelledAndRetried) {
-  for (bool onlyOne : {false, true}) {
+  for (bool onlyOneHangs : {false, true}) {
     PolicyHarness harness;
     harness.completeMessages(60);
     EndpointId unresponsive{};
@@ -100,19 +100,19 @@
         if (send == nullptr) continue;
         if (unresponsive == EndpointId{}) unresponsive = send->endpoint;
         attemptsLater[send->endpoint] += turn >= 200 ? 1 : 0;
-        if (onlyOne && send->endpoint != unresponsive)
+        if (onlyOneHangs && send->endpoint != unresponsive)
           harness.finishAttempt(*send, AttemptOutcome::completed, 5);
       }
     }
-    EXPECT_EQ(harness.firstRoute().recovery.isOutage(), !onlyOne);
+    EXPECT_EQ(harness.firstRoute().recovery.isOutage(), !onlyOneHangs);
     EXPECT_EQ(attemptsLater[unresponsive], 0);
-    EXPECT_EQ(attemptsLater[endpointId(3 - unresponsive.value)] > 50, onlyOne);
+    EXPECT_EQ(attemptsLater[endpointId(3 - unresponsive.value)] > 50, onlyOneHangs);
   }
 }
 
-// The first in the ranking hangs, no other was asked yet, and the route is taken to be in outage. Another
-// endpoint passes a health check. The attempts that still hang at the first must not begin the outage again
-// at once.
+// The first endpoint of the ranking hangs before any other endpoint was used, so the route counts as in
+// outage. Then another endpoint passes a health check. The attempts that are still pending at the first
+// endpoint must not begin the outage again.
 TEST(OutlierDetector, EndsAnOutageForGoodWhenAnotherEndpointPassesAHealthCheck) {
   PolicyHarness harness(testSettings(Idempotency::nonIdempotent));  // no hedges
   harness.completeMessages(60);
--- a/tests/policy/rate_pacer_test.cpp
+++ b/tests/policy/rate_pacer_test.cpp
@@ -6,7 +6,7 @@
 
 #include "support/policy_harness.h"
 
-// When the next request may go: reported rate limits and backoff after rejections.
+// When the next request may be sent: reported rate limits and backoff after rejections.
 namespace stonewing::testing {
 namespace {
 
@@ -30,7 +30,7 @@
   }
   EXPECT_FALSE(harness.firstRoute().recovery.isOutage());
   EXPECT_GE(intervals.size(), 2u);
-  EXPECT_LT(intervals.size(), 9u);  // each Retry-After alone would let 13 pass
+  EXPECT_LT(intervals.size(), 9u);  // each Retry-After alone would allow 13
 }
 
 TEST(RatePacer, BacksOffByItsOwnShareOfTheLoadAmongManyDispatchers) {
@@ -41,11 +41,11 @@
   harness.accept(1);
   harness.finishAttempt(harness.decisions<SendAttempt>().at(0), AttemptOutcome::rejected, 10);
   EXPECT_TRUE(harness.decisions<SendAttempt>().empty());
-  harness.advanceTo(harness.now + 1000);  // an even share would wait for several seconds
+  harness.advanceTo(harness.now + 1000);  // the interval of an even share is several seconds
   EXPECT_EQ(harness.decisions<SendAttempt>().size(), 1u);
 }
 
-// After a rejection one request goes at a time, and requests that hang would keep all others back.
+// After a rejection one request is sent at a time. Requests that hang must not block all others.
 TEST(RatePacer, SendsOnAfterARejectionThoughOtherRequestsHang) {
   PolicyHarness harness;
   harness.completeMessages(60);
@@ -67,8 +67,8 @@
   EXPECT_GE(attempts, 1u);
 }
 
-// A hundred senders that each send a request every few seconds send together more than a rate limit that all
-// share, and where rejected requests count it stays used up.
+// A hundred dispatchers that each send a request every few seconds exceed a rate limit that they share. If
+// rejected requests count against the limit, it stays used up.
 TEST(RatePacer, KeepsToItsShareOfAReportedRateLimit) {
   for (double remainingShare : {1.0, 0.0}) {
     PolicyHarness harness;
@@ -85,7 +85,7 @@
                                             0, {4, remainingShare});
       }
     }
-    // In 10 s an even share is 20 requests; more only while there is capacity for all.
+    // In 10 s an even share is 20 requests. More may be sent only while the limit is not used up.
     if (remainingShare > 0) {
       EXPECT_GT(attempts, 24u);
     } else {
@@ -94,11 +94,11 @@
   }
 }
 
-// Most dispatchers start at one instant, and each would send at once all that the pace allows.
+// Dispatchers that start at the same time must not all send at that time what their interval allows.
 TEST(RatePacer, StartsAtDifferentTimesInDifferentDispatchers) {
   DeploymentSettings settings = testSettings();
   settings.reportsRateLimit = settings.hasReportedWeights = true;
-  int single = 0, both = 0;
+  int singleCount = 0, bothCount = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     DispatchPolicy policy(settings, seed);
     policy.beginRound(100000);
@@ -115,14 +115,14 @@
     policy.beginRound(101500);  // half a request interval later
     while (auto decision = policy.nextDecision())
       attempts += std::holds_alternative<SendAttempt>(*decision) ? 1 : 0;
-    (attempts == 1 ? single : both) += 1;
+    (attempts == 1 ? singleCount : bothCount) += 1;
   }
-  EXPECT_GT(single, 8);
-  EXPECT_GT(both, 8);
+  EXPECT_GT(singleCount, 8);
+  EXPECT_GT(bothCount, 8);
 }
 
-// An endpoint that drains before its list says so rejects requests. Counted against the rate limit of the
-// destination, that would leave less to its other endpoints.
+// An endpoint that drains before the endpoint list shows it rejects requests. If these rejections counted
+// against the rate limit of the destination, its other endpoints would receive fewer requests.
 TEST(RatePacer, CountsARejectionWithoutAReportAgainstItsEndpointAlone) {
   PolicyHarness harness;
   std::set<EndpointId> used;
@@ -142,7 +142,8 @@
   EXPECT_LE(harness.firstRoute().pacing.rateHalvings(), 0);
 }
 
-// A report is read by the settings of its route's first endpoint, and the route has none any more.
+// The effect of a load report depends on the batch size of its endpoint, also after the route lost its last
+// endpoint.
 TEST(RatePacer, ReadsAReportOfTheLastEndpointAfterItsRemoval) {
   DeploymentSettings settings = testSettings();
   settings.kinds[0].maxBatchSize = 5;
@@ -153,7 +154,7 @@
   harness.policy.commitEndpointList(true);
   harness.policy.recordAttemptOutcome(last.message, last.attempt, AttemptOutcome::completed, 100, true, 0,
                                       {4, 1});
-  // A batch never exceeds the even share.
+  // With batches, a report does not raise the rate above the even share.
   EXPECT_EQ(harness.firstRoute().pacing.rateHalvings(), 0);
 }
 
--- a/tests/policy/retry_after_test.cpp
+++ b/tests/policy/retry_after_test.cpp
@@ -2,11 +2,11 @@
 
 #include "support/policy_harness.h"
 
-// How long a Retry-After keeps requests away.
+// How long a Retry-After delays requests, and when it means an outage.
 namespace stonewing::testing {
 namespace {
 
-// A batch that completes for some of its messages may report a Retry-After all the same.
+// A batch that completes only for some of its messages may have a Retry-After too.
 TEST(RetryAfter, BindsWhateverTheOutcomeOfItsAttempt) {
   PolicyHarness harness;
   harness.accept(1);
@@ -17,7 +17,7 @@
   EXPECT_EQ(harness.decisions<SendAttempt>().size(), 1u);
 }
 
-// A Retry-After to the end of a rate limit period must not be taken for an outage, with slow start after it.
+// A Retry-After to the end of a rate limit period must not begin an outage, since a slow start would follow.
 TEST(RetryAfter, MeansAnOutageOnlyWhenLongerThanAnyRateLimitPeriod) {
   for (Millis retryAfter : {1900, 2300}) {
     PolicyHarness harness;
--- a/tests/policy/retry_budget_test.cpp
+++ b/tests/policy/retry_budget_test.cpp
@@ -4,16 +4,16 @@
 
 #include "support/policy_harness.h"
 
-// What retries and hedges may cost.
+// When the budget and the free requests allow a hedge.
 namespace stonewing::testing {
 namespace {
 
 TEST(RetryBudget, SendsNoHedgeWithoutTokensOrFreeRequestsOrIdempotency) {
-  PolicyHarness poor;
-  poor.accept(1);
-  poor.decisions<SendAttempt>();
-  poor.advanceTo(5900);
-  EXPECT_TRUE(poor.decisions<SendAttempt>().empty());
+  PolicyHarness withoutTokens;
+  withoutTokens.accept(1);
+  withoutTokens.decisions<SendAttempt>();
+  withoutTokens.advanceTo(5900);
+  EXPECT_TRUE(withoutTokens.decisions<SendAttempt>().empty());
   PolicyHarness busy;  // more than half of its concurrent requests are pending
   busy.completeMessages(60);
   for (std::uint32_t id = 1; id <= 5; ++id) busy.accept(id);
--- a/tests/policy/scheduler_test.cpp
+++ b/tests/policy/scheduler_test.cpp
@@ -5,12 +5,12 @@
 
 #include "support/policy_harness.h"
 
-// What goes first, and with what in one request.
+// Which messages are sent first, and which share a request.
 namespace stonewing::testing {
 namespace {
 
-// Where a rate limit counts requests and a request takes many messages, requests of one message each would
-// use it up.
+// If a rate limit counts requests and a request may have many messages, requests with one message each would
+// use up the limit.
 TEST(Scheduler, FillsBatchesAtThePaceOfAReportedRateLimit) {
   DeploymentSettings settings = testSettings();
   settings.kinds[0].maxBatchSize = 20;
@@ -18,7 +18,7 @@
   harness.accept(1);
   SendAttempt first = harness.decisions<SendAttempt>().at(0);
   harness.policy.recordAttemptOutcome(first.message, first.attempt, AttemptOutcome::completed, 100, true, 0,
-                                      {4});  // 2 of them for this dispatcher
+                                      {4});  // of 4 requests per second, 2 are for this dispatcher
   harness.advanceTo(harness.now + 20);
   std::set<int> requests;
   int attempts = 0;
--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -13,16 +13,16 @@
 
 #include "support/policy_harness.h"
 
-// A destination that returns from an outage bears N + 2 root N + 2 requests in the overload window, N being
-// what the settings allow it then: of all dispatchers together, few or hundreds, which know nothing of each
-// other.
+// A destination that recovers from an outage can take N + 2 sqrt(N) + 2 requests in an overload window, where
+// N is the number that the settings allow at that time. All dispatchers together must stay within this
+// number, whether there are few or hundreds of them, and without any communication between them.
 namespace stonewing::testing {
 namespace {
 
 constexpr Millis kStep = 20;
 constexpr Millis kOutageBegin = 15000;
 constexpr Millis kOutageEnd = 23000;
-constexpr Millis kEnd = 36000;
+constexpr Millis kRunEnd = 36000;
 constexpr Millis kDeadlineAfter = 6000;
 
 enum class Variation { none, noHealthChecks, noReports, restarts, lateConnections };
@@ -30,15 +30,16 @@
 struct Scenario {
   int dispatcherCount{};
   double capacity{};  // requests a second
-  double load{0.7};   // share of it, of all dispatchers together
+  double load{0.7};   // share of the capacity, from all dispatchers together
   Variation variation{Variation::none};
 };
 
-// The most requests in an overload window, as a share of what the destination bears then: above 1 it fails.
+// The most requests in an overload window, as a share of those that the destination can take. Above 1 it
+// fails.
 struct Overload {
   double worst{0};
-  // The worst of a window of which over two thirds came from dispatchers that had seen the outage. Only there
-  // the policy could know better.
+  // The worst among windows in which over two thirds of the requests came from dispatchers that had seen the
+  // outage. Only those dispatchers can know that they have to send less.
   double worstOfInformed{0};
 };
 
@@ -54,15 +55,16 @@
   }
 
   Overload run() {
-    for (Millis now = kStep; now < kEnd; now += kStep) {
+    for (Millis now = kStep; now < kRunEnd; now += kStep) {
       for (Dispatcher& dispatcher : dispatchers_) dispatcher.policy->beginRound(now);
       bool restartsNow =
           scenario_.variation == Variation::restarts && std::abs(now - (kOutageBegin + 4000)) < kStep / 2;
       if (restartsNow) restartHalf(now);
-      for (; !outcomes_.empty() && outcomes_.top().at <= now; outcomes_.pop()) report(outcomes_.top(), now);
+      for (; !outcomes_.empty() && outcomes_.top().at <= now; outcomes_.pop())
+        reportOutcome(outcomes_.top(), now);
       for (std::size_t index = 0; index < dispatchers_.size(); ++index) {
         acceptMessages(dispatchers_[index], now);
-        sendDecided(index, now);
+        executeDecisions(index, now);
       }
     }
     return worstOverload();
@@ -126,9 +128,9 @@
     }
   }
 
-  void report(const Outcome& outcome, Millis now) {
+  void reportOutcome(const Outcome& outcome, Millis now) {
     Dispatcher& dispatcher = dispatchers_[outcome.dispatcher];
-    if (outcome.restartCount != dispatcher.restartCount) return;  // of a process that has ended
+    if (outcome.restartCount != dispatcher.restartCount) return;  // the process that sent it has ended
     if (!outcome.succeeded) dispatcher.hasSeenOutage = true;
     AttemptOutcome result = outcome.succeeded ? AttemptOutcome::completed : AttemptOutcome::connectFailed;
     bool hasReport = outcome.succeeded && settings_.reportsRateLimit;
@@ -151,7 +153,7 @@
     }
   }
 
-  void sendDecided(std::size_t index, Millis now) {
+  void executeDecisions(std::size_t index, Millis now) {
     DispatchPolicy& policy = *dispatchers_[index].policy;
     int lastRequest = -1;
     while (auto decision = policy.nextDecision()) {
@@ -168,7 +170,8 @@
     }
   }
 
-  // The destination fails what arrives during the outage and answers the rest; arrivals after it are counted.
+  // The destination fails requests that arrive during the outage and answers all others. Requests that arrive
+  // after the outage are counted.
   void send(std::size_t index, const std::variant<SendAttempt, SendHealthCheck>& sent, Millis now) {
     const Dispatcher& dispatcher = dispatchers_[index];
     bool isLate = scenario_.variation == Variation::lateConnections && uniform() < 0.3;
@@ -193,18 +196,18 @@
         informed -= arrivals_[first++].isInformed;
       }
       auto count = static_cast<double>(last - first + 1);
-      double share = count / bearableAt(arrivals_[last].at);
+      double share = count / maxRequestsAt(arrivals_[last].at);
       overload.worst = std::max(overload.worst, share);
       if (informed > count * 2 / 3) overload.worstOfInformed = std::max(overload.worstOfInformed, share);
     }
     return overload;
   }
 
-  // How many requests the destination bears in an overload window that ends at this time.
-  double bearableAt(Millis time) const {
-    double warmth = std::min(1.0, (time - kOutageEnd) / settings_.slowStartDuration);
-    double allowed = scenario_.capacity *
-                     (settings_.slowStartInitialShare + (1 - settings_.slowStartInitialShare) * warmth);
+  // How many requests the destination can take in an overload window that ends at this time.
+  double maxRequestsAt(Millis time) const {
+    double warmUpProgress = std::min(1.0, (time - kOutageEnd) / settings_.slowStartDuration);
+    double allowed = scenario_.capacity * (settings_.slowStartInitialShare +
+                                           (1 - settings_.slowStartInitialShare) * warmUpProgress);
     double expected = settings_.overloadThreshold * allowed * settings_.overloadWindow / 1000;
     return expected + 2 * std::sqrt(expected) + 2;
   }
@@ -221,7 +224,7 @@
 };
 
 Overload worstOfSeeds(const Scenario& scenario) {
-  // With few requests chance matters most.
+  // With few requests the result depends most on chance.
   std::uint32_t seeds = scenario.capacity < 5 && scenario.dispatcherCount < 100 ? 12 : 1;
   Overload worst;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
@@ -238,11 +241,11 @@
       for (Variation variation : {Variation::none, Variation::noHealthChecks, Variation::noReports,
                                   Variation::restarts, Variation::lateConnections}) {
         Overload overload = worstOfSeeds({dispatcherCount, capacity, 0.7, variation});
-        auto form = static_cast<int>(variation);
+        auto number = static_cast<int>(variation);
         EXPECT_LE(overload.worstOfInformed, 1)
-            << dispatcherCount << " dispatchers, " << capacity << ", form " << form;
-        std::cout << dispatcherCount << " " << capacity << " form " << form << ": " << overload.worst << " "
-                  << overload.worstOfInformed << "\n";
+            << dispatcherCount << " dispatchers, " << capacity << ", variation " << number;
+        std::cout << dispatcherCount << " " << capacity << " variation " << number << ": " << overload.worst
+                  << " " << overload.worstOfInformed << "\n";
       }
     }
   }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -4,7 +4,7 @@
 
 #include "support/policy_harness.h"
 
-// Recovery from an outage, as one dispatcher alone decides it (the fleet: slow_start_fleet_test.cpp).
+// Recovery from an outage with one dispatcher (slow_start_fleet_test.cpp tests several).
 namespace stonewing::testing {
 namespace {
 
@@ -17,8 +17,8 @@
   auto healthChecks = harness.decisions<SendHealthCheck>();
   ASSERT_EQ(healthChecks.size(), 1u);
   harness.policy.recordHealthCheckOutcome(healthChecks[0].endpoint, AttemptOutcome::completed, {});
-  EXPECT_TRUE(
-      harness.decisions<SendHealthCheck>().empty());  // of the other endpoint: health checks are load too
+  // The other endpoint gets no health check either, since health checks are load too.
+  EXPECT_TRUE(harness.decisions<SendHealthCheck>().empty());
   int sentCount = 0;
   Millis until = harness.now + 1500;
   while (harness.now < until) {
@@ -66,7 +66,7 @@
   EXPECT_LE(harness.decisions<SendAttempt>().size(), 5u);  // of 20
 }
 
-// Connections that break must not put every destination on a slow ramp.
+// Broken connections alone must not cause a slow start of every destination.
 TEST(SlowStart, IsNotBegunByConnectionsThatBreak) {
   PolicyHarness breaking;
   breaking.completeMessages(60);
--- a/tests/policy/wait_queue_test.cpp
+++ b/tests/policy/wait_queue_test.cpp
@@ -16,11 +16,11 @@
 #include "support/compare_decisions.h"
 #include "support/policy_harness.h"
 
-// Messages that wait are found without going through all of them, and with the same decisions.
+// Waiting messages are found without a scan of all of them, and the decisions are the same as with a scan.
 namespace stonewing::testing {
 namespace {
 
-// The same messages as by going through the whole queue.
+// visitAround() must visit the same messages as a scan of the whole queue.
 RC_GTEST_PROP(WaitQueue, FindsTheMessagesAroundADeadline,
               (std::vector<std::uint8_t> deadlines, std::uint8_t around)) {
   WaitQueue queue;
@@ -73,7 +73,7 @@
   auto urgency = [&](std::uint32_t id) {
     auto [type, deadline] = waiting.at(id);
     const TrafficType& traffic = settings.types[type];
-    Millis latency = traffic.latencyObjective * 0.6 / 2;  // nothing was measured yet
+    Millis latency = traffic.latencyObjective * 0.6 / 2;  // the default, since there are no samples yet
     auto weightAt = [&](Millis time) {
       return time > deadline
                  ? 0
@@ -88,7 +88,8 @@
   for (const auto& [id, message] : waiting) RC_ASSERT(urgency(id) <= chosen + 1e-9);
 }
 
-// Without this, the worse it gets outside, the slower the dispatcher becomes.
+// If each round scanned all messages in flight, the dispatcher would become slower while endpoints fail and
+// messages accumulate.
 TEST(Rounds, CostByWhatIsDueAndNotByWhatIsInFlight) {
   auto secondsFor = [](int inFlight) {
     DeploymentSettings settings = testSettings();
@@ -106,12 +107,12 @@
   };
   double secondsForFew = secondsFor(200);
   double secondsForMany = secondsFor(20000);
-  EXPECT_LT(secondsForMany, 20 * secondsForFew + 0.01);  // going through all costs a hundred times as much
+  EXPECT_LT(secondsForMany, 20 * secondsForFew + 0.01);  // a scan of all would take a hundred times as long
 }
 
-// A pending attempt that a round skips would be hedged or cancelled too late, or its missing response never
-// seen. The same day is played with an empty part of an endpoint list in each round as well, after which the
-// policy looks at all attempts again.
+// A round skips the scan of the pending attempts if none can be due. A round that skipped a due attempt would
+// hedge or cancel it too late, or would not notice its missing response. So the same events are also applied
+// to a policy that gets an empty partial endpoint list in each round, which makes it scan all attempts.
 RC_GTEST_PROP(Rounds, DecideTheSameAsWhenAllAttemptsAreLookedAtAgain, (std::uint32_t seed)) {
   std::mt19937 random(seed);
   DeploymentSettings settings =
@@ -120,16 +121,16 @@
   settings.kinds[0].maxBatchSize = random() % 4 == 0 ? 4 : 1;
   settings.maxConcurrentRequests = 4 + static_cast<int>(random() % 12);
   settings.types[0].deadlineAfter = 4000;
-  PolicyHarness skipping(settings, 1 + seed % 3), lookingAgain(settings, 1 + seed % 3);
+  PolicyHarness skipping(settings, 1 + seed % 3), rescanning(settings, 1 + seed % 3);
   auto both = [&](auto action) {
     action(skipping);
-    action(lookingAgain);
+    action(rescanning);
   };
   both([](PolicyHarness& harness) { harness.completeMessages(40); });
   std::multimap<Millis, std::function<void(PolicyHarness&)>> due;
   std::uint32_t id = 1;
   bool failing = false;
-  // Without the timers: an endpoint list makes the policy set them anew.
+  // Skips timers, since an endpoint list makes the policy set them again.
   auto next = [](PolicyHarness& harness) {
     auto decision = harness.policy.nextDecision();
     while (decision && std::holds_alternative<SetTimer>(*decision)) decision = harness.policy.nextDecision();
@@ -138,15 +139,15 @@
   for (int round = 0; round < 400; ++round) {
     Millis now = skipping.now + 1 + random() % 40;
     both([&](PolicyHarness& harness) { harness.advanceTo(now); });
-    lookingAgain.policy.beginEndpointList();
-    lookingAgain.policy.commitEndpointList(false);
+    rescanning.policy.beginEndpointList();
+    rescanning.policy.commitEndpointList(false);
     if (random() % 60 == 0) failing = !failing;
     for (; !due.empty() && due.begin()->first <= now; due.erase(due.begin())) both(due.begin()->second);
     for (std::uint32_t n = random() % 3; n > 0 && skipping.policy.state().messagesInFlight < 60; --n, ++id) {
       both([&](PolicyHarness& harness) { harness.accept(id); });
     }
     for (auto decision = next(skipping); decision; decision = next(skipping)) {
-      auto other = next(lookingAgain);
+      auto other = next(rescanning);
       RC_ASSERT(other && isSameDecision(*decision, *other));
       if (const auto* cancel = std::get_if<CancelAttempt>(&*decision))
         both([&](PolicyHarness& harness) { harness.finishAttempt(*cancel, AttemptOutcome::cancelled); });
@@ -162,7 +163,7 @@
         harness.finishAttempt(attempt, outcome);
       });
     }
-    RC_ASSERT(!next(lookingAgain).has_value());
+    RC_ASSERT(!next(rescanning).has_value());
   }
 }
 
--- a/tests/policy/zone_failover_policy_test.cpp
+++ b/tests/policy/zone_failover_policy_test.cpp
@@ -6,11 +6,12 @@
 
 #include "support/zone_settings.h"
 
-// What the policy as a whole does while a zone is lost.
+// The decisions of the whole policy while a zone is lost.
 namespace stonewing::testing {
 namespace {
 
-// A DispatchPolicy with zones: destinations 1 and 2 have two endpoints in the own zone and two in the next.
+// A DispatchPolicy with zones: destinations 1 and 2 each have two endpoints in the dispatcher's own zone and
+// two in the near zone.
 struct ZonePolicyHarness {
   Millis now = 1000;
   DeploymentSettings settings;
@@ -41,8 +42,9 @@
   }
   static bool isInOwnZone(EndpointId endpoint) { return endpoint.value % 10 <= 2; }
 
-  // What goes to the own zone fails from now on, what goes elsewhere completes. Returns all decisions.
-  std::vector<Decision> playUntil(Millis until) {
+  // Runs rounds until the given time; everything sent to the own zone fails, everything else completes.
+  // Returns all decisions.
+  std::vector<Decision> runUntil(Millis until) {
     std::vector<Decision> all;
     while (now < until) {
       for (const Decision& decision : allDecisions()) {
@@ -70,8 +72,8 @@
   }
 };
 
-// A message with an idempotency key that spills over into another zone escapes the deduplication of the
-// first one, and is executed twice.
+// A message that may have been executed must not spill over if its idempotency key is known in its first zone
+// only. The other zone would not recognize the key, and the message could be executed twice.
 TEST(PolicyWithZones, KeepsWhatMayHaveBeenExecutedInALostZoneAndFinishesItInTime) {
   ZonePolicyHarness harness;
   harness.accept(1, 1);  // idempotent with a key within its zone
@@ -83,7 +85,7 @@
                                       {});  // it may have been executed
   for (std::uint32_t message = 2; message < 20; ++message)
     harness.accept(message, 0, static_cast<std::uint16_t>(1 + message % 2));
-  std::vector<Decision> all = harness.playUntil(6000);
+  std::vector<Decision> all = harness.runUntil(6000);
   ASSERT_TRUE(harness.policy.state().zones.isLost(kOwnZone));
   int elsewhere = 0, failed = 0;
   for (const Decision& decision : all) {
@@ -96,17 +98,17 @@
     elsewhere += send != nullptr && !ZonePolicyHarness::isInOwnZone(send->endpoint);
   }
   EXPECT_EQ(failed, 1);     // once its deduplication window has closed, long before its deadline
-  EXPECT_GE(elsewhere, 8);  // it has delivered nothing yet, and goes by what was submitted
+  EXPECT_GE(elsewhere, 8);  // the rate follows the accepted messages; nothing was delivered yet
 }
 
-// More waits for a lost zone than others may take. Kept until it is too late, all of it would be lost.
+// More messages wait for a lost zone than other zones may take. If none were shed in time, all would expire.
 TEST(PolicyWithZones, ShedsWithARetryAfterWhatDoesNotFitInOtherZonesInTime) {
   DeploymentSettings settings = zoneSettings();
   settings.zoneFailover.spilloverPerSecond = 5;
   ZonePolicyHarness harness(settings);
   for (std::uint32_t number = 1; number < 30; ++number)
     harness.accept(number, 0, static_cast<std::uint16_t>(1 + number % 2));
-  std::vector<Decision> all = harness.playUntil(3000);
+  std::vector<Decision> all = harness.runUntil(3000);
   ASSERT_TRUE(harness.policy.state().zones.isLost(kOwnZone));
   int shed = 0;
   for (const Decision& decision : all) {
@@ -123,12 +125,12 @@
   ZonePolicyHarness harness;
   for (std::uint32_t message = 1; message < 30; ++message)
     harness.accept(message, 0, static_cast<std::uint16_t>(1 + message % 2));
-  harness.playUntil(3000);
+  harness.runUntil(3000);
   ASSERT_TRUE(harness.policy.state().zones.isLost(kOwnZone));
   int healthChecks = 0;
   for (std::uint32_t message = 100; message < 200; ++message) {
     harness.accept(message, 0);
-    for (const Decision& decision : harness.playUntil(harness.now + 100)) {
+    for (const Decision& decision : harness.runUntil(harness.now + 100)) {
       if (const auto* send = std::get_if<SendAttempt>(&decision)) {
         EXPECT_FALSE(ZonePolicyHarness::isInOwnZone(send->endpoint));
       }
@@ -136,7 +138,7 @@
     }
   }
   EXPECT_GE(healthChecks, 2);
-  EXPECT_LE(healthChecks, 10);  // in ten seconds, of four endpoints
+  EXPECT_LE(healthChecks, 10);  // in ten seconds, to four endpoints
 }
 
 }  // namespace
--- a/tests/policy/zone_failover_test.cpp
+++ b/tests/policy/zone_failover_test.cpp
@@ -11,11 +11,11 @@
 
 #include "support/zone_settings.h"
 
-// Which zone is lost, how much spills over into another, and how a zone that returns is ramped up.
+// When a zone is lost, how much spills over into other zones, and how a recovering zone is ramped up.
 namespace stonewing::testing {
 namespace {
 
-// A ZoneFailover alone: three zones, four destinations with an endpoint in each zone.
+// A ZoneFailover without a policy: three zones, and four destinations with an endpoint in each zone.
 struct ZoneFailoverHarness {
   DeploymentSettings settings;
   ZoneFailover zones;
@@ -25,7 +25,7 @@
     setEndpoints(0);
   }
 
-  // A whole list of endpoints, without those of some zones.
+  // Sets a complete endpoint list without the endpoints of the missing zones.
   void setEndpoints(Millis now, std::set<std::uint8_t> missingZones = {}) {
     zones.beginEndpointList();
     for (std::uint16_t destination = 1; destination <= 4; ++destination) {
@@ -46,19 +46,19 @@
   void succeed(Millis now, std::uint16_t destination, ZoneId zone) {
     zones.recordSuccess(now, endpointOf(destination, zone), zone, true);
   }
-  void loseZone(Millis now, ZoneId zone) {
+  void failZone(Millis now, ZoneId zone) {
     for (std::uint16_t destination = 1; destination <= 4; ++destination) {
       fail(now + destination, destination, zone);
     }
   }
 
-  // That many deliveries a second in the own zone, for 30 s.
+  // Records deliveries in the own zone at the given rate for 30 s.
   void deliverInOwnZone(double perSecond) {
     for (Millis time = 0; time < 30000; time += 1000 / perSecond) succeed(time, 1, kOwnZone);
   }
 };
 
-// How many attempts go out in that time, as fast as they may.
+// Records attempts as early as they are allowed, and returns how many there were in the given time.
 int attemptsDuring(ZoneFailoverHarness& harness, Millis from, Millis duration) {
   int sent = 0;
   for (Millis time = from; time < from + duration; time += 1) {
@@ -74,7 +74,7 @@
   ZoneFailoverHarness harness;
   for (int count = 0; count < 20; ++count) harness.fail(1000 + count, 1, kOwnZone, 2 + count);
   EXPECT_FALSE(harness.zones.isLost(kOwnZone));
-  // A third fails, and something is delivered now and then.
+  // Two destinations fail, while a third one still receives messages.
   for (int count = 0; count < 50; ++count) {
     harness.fail(2000 + 10 * count, 1, kOwnZone, 2);
     harness.fail(2001 + 10 * count, 2, kOwnZone, 2);
@@ -82,19 +82,20 @@
   }
   EXPECT_FALSE(harness.zones.isLost(kOwnZone));
   for (std::uint16_t destination = 1; destination <= 4; ++destination) {
-    harness.fail(4000, destination, kOwnZone, 1);  // once each: lost responses, most likely
+    harness.fail(4000, destination, kOwnZone, 1);  // one failure each may be a lost response
   }
   EXPECT_FALSE(harness.zones.isLost(kOwnZone));
-  harness.loseZone(5000, kOwnZone);
+  harness.failZone(5000, kOwnZone);
   EXPECT_TRUE(harness.zones.isLost(kOwnZone));
   EXPECT_GT(harness.zones.attemptAllowedFrom(DestinationId{1}, kOwnZone), 1e14);
   EXPECT_LT(harness.zones.attemptAllowedFrom(DestinationId{1}, kNearZone), 6000);
 }
 
-// A dispatcher that is cut off itself would take every zone for lost, and attempt nothing any more.
+// A dispatcher that is itself cut off must not consider every zone lost, since it would send no attempt any
+// more.
 TEST(ZoneFailover, LosesNoZoneWhenAllFail) {
   ZoneFailoverHarness harness;
-  for (ZoneId zone : {kOwnZone, kNearZone, kFarZone}) harness.loseZone(1000, zone);
+  for (ZoneId zone : {kOwnZone, kNearZone, kFarZone}) harness.failZone(1000, zone);
   for (ZoneId zone : {kOwnZone, kNearZone, kFarZone}) EXPECT_FALSE(harness.zones.isLost(zone));
   harness.succeed(3000, 1, kFarZone);
   EXPECT_TRUE(harness.zones.isLost(kOwnZone));
@@ -109,23 +110,23 @@
   EXPECT_TRUE(harness.zones.hasLowerPriorityThanHome(DestinationId{3}, kOwnZone));
   EXPECT_EQ(harness.zones.priority(DestinationId{3}, kOwnZone),
             harness.zones.priority(DestinationId{3}, kNearZone));
-  // Where the best zone has no endpoint of a destination, the next is its home.
+  // If the preferred zone has no endpoint of a destination, the next zone is its home zone.
   harness.setEndpoints(1000, {kOwnZone.value});
   EXPECT_FALSE(harness.zones.hasLowerPriorityThanHome(DestinationId{1}, kNearZone));
 }
 
-// What spilled over must not return in one moment, into a zone that is warming up: that would overload it.
+// Traffic that spilled over must not return all at once: it would overload a zone that is warming up.
 TEST(ZoneFailover, RampsUpAReturningZoneAndMoreSlowlyAfterAnotherLoss) {
   ZoneFailoverHarness harness;
   harness.deliverInOwnZone(50);
-  harness.loseZone(30000, kOwnZone);
+  harness.failZone(30000, kOwnZone);
   ASSERT_TRUE(harness.zones.isLost(kOwnZone));
   EXPECT_GT(harness.zones.healthCheckAllowedFrom(kOwnZone), 30000);
   harness.succeed(40000, 1, kOwnZone);
   ASSERT_TRUE(harness.zones.isRamping(40000, kOwnZone));
   EXPECT_NEAR(attemptsDuring(harness, 40000, 1000), 50 * 0.24, 4);
   EXPECT_NEAR(attemptsDuring(harness, 45000, 1000), 50 * 0.64, 8);
-  harness.loseZone(46000, kOwnZone);
+  harness.failZone(46000, kOwnZone);
   ASSERT_TRUE(harness.zones.isLost(kOwnZone));
   harness.zones.recordHealthCheck(48000, kOwnZone);
   EXPECT_GE(harness.zones.healthCheckAllowedFrom(kOwnZone) - 48000,
@@ -141,28 +142,28 @@
   std::set<Millis> healthChecks;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     ZoneFailoverHarness harness(zoneSettings(), seed);
-    harness.loseZone(1000, kOwnZone);
+    harness.failZone(1000, kOwnZone);
     healthChecks.insert(harness.zones.healthCheckAllowedFrom(kOwnZone));
   }
   EXPECT_EQ(healthChecks.size(), 20u);
   EXPECT_GT(*healthChecks.rbegin() - *healthChecks.begin(), 300);
 }
 
-// A list that drops a whole zone and adds it again finds it not warmed up, and nothing has failed that would
-// show it.
+// A zone that an endpoint list drops and a later list adds again may have to warm up, although nothing failed
+// there.
 TEST(ZoneFailover, RampsUpAZoneThatTheEndpointListHadDropped) {
   ZoneFailoverHarness harness;
   harness.deliverInOwnZone(50);
   harness.setEndpoints(30000, {kOwnZone.value});
   EXPECT_FALSE(harness.zones.isLost(kOwnZone));
   harness.setEndpoints(30500);
-  EXPECT_FALSE(harness.zones.isRamping(30500, kOwnZone));  // a short gap
+  EXPECT_FALSE(harness.zones.isRamping(30500, kOwnZone));  // absent for less than an overload window
   harness.setEndpoints(31000, {kOwnZone.value});
   harness.setEndpoints(40000);
   EXPECT_TRUE(harness.zones.isRamping(40000, kOwnZone));
 }
 
-// A reference model goes through all attempts from the start for each one.
+// For each attempt, a reference model checks the limits by a scan of all attempts so far.
 TEST(ZoneFailover, KeepsSpilloverWithinItsLimitsWhateverHappens) {
   EXPECT_TRUE(rc::check([] {
     DeploymentSettings settings = zoneSettings();
@@ -184,7 +185,7 @@
       std::uint16_t destination = static_cast<std::uint16_t>(*rc::gen::inRange(1, 5));
       ZoneId zone{static_cast<std::uint8_t>(*rc::gen::inRange(0, 3))};
       int event = *rc::gen::inRange(0, 12);
-      if (event == 0) harness.loseZone(now, zone);
+      if (event == 0) harness.failZone(now, zone);
       if (event == 1) harness.succeed(now, destination, zone);
       if (event == 2 && !sent.empty()) {
         Sent& attempt = sent[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(sent.size())))];
@@ -192,11 +193,11 @@
       }
       if (event < 3 || harness.zones.attemptAllowedFrom(DestinationId{destination}, zone) > now) continue;
       RC_ASSERT(!harness.zones.isLost(zone));
-      bool inTrouble = harness.zones.isLost(kOwnZone) || harness.zones.isRamping(now, kOwnZone);
+      bool isHomeLimited = harness.zones.isLost(kOwnZone) || harness.zones.isRamping(now, kOwnZone);
       bool isSpillover = harness.zones.recordAttempt(now, DestinationId{destination}, zone);
-      // The ramp may have ended by its duration before any event shows it.
+      // The duration of the ramp may have passed before any event ends the ramp.
       RC_ASSERT(!isSpillover || zone != kOwnZone);
-      RC_ASSERT(isSpillover || !inTrouble || zone == kOwnZone);
+      RC_ASSERT(isSpillover || !isHomeLimited || zone == kOwnZone);
       sent.push_back({now, zone, isSpillover, true});
       if (!isSpillover) continue;
       int pending = 0, lastSecond = 0;
--- a/tests/support/zone_settings.h
+++ b/tests/support/zone_settings.h
@@ -4,9 +4,10 @@
 
 namespace stonewing::testing {
 
-constexpr ZoneId kOwnZone{0}, kNearZone{1}, kFarZone{2};  // in the order of their priorities
+constexpr ZoneId kOwnZone{0}, kNearZone{1}, kFarZone{2};  // in order of priority, highest first
 
-// Three zones, and a traffic type of each idempotency; the one with a key is deduplicated within a zone.
+// Three zones, and a traffic type of each idempotency. The type with a key is deduplicated within a zone
+// only.
 inline DeploymentSettings zoneSettings() {
   DeploymentSettings settings = testSettings();
   settings.types = {trafficType(Idempotency::idempotent), trafficType(Idempotency::idempotentWithKey),
