--- a/tests/policy/slow_start_fleet_test.cpp
+++ b/tests/policy/slow_start_fleet_test.cpp
@@ -241,11 +241,11 @@
       for (Variation variation : {Variation::none, Variation::noHealthChecks, Variation::noReports,
                                   Variation::restarts, Variation::lateConnections}) {
         Overload overload = worstOfSeeds({dispatcherCount, capacity, 0.7, variation});
-        auto number = static_cast<int>(variation);
+        auto variationIndex = static_cast<int>(variation);
         EXPECT_LE(overload.worstOfInformed, 1)
-            << dispatcherCount << " dispatchers, " << capacity << ", variation " << number;
-        std::cout << dispatcherCount << " " << capacity << " variation " << number << ": " << overload.worst
-                  << " " << overload.worstOfInformed << "\n";
+            << dispatcherCount << " dispatchers, " << capacity << ", variation " << variationIndex;
+        std::cout << dispatcherCount << " " << capacity << " variation " << variationIndex << ": "
+                  << overload.worst << " " << overload.worstOfInformed << "\n";
       }
     }
   }
