--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kUnresponsiveFactor = 3;      // multiple of p95 without a response: the attempt is overdue
 constexpr double kMinP95ObjectiveShare = 0.3;  // of the latency objective; a lower p95 counts as this much
-// Attempts cancelled since an endpoint's last response from which they prove that it does not respond.
+// An endpoint counts as unresponsive after this many attempts were cancelled since its last response.
 constexpr int kUnresponsiveTimeouts = 4;
 
 }  // namespace
@@ -88,9 +88,9 @@
   if (isOverdue && !route.recovery.isOutage() && route.recovery.lastSuccessAt() <= attempt.sentAt)
     slowStart.recordUnresponsive(route);
   // One endpoint of several may hang while the others respond. This shows in an attempt that is still pending
-  // after the threshold with no later response from the endpoint, or in several attempts cancelled since its
-  // last response. Without the second rule, a hung endpoint would go undetected while all concurrent requests
-  // are in use: attempts are then cancelled before any of them has been pending for that long.
+  // after the threshold has passed without a success of the endpoint, or in several attempts cancelled since
+  // its last response. Without the second rule, a hung endpoint would go undetected while all concurrent
+  // requests are in use: attempts are then cancelled before any of them has been pending for that long.
   Millis since = failures.consecutiveTimeouts_ >= kUnresponsiveTimeouts
                      ? std::min(failures.firstTimeoutSentAt_, attempt.sentAt)
                      : attempt.sentAt;
--- a/tests/policy/rate_pacer_test.cpp
+++ b/tests/policy/rate_pacer_test.cpp
@@ -94,7 +94,7 @@
   }
 }
 
-// Dispatchers that start at the same time must not all send at that time what their interval allows.
+// Dispatchers that start at the same time must not all send their first request at that time.
 TEST(RatePacer, StartsAtDifferentTimesInDifferentDispatchers) {
   DeploymentSettings settings = testSettings();
   settings.reportsRateLimit = settings.hasReportedWeights = true;
