--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -12,23 +12,26 @@
 namespace stonewing {
 namespace {
 
-// A client that does not read its replies is not read either, beyond this.
+// No further command of a client is read while more than this many bytes of its replies are unsent. Without
+// this, a client that never reads its replies would fill the memory with them.
 constexpr std::size_t kMaxUnsentBytes = 64 * 1024;
-// What is read and dropped behind the end of a connection. Each byte costs time, and a client may never stop.
+// Limit on the input that is read and dropped while a connection is closing. Each byte costs time, and a
+// client may never stop sending.
 constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;
 
-// For a client to read its last reply before the connection is closed.
+// Time for a client to read its last reply before the connection is closed.
 constexpr Millis kLingerMs = 1000;
-// A client waits 400 ms for a reply. One that leaves an incomplete command, or a reply, lying for longer
-// holds a place for nothing, and a few hundred such would shut all others out.
+// A client waits this long for a reply.
 constexpr Millis kClientTimeoutMs = 400;
+// A client that leaves a command incomplete, or a reply unread, for this long occupies a connection without
+// using it. A few hundred of them would leave no connection for other clients.
 constexpr Millis kIncompleteCommandTimeoutMs = 1000;
-// A connection without a command may be closed after 2 s; clients open another when they need it. Those that
-// never say anything go first, for they come by hundreds; those that keep a connection for good would add up
-// all day.
+// The server may close a connection after 2 s without a command; clients open another when they need it.
+// Connections that never sent a command have the shorter time-out, since there can be hundreds of them. Those
+// that sent one have a time-out as well, since clients that never close theirs would add up over a day.
 constexpr Millis kSilentTimeoutMs = 2200;
 constexpr Millis kIdleTimeoutMs = 5000;
-// A client that has said nothing for this long after it came is not about to.
+// A client that has sent nothing for this long after it connected is not expected to send a command soon.
 constexpr Millis kNewClientGraceMs = 50;
 
 }  // namespace
@@ -50,7 +53,7 @@
     ReadResult result = readCommands(streamEnd);
     if (isClosed_) return;
     if (result == ReadResult::wouldBlock) break;
-    if (result == ReadResult::more) {  // others have their turn first
+    if (result == ReadResult::more) {  // other connections are served before the remaining input
       socket_.reschedule();
       break;
     }
@@ -62,7 +65,7 @@
 
 // Reads one share of input and executes its commands.
 ReadResult ClientConnection::readCommands(StreamEnd streamEnd) {
-  if (received_.empty()) lastActiveAt_ = loop_.now();  // a command begins, if anything has come
+  if (received_.empty()) lastActiveAt_ = loop_.now();  // bytes read now begin a new command
   ReadResult result = readAvailable(socket_.get(), received_, kMaxCommandBytes, streamEnd);
   if (result == ReadResult::broken) {
     closeNow();
@@ -71,7 +74,7 @@
   hasInputEnded_ = result == ReadResult::endOfStream;
   executeCommands();
   if (!hasInputEnded_) return result;
-  // The client has only shut down its own side if it still reads: it gets its replies.
+  // The client may have shut down only its sending side and still read, so it gets its remaining replies.
   if (hasRepliesLeft()) {
     startClosing();
   } else {
@@ -94,7 +97,7 @@
     position += used;
   }
   if (isClosing_ || position == received_.size()) {
-    // With its memory, since most of the connected clients say nothing at any time.
+    // Frees the buffer's memory as well, since most connected clients are idle at any time.
     received_ = {};
   } else {
     received_.erase(0, position);
@@ -112,8 +115,8 @@
   }
 }
 
-// What still comes on a connection that is closing is read and dropped: closing over unread bytes would reset
-// the connection, and the last reply with it.
+// Reads and drops the input of a connection that is closing. Closing a socket with unread bytes would reset
+// the connection, and the client could lose its last reply.
 void ClientConnection::discardInput() {
   std::string discarded;
   ReadResult result = readAvailable(socket_.get(), discarded, kMaxCommandBytes);
@@ -121,7 +124,7 @@
   bool isDone = result == ReadResult::endOfStream && !hasRepliesLeft();
   if (result == ReadResult::broken || isDone) return closeNow();
   hasInputEnded_ = hasInputEnded_ || result == ReadResult::endOfStream;
-  // A client that goes on regardless is not read any more; it still has its time to read what we said.
+  // Beyond the limit the client's input stays unread; the client still has kLingerMs to read its last reply.
   if (result == ReadResult::more && discardedBytes_ <= kMaxDiscardedBytes) socket_.reschedule();
 }
 
@@ -129,8 +132,8 @@
   if (isClosed_ || unsent_.empty()) return;
   WriteBuffer::WriteResult result = unsent_.write(socket_.get());
   if (result == WriteBuffer::WriteResult::broken) closeNow();
-  bool isLast = isClosing_ && replies_.empty();
-  if (result == WriteBuffer::WriteResult::all && isLast) ::shutdown(socket_.get(), SHUT_WR);
+  bool isLastReply = isClosing_ && replies_.empty();
+  if (result == WriteBuffer::WriteResult::all && isLastReply) ::shutdown(socket_.get(), SHUT_WR);
 }
 
 bool ClientConnection::awaitsDecision(const IsDecided& isDecided) const {
@@ -141,8 +144,8 @@
 
 void ClientConnection::sendReplies(const ReplacementReply& replacement) {
   for (CommandReply& reply : std::exchange(replies_, {})) {
-    std::optional<std::string> other = reply.ifAccepted ? replacement(*reply.ifAccepted) : std::nullopt;
-    unsent_.add(other ? std::move(*other) : std::move(reply.text));
+    std::optional<std::string> newText = reply.ifAccepted ? replacement(*reply.ifAccepted) : std::nullopt;
+    unsent_.add(newText ? std::move(*newText) : std::move(reply.text));
   }
   write();
   if (isClosed_) return;
--- a/src/server/command_reply.h
+++ b/src/server/command_reply.h
@@ -11,15 +11,16 @@
 // The reply to one command, as RESP2 bytes.
 struct CommandReply {
   std::string text;
-  // The message that the command submitted: the reply holds only if the message is kept, and waits until that
-  // is decided.
+  // The message that the command submitted, if any. The reply is sent only once it is decided whether the
+  // message stays accepted; if it does not, the replacement reply is sent instead.
   std::optional<MessageId> ifAccepted{};
 };
 
-// Whether it is known if an accepted message is kept.
+// Returns whether it is decided if an accepted message stays accepted.
 using IsDecided = std::function<bool(MessageId)>;
 
-// The reply to send where a message was not kept; no value where it was, and its own reply holds.
+// Returns the reply to send if a message does not stay accepted; no value if it does and its own reply is
+// right.
 using ReplacementReply = std::function<std::optional<std::string>(MessageId)>;
 
 }  // namespace stonewing
--- a/src/server/resp_server.cpp
+++ b/src/server/resp_server.cpp
@@ -18,28 +18,31 @@
 
 constexpr int kBacklog = 1024;
 constexpr int kAcceptsPerTurn = 64;
-// Until the next try after accept has failed, for want of a descriptor for instance.
+// Delay until connections are accepted again after a failure, such as a lack of descriptors.
 constexpr Millis kAcceptRetryMs = 20;
 // The longest time between two calls of onTick.
 constexpr Millis kMaxTickMs = 1000;
-// One part in so many of the places is kept free by retiring idle clients, before all places are taken.
-constexpr std::size_t kReservedShare = 16;
+// One in this many of the allowed connections stays free: idle clients are closed before the limit is
+// reached.
+constexpr std::size_t kReservedDivisor = 16;
 
-// Whom to evict first, by comparison: a client that lingers after its last reply, then one that is preferred,
-// then the one that is idle for longest.
+// The client of the greatest rank is evicted first: one that lingers after its last reply, then one that is
+// preferred for eviction, then the one that has been idle for longest.
 std::tuple<bool, bool, Millis> evictionRank(const ClientConnection& client, Millis now) {
   return {client.isLingering(), client.isPreferredForEviction(now), client.idleFor(now)};
 }
 
 }  // namespace
 
-// A client connection with the server's own records of it.
+// A client connection together with the server's data about it.
 class RespServer::Client final : public ClientConnection {
  public:
   using ClientConnection::ClientConnection;
 
-  std::list<std::unique_ptr<Client>>::iterator self{};  // stays valid until it is erased from the list
-  Millis scheduledDeadline{-1};                         // its key in deadlines_; below 0: not there yet
+  // In clients_; valid until the element is erased.
+  std::list<std::unique_ptr<Client>>::iterator position{};
+  // The key in deadlines_; negative while the client is not in it.
+  Millis scheduledDeadline{-1};
 };
 
 RespServer::RespServer(EventLoop& loop, std::size_t maxClients, std::size_t maxBufferedBytes,
@@ -59,13 +62,15 @@
   if (fd < 0 || ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
       ::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
       ::listen(fd, kBacklog) != 0) {
-    throw std::system_error(errno, std::generic_category(), "cannot listen");
+    throw std::system_error(errno, std::generic_category(), "cannot listen on the client address");
   }
-  if (!listener_.watch(*this)) throw std::system_error(errno, std::generic_category(), "cannot watch");
+  if (!listener_.watch(*this))
+    throw std::system_error(errno, std::generic_category(), "cannot register the client listener with epoll");
 }
 
-// Whoever waits to be accepted when the listener closes is reset, with all it has sent, and a turn that came
-// late finds many of them: so a whole backlog is accepted first.
+// Accepts up to a whole backlog of connections before closing the listener. Closing it resets the connections
+// that still wait to be accepted, and all that their clients have sent is lost; after a delayed turn there
+// may be many of them.
 void RespServer::stopListening() {
   constexpr int kMaxRounds = kBacklog / kAcceptsPerTurn;
   for (int round = 0; round < kMaxRounds; ++round) {
@@ -80,10 +85,10 @@
   isDraining_ = true;
   for (auto next = clients_.begin(); next != clients_.end();) {
     Client& client = **next;
-    ++next;  // first, since the client may be erased
+    ++next;  // advanced first, since drainIfIdle may erase the client
     client.drainIfIdle();
   }
-  // Those that stay for a moment have less time now.
+  // Clients that are still connected have a shorter inactivity time-out while the server drains.
   for (auto& client : clients_) onDeadlineChanged(*client);
 }
 
@@ -109,7 +114,7 @@
   bufferedBytes_ += after;
 }
 
-// Every connection that names this server as its owner is a Client, as addClient makes no other.
+// The casts to Client are safe here and below: addClient creates no connection of another type.
 void RespServer::onDeadlineChanged(ClientConnection& connection) {
   auto& client = static_cast<Client&>(connection);
   Millis deadline = client.inactivityDeadline();
@@ -121,12 +126,12 @@
 
 void RespServer::onClosed(ClientConnection& connection) {
   auto& client = static_cast<Client&>(connection);
-  ClientConnection* none = nullptr;
-  std::replace(clientsWithReplies_.begin(), clientsWithReplies_.end(), &connection, none);
+  ClientConnection* noClient = nullptr;
+  std::replace(clientsWithReplies_.begin(), clientsWithReplies_.end(), &connection, noClient);
   deadlines_.erase({client.scheduledDeadline, &client});
-  auto self = client.self;
-  loop_.deferDeletion(std::move(*self));
-  clients_.erase(self);
+  auto position = client.position;
+  loop_.deferDeletion(std::move(*position));
+  clients_.erase(position);
 }
 
 RespServer::Client* RespServer::findIdlest(Lingering lingering) {
@@ -149,14 +154,14 @@
       client->closeNow();
       return true;
     }
-    previous = client;  // active after all, and the last in rank now
+    previous = client;  // it has unread bytes: it counts as active, and now ranks last
   }
 }
 
-// Keeps a few places free by closing idle clients gracefully, so that hardly any has to be cut off for
-// another.
-void RespServer::retireIdlest() {
-  std::size_t reserved = maxClients_ / kReservedShare;
+// Closes the idlest client gracefully once the reserved connections are in use. Without this, more clients
+// would have to be closed at once, without notice, to admit new ones.
+void RespServer::closeIdlestGracefully() {
+  std::size_t reserved = maxClients_ / kReservedDivisor;
   if (clients_.size() + reserved <= maxClients_) return;
   auto isLingering = [](const auto& client) { return client->isLingering(); };
   auto lingering = static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(), isLingering));
@@ -173,7 +178,7 @@
   retryAcceptAt_.reset();
   for (int count = 0; listener_.isOpen(); ++count) {
     if (count == kAcceptsPerTurn) return AcceptProgress::mayHaveMore;
-    retireIdlest();
+    closeIdlestGracefully();
     if (!evictForNewClient()) return AcceptProgress::done;
     int fd = ::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
@@ -187,8 +192,8 @@
   return AcceptProgress::done;
 }
 
-// Whether there is a place for one more client. With all places taken, one is freed only where somebody waits
-// for it.
+// Returns whether one more client can be accepted. At the limit, a client is evicted only if a connection
+// waits to be accepted.
 bool RespServer::evictForNewClient() {
   if (clients_.size() < maxClients_) return true;
   pollfd listener{listener_.get(), POLLIN, 0};
@@ -201,24 +206,24 @@
 void RespServer::addClient(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  ClientConnection::Owner& owner = *this;  // a private base, so it is named here
+  ClientConnection::Owner& owner = *this;  // make_unique cannot convert to a private base
   auto client = std::make_unique<Client>(loop_, owner, fd);
   if (!client->watch()) return;
   clients_.push_back(std::move(client));
-  clients_.back()->self = std::prev(clients_.end());
-  // In this turn: it may have sent its command, and ended, long ago.
+  clients_.back()->position = std::prev(clients_.end());
+  // Input is read in this turn, since the client may have sent its command and closed its side long ago.
   clients_.back()->onEvents(EPOLLIN | EPOLLRDHUP);
 }
 
-// The listener's event will not come again for those that wait already, so the next try is by the clock.
+// epoll reports connections that already wait no second time, so accepting is retried after a delay.
 void RespServer::onAcceptFailure(int error) {
   log::warn("client.accept_failed", {{"why", std::generic_category().message(error)}});
   closeIdlestClient();
   retryAcceptAt_ = loop_.now() + kAcceptRetryMs;
 }
 
-// Without a limit, a few hundred clients that each send most of a command would fill the memory. The one that
-// began first gives way.
+// Ends clients while the bytes of incomplete commands exceed the limit, beginning with the one whose command
+// began first. Without a limit, a few hundred clients that each send most of a command would fill the memory.
 void RespServer::evictIncompleteCommands() {
   while (bufferedBytes_ > maxBufferedBytes_) {
     Client* oldest = nullptr;
--- a/src/server/resp_server.h
+++ b/src/server/resp_server.h
@@ -19,41 +19,43 @@
 
 namespace stonewing {
 
-// The server for the clients, who speak RESP2: accepts connections, limits their number and memory, closes
-// those that stall, and sends replies once a turn. Used on the event loop's thread alone.
+// The RESP2 server for the clients: accepts connections, limits their number and memory, closes those that
+// stall, and sends replies once a turn. Used on the event loop's thread alone.
 class RespServer : EventHandler, ClientConnection::Owner {
  public:
   using CommandReply = stonewing::CommandReply;
   using IsDecided = stonewing::IsDecided;
   using ReplacementReply = stonewing::ReplacementReply;
-  // Executes one command. Throws Error for one whose reply is an error and the end of its connection.
-  // `clientHasLeft`: the client has ended its side of the connection.
+  // Executes one command. Throws Error where the client is to get an error reply and the connection to end.
+  // `clientHasLeft`: the client has shut down its sending side.
   using CommandHandler =
       std::function<CommandReply(const std::vector<std::string_view>& words, bool clientHasLeft)>;
 
-  // `maxClients`: connections at a time, at least 1. `maxBufferedBytes`: of incomplete commands, from all
-  // clients together, but no less than one command. The loop must outlive the server.
+  // `maxClients`: limit on open connections; at least 1 is allowed. `maxBufferedBytes`: limit on the bytes of
+  // incomplete commands of all clients together; at least kMaxCommandBytes are allowed. The loop must outlive
+  // the server.
   RespServer(EventLoop& loop, std::size_t maxClients, std::size_t maxBufferedBytes, CommandHandler handler);
   ~RespServer() override;
 
-  // Listens on `address`. Throws std::system_error where it cannot be had.
+  // Listens on `address`. Throws std::system_error if that fails, for instance because the address is in use.
   void listen(const sockaddr_in& address);
-  // Accepts no more. Who has connected by now is still served.
+  // Accepts no further connections. Clients that have connected by now are still served.
   void stopListening();
-  // Closes each client as soon as it is between commands, from now on.
+  // From now on closes each client as soon as it is between commands.
   void drain();
-  // Sends the replies made since the last call. Where a reply waits for its message to be decided, all of its
-  // client's wait with it.
+  // Sends the replies made since the last call. Where a reply waits for the decision on its message, all
+  // replies of its client wait with it.
   void sendReplies(const IsDecided& isDecided, const ReplacementReply& replacement);
   // How many clients have replies that are not sent yet.
   std::size_t clientsWithReplies() const { return clientsWithReplies_.size(); }
   std::size_t clientCount() const { return clients_.size(); }
-  // Frees a descriptor for others: closes the client that has been between commands for longest. False where
-  // there is none.
+  // Closes the client that is to be evicted first, which frees its descriptor. False if no client can be
+  // closed without losing a command or a reply.
   bool closeIdlestClient();
-  // To be called once a turn: closes clients whose time is up, and accepts again after a failure.
+  // To be called once a turn: ends clients whose inactivity deadline has passed, and accepts again after a
+  // failure.
   void onTick();
-  // When onTick is needed next (steady clock), at the latest.
+  // The latest time (steady clock) for the next call of onTick.
   Millis due() const;
 
  private:
@@ -77,22 +79,22 @@
   void closeListener();
 
   Client* findIdlest(Lingering lingering);
-  void retireIdlest();
+  void closeIdlestGracefully();
   void evictIncompleteCommands();
   void endStalledClients();
 
   EventLoop& loop_;
   std::size_t maxClients_;
   std::size_t maxBufferedBytes_;
-  std::size_t bufferedBytes_{0};  // of all clients
+  std::size_t bufferedBytes_{0};  // of all clients together
   CommandHandler handler_;
   WatchedDescriptor listener_;
   bool isDraining_{false};
-  std::optional<Millis> retryAcceptAt_;         // after a failure whose event will not come again
-  std::list<std::unique_ptr<Client>> clients_;  // in the order they came
-  // Clients, all of them in clients_; one that is closed is set to null at once.
+  std::optional<Millis> retryAcceptAt_;         // set after a failure that no event will report again
+  std::list<std::unique_ptr<Client>> clients_;  // in the order of their arrival
+  // Clients of clients_ that have replies to send. A client that is closed is replaced by null at once.
   std::vector<ClientConnection*> clientsWithReplies_;
-  // When each client is to be looked at; each client of clients_ is here once, under its scheduledDeadline.
+  // When the inactivity of each client is checked: every client of clients_ once, by its scheduledDeadline.
   std::set<std::pair<Millis, Client*>> deadlines_;
 };
 
