--- a/tests/server/client_connections_test.cpp
+++ b/tests/server/client_connections_test.cpp
@@ -11,11 +11,12 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// A whole dispatcher and clients that send nothing, malformed, many or late.
+// A dispatcher process with clients that send nothing, send malformed commands, are too many or send late.
 namespace stonewing::testing {
 namespace {
 
-// Clients that connect and send nothing, or stop in the middle of a command, by hundreds.
+// Guards against clients that connect and send nothing, or stop in the middle of a command, by hundreds: they
+// must not keep their connections or fill the memory.
 TEST(ClientConnections, AreClosedWhenSilentOrHalfWay) {
   HttpServerStub platform(confirmNotifications);
   platform.start();
@@ -24,18 +25,18 @@
   ASSERT_TRUE(dispatcher.start());
   int silentClient = connectToLoopback(dispatcher.port());
   auto began = std::chrono::steady_clock::now();
-  std::vector<int> halves;
+  std::vector<int> stalledClients;
   for (int n = 0; n < 12; ++n) {
-    sendBytes(halves.emplace_back(connectToLoopback(dispatcher.port())),
+    sendBytes(stalledClients.emplace_back(connectToLoopback(dispatcher.port())),
               "*5\r\n$6\r\nSUBMIT\r\n$65536\r\n" + std::string(65000, 'x'));
   }
   char byte;
-  EXPECT_EQ(::recv(halves.front(), &byte, 1, 0),
-            1);  // an error: it began first, and there is not enough memory for all
+  EXPECT_EQ(::recv(stalledClients.front(), &byte, 1, 0),
+            1);  // an error reply: it began first, and the memory is too small for all commands
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(800));
   EXPECT_EQ(::recv(silentClient, &byte, 1, 0), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(3000));
-  for (int fd : halves) ::close(fd);
+  for (int fd : stalledClients) ::close(fd);
   ::close(silentClient);
 }
 
@@ -51,26 +52,27 @@
   }
 }
 
-// Clients that submit once and keep their connection evict none that has just connected.
+// A client that has just connected must not be evicted in favour of clients that submit once and keep their
+// connections open.
 void expectNewClientIsNotEvictedByIdleOnes(const DispatcherProcess& dispatcher) {
-  int fresh = connectToLoopback(dispatcher.port());
+  int newClient = connectToLoopback(dispatcher.port());
   char reply[8] = {};
-  sendBytes(fresh, respCommand({"PING"}));
-  EXPECT_EQ(::recv(fresh, reply, 7, MSG_WAITALL), 7);
-  std::vector<int> kept;
+  sendBytes(newClient, respCommand({"PING"}));
+  EXPECT_EQ(::recv(newClient, reply, 7, MSG_WAITALL), 7);
+  std::vector<int> idleClients;
   for (int n = 0; n < 30; ++n) {
-    sendBytes(kept.emplace_back(connectToLoopback(dispatcher.port())),
+    sendBytes(idleClients.emplace_back(connectToLoopback(dispatcher.port())),
               submitCommand("kept" + std::to_string(n), kFields));
-    EXPECT_EQ(::recv(kept.back(), reply, 5, MSG_WAITALL), 5);
+    EXPECT_EQ(::recv(idleClients.back(), reply, 5, MSG_WAITALL), 5);
   }
-  sendBytes(fresh, submitCommand("fresh", kFields));
-  EXPECT_EQ(::recv(fresh, reply, 5, MSG_WAITALL), 5);
-  for (int fd : kept) ::close(fd);
-  ::close(fresh);
+  sendBytes(newClient, submitCommand("fresh", kFields));
+  EXPECT_EQ(::recv(newClient, reply, 5, MSG_WAITALL), 5);
+  for (int fd : idleClients) ::close(fd);
+  ::close(newClient);
 }
 
-// More clients than there are descriptors: those between commands are evicted, and those that stop in the
-// middle of a command are not kept for long.
+// With more clients than descriptors, clients between commands are evicted, and those that stop in the middle
+// of a command are closed after a short time-out.
 void expectServiceWithMoreClientsThanDescriptors(const DispatcherProcess& dispatcher) {
   std::vector<int> idle;
   for (int n = 0; n < 60; ++n) idle.push_back(connectToLoopback(dispatcher.port()));
@@ -84,8 +86,9 @@
   for (int fd : idle) ::close(fd);
 }
 
-// A client that has not waited submits elsewhere: the message is not accepted. Stopped, the dispatcher finds
-// the command and the end of the connection behind it at the same time.
+// A client that closes without waiting for the reply submits its message elsewhere, so the dispatcher must
+// not accept the message. The dispatcher is stopped meanwhile, so that it reads the command and the end of
+// the connection at the same time.
 void expectNothingIsAcceptedFromAClientThatHasLeft(const DispatcherProcess& dispatcher) {
   dispatcher.sendSignal(SIGSTOP);
   std::thread resume([&] {
@@ -98,7 +101,7 @@
   resume.join();
 }
 
-// The disk has no capacity for two of these at any time.
+// The disk has capacity for only one of these messages at a time.
 void expectRejectionOnlyWhileTheDiskIsFull(const DispatcherProcess& dispatcher, HttpServerStub& platform) {
   EXPECT_EQ(dispatcher.request(submitCommand("big", kFields, std::string(65000, 'x')) +
                                    submitCommand("big2", kFields, std::string(65000, 'x')),
@@ -109,7 +112,8 @@
   EXPECT_EQ(dispatcher.request(submitCommand("big3", kFields, std::string(65000, 'x'))), "+OK\r\n");
 }
 
-// One process bears all of it, one thing after the other.
+// All cases run one after another against one dispatcher process, so that a case also shows whether the
+// process still serves after the ones before it.
 TEST(ClientConnections, GetOneErrorForMalformedInputAndOthersAreServed) {
   HttpServerStub platform(confirmNotifications);
   platform.start();
@@ -123,7 +127,7 @@
   expectRejectionOnlyWhileTheDiskIsFull(dispatcher, platform);
 }
 
-// Clients that are rejected with no time to retry would submit again at once and keep the surge up.
+// Clients that are rejected without a Retry-After time would submit again at once and prolong the overload.
 TEST(ClientConnections, GetATimeToRetryWhenTheMostMessagesAreInFlight) {
   HttpServerStub platform(confirmNotifications);
   platform.start();
@@ -132,15 +136,16 @@
   DispatcherProcess dispatcher(settings, endpointList(platform, "plain", "terminating"), platform.address());
   ASSERT_TRUE(dispatcher.start());
   const std::string list = "c=order,d=5000,dest=7";
-  // In one turn, so that the policy has shed nothing yet.
+  // All three are read in one turn, before the policy can shed a message.
   std::string answers = dispatcher.request(
       submitCommand("one", list) + submitCommand("two", list) + submitCommand("three", list), 3);
   ASSERT_TRUE(answers.starts_with("+OK\r\n+OK\r\n-BUSY ")) << answers;
-  int wait = std::stoi(answers.substr(16));
-  EXPECT_TRUE(wait >= 20 && wait <= 2000) << wait;
+  int retryAfterMs = std::stoi(answers.substr(16));
+  EXPECT_TRUE(retryAfterMs >= 20 && retryAfterMs <= 2000) << retryAfterMs;
 }
 
-// A process that stalls for a while reads a message late, and its outcome would be overdue by as much.
+// A process that stalls reads a message late. If the deadline counted from then, the outcome would be
+// notified late by the length of the stall.
 TEST(ClientConnections, DeadlineCountsFromTheTimeOfSendingWhenTheProcessStalled) {
   HttpServerStub platform(confirmNotifications);
   platform.start();
--- a/tests/server/resp_server_drain_test.cpp
+++ b/tests/server/resp_server_drain_test.cpp
@@ -6,12 +6,12 @@
 #include "support/resp_commands.h"
 #include "support/resp_server_harness.h"
 
-// The drain of the RESP server meets a request or a client at the wrong instant (docs/sockets.md has the
-// table).
+// A request or a client arrives at a critical moment of the RESP server's drain (docs/sockets.md has a table
+// of the cases).
 namespace stonewing::testing {
 namespace {
 
-// Closing a connection with unread bytes resets it, and the last reply is lost with it.
+// Closing a connection with unread bytes resets it, and the client can lose its last reply.
 TEST(RespServerDrain, AnswersARequestThatIsNotReadYet) {
   RespServerHarness harness;
   int fd = harness.connectIdleClient();
@@ -21,8 +21,8 @@
   EXPECT_EQ(harness.accepted.size(), 1u);
 }
 
-// What is read after the shutdown can no longer be answered. Accepted and sent, it would be lost to its
-// client.
+// A request that is read after the shutdown can no longer be answered. If it were accepted, its message would
+// be sent without the client's knowledge.
 TEST(RespServerDrain, DoesNotAcceptARequestThatArrivesAfterTheShutdown) {
   RespServerHarness harness;
   int fd = harness.connectIdleClient();
@@ -35,7 +35,7 @@
   EXPECT_EQ(receiveAvailable(fd, 200), kPong + "FIN");
   harness.turn();
   EXPECT_TRUE(harness.accepted.empty());
-  EXPECT_EQ(harness.server.clientCount(), 1u);  // it may still be writing
+  EXPECT_EQ(harness.server.clientCount(), 1u);  // the client may still be sending
   ::shutdown(fd, SHUT_WR);
   EXPECT_TRUE(eventually(500, [&] {
     harness.turn();
@@ -68,7 +68,7 @@
   EXPECT_EQ(harness.turnAndReceive(fd, 500), kPong + "+OK\r\n" + "FIN");
 }
 
-// A new connection that is closed without a reply looks like a refused one, and tells its client nothing.
+// To the client, a new connection that is closed without a reply looks like a refused one.
 TEST(RespServerDrain, GivesANewClientTheTimeForItsFirstRequest) {
   RespServerHarness harness;
   int fd = harness.connectClient();
@@ -85,9 +85,9 @@
   EXPECT_LT(harness.loop.now() - began, 800);
 }
 
-// A client that waits to be accepted when the listener closes is reset, with all it has sent.
+// Closing the listener resets connections that wait to be accepted, and the requests sent on them are lost.
 TEST(RespServerDrain, AnswersClientsThatWaitToBeAccepted) {
-  constexpr int kClientCount = 200;  // more than one turn accepts
+  constexpr int kClientCount = 200;  // more than the server accepts in one turn
   RespServerHarness harness(400);
   for (int n = 0; n < kClientCount; ++n)
     sendBytes(harness.connectClient(), submitCommand("c" + std::to_string(n), "c=a,d=1,dest=7"));
--- a/tests/server/resp_server_test.cpp
+++ b/tests/server/resp_server_test.cpp
@@ -8,7 +8,7 @@
 #include "support/resp_commands.h"
 #include "support/resp_server_harness.h"
 
-// Time-outs, eviction and errors of the RESP server meet a request at the wrong instant.
+// A request arrives at the moment of a time-out, an eviction or an error of the RESP server.
 namespace stonewing::testing {
 namespace {
 
@@ -20,44 +20,46 @@
   harness.loop.wait(harness.loop.now());
   harness.loop.dispatch();
   sendBytes(fd, kPing);
-  harness.server.onTick();  // its time has expired, and the command is unread
+  harness.server.onTick();  // its time-out has expired while its command is unread
   EXPECT_EQ(harness.turnAndReceive(fd, 200), kPong);
   int silentClient = harness.connectClient();
   EXPECT_EQ(harness.turnAndReceive(silentClient, 3000), "FIN");
-  sendBytes(silentClient, kPing);  // no reset, which would lose a reply
+  sendBytes(silentClient, kPing);  // must not cause a reset, which would lose a reply
   for (int n = 0; n < 5; ++n) harness.turn();
   EXPECT_EQ(receiveAvailable(silentClient), "FIN");
 }
 
-// Its place must not be given to another client as its request arrives.
+// The idlest client must not be closed for a new one at the moment its request arrives.
 TEST(RespServerEviction, SparesAClientWhoseRequestHasJustArrived) {
   RespServerHarness harness(4);
-  std::vector<int> kept;
-  for (int n = 0; n < 4; ++n) kept.push_back(harness.connectIdleClient());
-  sendBytes(kept[0], submitCommand("arrived", "c=a,d=1,dest=7"));  // the one that would be evicted first
-  int next = harness.connectClient();
-  sendBytes(next, kPing);
+  std::vector<int> idleClients;
+  for (int n = 0; n < 4; ++n) idleClients.push_back(harness.connectIdleClient());
+  // This client would be evicted first.
+  sendBytes(idleClients[0], submitCommand("arrived", "c=a,d=1,dest=7"));
+  int newClient = harness.connectClient();
+  sendBytes(newClient, kPing);
   harness.loop.wait(harness.loop.now());
   // The listener's event is handled before the client's.
   EXPECT_TRUE(harness.server.closeIdlestClient());
-  EXPECT_EQ(harness.turnAndReceive(kept[0], 100), kPong + "+OK\r\n");
-  EXPECT_EQ(harness.turnAndReceive(next, 100), kPong);
+  EXPECT_EQ(harness.turnAndReceive(idleClients[0], 100), kPong + "+OK\r\n");
+  EXPECT_EQ(harness.turnAndReceive(newClient, 100), kPong);
 }
 
 TEST(RespServerEviction, ShutsDownIdleClientsBeforeAllPlacesAreTaken) {
   RespServerHarness harness(64);
-  std::vector<int> kept;
-  for (int n = 0; n < 64; ++n) kept.push_back(harness.connectIdleClient());
-  std::string first = receiveAvailable(kept[0]);
+  std::vector<int> idleClients;
+  for (int n = 0; n < 64; ++n) idleClients.push_back(harness.connectIdleClient());
+  std::string first = receiveAvailable(idleClients[0]);
   EXPECT_EQ(first, kPong + "FIN");
-  sendBytes(kept[0], kPing);  // crosses the end: no reset, which would lose a reply
+  // Input that crosses the FIN must not cause a reset, which would lose a reply.
+  sendBytes(idleClients[0], kPing);
   for (int n = 0; n < 5; ++n) harness.turn();
-  EXPECT_EQ(receiveAvailable(kept[0]), "FIN");
-  EXPECT_EQ(receiveAvailable(kept[63]), kPong);
+  EXPECT_EQ(receiveAvailable(idleClients[0]), "FIN");
+  EXPECT_EQ(receiveAvailable(idleClients[63]), kPong);
 }
 
-// After an error more bytes arrive than are worth reading. If the connection were closed on them, the error
-// would be lost.
+// After an error reply more bytes arrive than the server is willing to read. If the connection were closed
+// with unread bytes, the client would lose the error reply.
 TEST(RespServerErrors, ReachTheClientHoweverMuchItSendsAfterwards) {
   RespServerHarness harness;
   int fd = harness.connectClient();
@@ -79,7 +81,7 @@
   }));
 }
 
-// All that it has sent is read, and replies to nobody are not written for ever.
+// The server reads all that the client has sent, and must not go on writing replies to a client that is gone.
 TEST(RespServerErrors, DoNotKeepAClientThatSendsMuchAndCloses) {
   RespServerHarness harness;
   int fd = harness.connectClient();
--- a/tests/support/reserved_port.h
+++ b/tests/support/reserved_port.h
@@ -6,9 +6,10 @@
 
 namespace stonewing::testing {
 
-// A port of the loopback address that the system gives to nobody else while this object lives. A server that
-// sets SO_REUSEADDR, as the dispatcher does, can listen on it; while none does, connections are refused.
-// Without this, a test that runs at the same time could get the port between two starts of a dispatcher.
+// A port of the loopback address that the system assigns to no other socket while this object lives. A server
+// that sets SO_REUSEADDR, as the dispatcher does, can listen on it; while no server listens, connections are
+// refused. Without this, a test that runs at the same time could be assigned the port between two starts of a
+// dispatcher.
 class ReservedPort {
  public:
   ReservedPort() : socket_(internal::makeSocket()) {
@@ -20,10 +21,10 @@
   ReservedPort(const ReservedPort&) = delete;
   ReservedPort& operator=(const ReservedPort&) = delete;
 
-  std::uint16_t port() const { return port_; }  // 0 where none could be had
+  std::uint16_t port() const { return port_; }  // 0 if no port could be reserved
 
  private:
-  int socket_;  // bound and never listening
+  int socket_;  // bound, but never listening
   std::uint16_t port_;
 };
 
--- a/tests/support/resp_commands.h
+++ b/tests/support/resp_commands.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-// Commands of clients in the bytes of the RESP protocol.
+// Client commands, encoded for the RESP protocol.
 namespace stonewing::testing {
 
 inline std::string respCommand(const std::vector<std::string>& words) {
@@ -12,7 +12,7 @@
   return bytes;
 }
 
-// A SUBMIT without an ordering key. fields: as on the wire, e.g. "c=order,d=8000,dest=7".
+// A SUBMIT command without an ordering key. `fields`: as on the wire, such as "c=order,d=8000,dest=7".
 inline std::string submitCommand(const std::string& reference, const std::string& fields,
                                  const std::string& body = "lamp 7") {
   return respCommand({"SUBMIT", "0000000000000000", reference, fields, body});
--- a/tests/support/resp_server_harness.h
+++ b/tests/support/resp_server_harness.h
@@ -19,13 +19,13 @@
 inline const std::string kPing = respCommand({"PING"});
 inline const std::string kPong = "+PONG\r\n";
 
-// A RespServer alone, on an event loop that the test turns, so that the order of two events is set. PING is
-// answered, every SUBMIT is accepted.
+// A RespServer without a dispatcher, on an event loop whose turns the test runs, so that the test determines
+// the order of events. PING is answered, and every SUBMIT is accepted.
 struct RespServerHarness {
   EventLoop loop;
-  std::vector<std::string> accepted;  // references
+  std::vector<std::string> accepted;  // references of the accepted messages
   std::uint16_t port = unusedPort();
-  std::vector<int> clients;  // closed at the end
+  std::vector<int> clients;  // client sockets; closed by the destructor
   RespServer server;
 
   explicit RespServerHarness(std::size_t maxClients = 64)
@@ -54,8 +54,8 @@
     sendReplies();
   }
 
-  // Turns the loop for that many milliseconds, or until the connection ends; returns what the client
-  // received.
+  // Runs turns of the loop for `duration`, or until the connection ends. Returns the bytes that the client
+  // received, with FIN or RST appended for the end of the connection.
   std::string turnAndReceive(int fd, Millis duration) {
     std::string received;
     Millis until = loop.now() + duration;
@@ -66,7 +66,7 @@
     return received;
   }
 
-  // A client that has sent PING, has the reply ready to read, and is idle.
+  // Connects a client that has sent PING, has the reply ready to read, and is idle.
   int connectIdleClient() {
     int fd = connectClient();
     sendBytes(fd, kPing);
