--- a/src/discovery/discovered_endpoint.h
+++ b/src/discovery/discovered_endpoint.h
@@ -8,11 +8,11 @@
 
 namespace stonewing {
 
-// An endpoint as discovery describes it: who it is, and where it is reached.
+// An endpoint as discovery describes it: its identity and its address.
 struct DiscoveredEndpoint {
   EndpointRecord record;
   sockaddr_in address{};
-  std::string authority;  // the address as the endpoint list words it, for the Host header
+  std::string authority;  // the address as spelled in the endpoint list, for the Host header
 };
 
 }  // namespace stonewing
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Capacity for thousands of endpoints, indented and with fields that we do not know. A response's memory
-// grows as it arrives.
+// Limit on the size of a response. It suffices for thousands of endpoints in indented JSON with unknown
+// fields. The memory for a response grows only as its bytes arrive.
 constexpr std::size_t kMaxResponseBytes = 8 * 1024 * 1024;
 
 constexpr int kStatusOk = 200;
@@ -31,9 +31,10 @@
       directory_(policy),
       retrySchedule_(seed) {}
 
-// One entry that cannot be used (malformed, or of a zone that our settings do not know) must not keep all
-// others from being applied, for as long as it is there. So the others are applied, and the full list is
-// polled once to check that entry; if the full list has such entries as well, they are accepted as they are.
+// One unusable entry (malformed, or of a zone that the settings do not name) must not prevent all others from
+// being applied for as long as discovery lists it. So the other entries are applied, and the full list is
+// polled once to check the unusable one. If the full list has unusable entries as well, it is accepted all
+// the same.
 bool DiscoveryClient::applyAnswer(const json& answer) {
   EndpointList list = parseEndpointList(answer, names_);
   std::size_t unusable = list.unusableCount();
@@ -43,10 +44,10 @@
   if (unusable > 0) {
     log::warn("discovery.entries_skipped", {{"entries", unusable}, {"why", list.firstProblem()}});
   }
-  bool namesAll = list.extent == ListExtent::full && isAccepted;
+  bool listsAllEndpoints = list.extent == ListExtent::full && isAccepted;
   std::int64_t version = list.version;
-  directory_.applyList(std::move(list),
-                       namesAll ? EndpointDirectory::Unnamed::removed : EndpointDirectory::Unnamed::stay);
+  directory_.applyList(std::move(list), listsAllEndpoints ? EndpointDirectory::AbsentEndpoints::removed
+                                                          : EndpointDirectory::AbsentEndpoints::unchanged);
   pollKind_ = isAccepted ? PollKind::changes : PollKind::fullList;
   if (isAccepted) version_ = version;
   return isAccepted;
@@ -57,7 +58,7 @@
   host_ = std::move(host);
   HttpClientConnection::closeLater(loop_, connection_);
   isPollPending_ = false;
-  pollKind_ = PollKind::fullList;  // the version of another server says nothing about what was missed
+  pollKind_ = PollKind::fullList;  // versions of two servers cannot be compared
   retrySchedule_.reset();
   nextPollAt_ = loop_.now();
 }
@@ -73,7 +74,7 @@
 void DiscoveryClient::onTick() {
   if (loop_.now() < due()) return;
   if (isPollPending_) {
-    onBroken(*connection_);  // discovery is silent
+    onBroken(*connection_);  // discovery did not respond in time
   } else {
     poll();
   }
@@ -108,7 +109,7 @@
 
 void DiscoveryClient::onResponse(HttpClientConnection& connection) {
   isPollPending_ = false;
-  if (connection.status() == kStatusServiceUnavailable) {  // the version is still good
+  if (connection.status() == kStatusServiceUnavailable) {  // discovery is overloaded; version_ stays valid
     nextPollAt_ = loop_.now() + retrySchedule_.delayAfterRejection();
     log::info("discovery.rejected", {{"after_ms", nextPollAt_ - loop_.now()}, {"kept", directory_.count()}});
     return;
@@ -123,21 +124,23 @@
 }
 
 void DiscoveryClient::applyResponse(const HttpClientConnection& connection) {
-  if (connection.status() != kStatusOk) throw ParseError("status " + std::to_string(connection.status()));
+  if (connection.status() != kStatusOk)
+    throw ParseError("the response status is not 200 but " + std::to_string(connection.status()));
   const json answer = json::parse(connection.body(), nullptr, false);
-  if (answer.is_discarded()) throw ParseError("not JSON");
+  if (answer.is_discarded()) throw ParseError("the response body is not JSON");
   if (!applyAnswer(answer)) return retryAfterFailure();
   hasAnswered_ = true;
   retrySchedule_.reset();
-  nextPollAt_ = loop_.now();  // a watch goes on only when it is asked for again at once
+  nextPollAt_ = loop_.now();  // polling again at once continues the watch
 }
 
 void DiscoveryClient::onBroken(HttpClientConnection& connection) {
-  // Without a log line, a dispatcher that never gets a list would answer PING, reject every message and say
-  // nothing.
+  // Without this log line, a dispatcher that never receives a list would answer PING and reject every message
+  // without any sign of the cause.
   if (isPollPending_ && connection.hasReceived()) {
     log::warn("discovery.unreadable",
-              {{"why", "it broke off, is no HTTP or is over " + std::to_string(kMaxResponseBytes) + " bytes"},
+              {{"why", "the response ended early, is not HTTP/1.x or is longer than " +
+                           std::to_string(kMaxResponseBytes) + " bytes"},
                {"kept", directory_.count()}});
   }
   connection.close();
--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -14,35 +14,36 @@
 
 namespace stonewing {
 
-// Keeps the endpoint directory up to date: it polls discovery over HTTP, with one poll at a time. Each poll
-// asks for the changes since the last version and stays open as a watch until there are some, or asks for the
-// full list where the version cannot be relied on. Discovery that is silent, rejects or answers nonsense
-// changes nothing: the endpoints stay as they are, and the poll is repeated within the bound that
-// retry_schedule.h states.
+// Keeps the endpoint directory up to date: polls discovery over HTTP, one poll at a time. A poll requests the
+// changes since the last version, and discovery holds it open as a watch until there are some. Where the
+// version cannot be relied on, a poll requests the full list instead. If discovery does not respond, rejects
+// the poll or sends a malformed response, the endpoints stay as they are, and the poll is repeated within the
+// bound that retry_schedule.h states.
 //
-// It lives on the thread of the event loop. The loop, the policy and the names must outlive it.
+// Used on the event loop's thread alone. The loop, the policy and the name tables must outlive the client.
 class DiscoveryClient : public HttpClientConnection::Observer {
  public:
-  // discovery, host: the address to poll, and the same for the Host header. The seed spreads retries.
+  // `discovery`: the address to poll; `host`: the same address for the Host header; `seed`: of the random
+  // factor of retry delays.
   DiscoveryClient(EventLoop& loop, DispatchPolicy& policy, const NameTables& names, sockaddr_in discovery,
                   std::string host, std::uint64_t seed);
 
-  // Passes an answer of discovery on to the directory and the policy. Throws ParseError, and changes nothing,
-  // where the answer as a whole cannot be read. False: some entries could not be used, and the full list is
-  // to be polled to check them.
+  // Applies an answer of discovery to the directory and the policy. Throws ParseError, and changes nothing,
+  // if the answer as a whole cannot be read. Returns false if some entries could not be used, and the full
+  // list is to be polled to check them.
   bool applyAnswer(const nlohmann::json& answer);
-  // From now on discovery is polled at another address. The endpoints stay until that one has answered.
+  // Polls another address from now on. The endpoints stay as they are until discovery answers there.
   void changeAddress(sockaddr_in discovery, std::string host);
 
-  // Polls, or ends a poll that has timed out, if that is due.
+  // Starts a poll that is due, or ends a poll that has timed out.
   void onTick();
-  // When onTick() has something to do next.
+  // The time (steady clock) from which onTick() has something to do.
   Millis due() const;
-  // Whether an answer to a poll has been accepted since the start. Until then the endpoints may be those of
+  // Whether an answer to a poll has been accepted since the start. Before that, the endpoints may come from
   // an old list that the host passed to applyAnswer().
   bool hasAnswered() const { return hasAnswered_; }
 
-  // As in EndpointDirectory.
+  // The following call the functions of the same names of EndpointDirectory.
   void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& messages) {
     directory_.addRecoveredEndpoints(messages);
   }
@@ -76,8 +77,8 @@
   Millis pollStartedAt_{0};
   Millis nextPollAt_{0};
   std::optional<Millis> responseDeadline_;  // of a response that has begun
-  std::int64_t version_{0};                 // of the list that the next changes are to follow
-  bool isRecheckingEntries_{false};         // the last answer had unusable entries, and is asked for in full
+  std::int64_t version_{0};                 // of the list that was accepted last; changes are polled since it
+  bool isRecheckingEntries_{false};  // the last answer had unusable entries; the full list is polled to check
   bool hasAnswered_{false};
 };
 
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -21,7 +21,7 @@
   return id;
 }
 
-void EndpointDirectory::applyList(EndpointList list, Unnamed unnamed) {
+void EndpointDirectory::applyList(EndpointList list, AbsentEndpoints absentEndpoints) {
   ListExtent extent = list.extent;
   std::vector<ListedEndpoint> entries = usableEntries(std::move(list));
   if (extent == ListExtent::changes && entries.empty()) return;
@@ -33,8 +33,8 @@
     destinations_.insert(record.destination);
     endpoints_[id] = std::move(entry.endpoint);
   }
-  policy_.commitEndpointList(unnamed == Unnamed::removed);
-  forgetUnknownToPolicy();
+  policy_.commitEndpointList(absentEndpoints == AbsentEndpoints::removed);
+  removeEndpointsUnknownToPolicy();
 }
 
 std::vector<ListedEndpoint> EndpointDirectory::usableEntries(EndpointList list) const {
@@ -49,7 +49,8 @@
   return entries;
 }
 
-// What is known of the endpoint that an unusable entry names.
+// Returns an entry with the present data of the endpoint that an unusable entry names; no value if the
+// endpoint is unknown. The state is taken from the unusable entry if that drains or removes the endpoint.
 std::optional<ListedEndpoint> EndpointDirectory::previousEntry(const UnusableEntry& unusable) const {
   auto id = ids_.find(unusable.name);
   if (id == ids_.end()) return std::nullopt;
@@ -62,13 +63,14 @@
   return ListedEndpoint{endpoints_.at(id->second), endpoint.weight, state};
 }
 
-void EndpointDirectory::forgetUnknownToPolicy() {
+void EndpointDirectory::removeEndpointsUnknownToPolicy() {
   std::erase_if(endpoints_,
                 [&](const auto& endpoint) { return !policy_.state().endpoints.contains(endpoint.first); });
   std::erase_if(ids_, [&](const auto& name) { return !endpoints_.contains(name.second); });
 }
 
-// As one list, since the policy's work at the end of a list grows with all that is in flight.
+// All endpoints form one list, since the policy's work at the end of a list grows with the number of messages
+// in flight.
 void EndpointDirectory::addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& messages) {
   policy_.beginEndpointList();
   for (const auto& [messageId, message] : messages) {
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -13,27 +13,28 @@
 
 namespace stonewing {
 
-// The endpoints that are known, their ids and where they are reached. It passes every list on to the policy,
-// and forgets an endpoint as soon as the policy has forgotten it. The policy must outlive the directory.
+// The known endpoints with their ids and addresses. The directory passes each list on to the policy and
+// removes an endpoint as soon as the policy has removed it. The policy must outlive the directory.
 class EndpointDirectory {
  public:
   explicit EndpointDirectory(DispatchPolicy& policy) : policy_(policy) {}
 
-  // What a list means for the endpoints that it does not name: they stay, or they are removed.
-  enum class Unnamed { stay, removed };
+  // Whether endpoints that are absent from a list stay as they are or are removed.
+  enum class AbsentEndpoints { unchanged, removed };
 
-  // Passes the list on to the policy. An endpoint that an unusable entry names stays as it was, or drains or
-  // is removed where that much can be read.
-  void applyList(EndpointList list, Unnamed unnamed);
+  // Passes the list on to the policy. An endpoint with an unusable entry stays as it was, except that it
+  // drains or is removed if the entry's state can be read and says so.
+  void applyList(EndpointList list, AbsentEndpoints absentEndpoints);
 
-  // Adds the endpoints of recovered messages' attempts, which no list may name any more, as removed ones.
+  // Adds the endpoints of recovered messages' attempts as removed ones, since a list may no longer contain
+  // them.
   void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& messages);
 
-  // Null where it is not known. Valid until the next list is applied.
+  // Returns null if the endpoint is unknown. The pointer is valid until the next list is applied.
   const DiscoveredEndpoint* find(EndpointId id) const;
-  // The id of an endpoint's name, a new one where the name is not known. It follows from the name alone, at
-  // every dispatcher and after every restart (but for collisions), so that endpoint rankings stay as they
-  // are.
+  // Returns the id for an endpoint's name; creates one for an unknown name. The id is a hash of the name
+  // alone, so it is the same at every dispatcher and after every restart (except for collisions), and
+  // endpoint rankings do not change.
   EndpointId idOf(const std::string& name);
   std::size_t count() const { return endpoints_.size(); }
   // Whether the destination ever had an endpoint since this process started.
@@ -42,7 +43,7 @@
  private:
   std::vector<ListedEndpoint> usableEntries(EndpointList list) const;
   std::optional<ListedEndpoint> previousEntry(const UnusableEntry& unusable) const;
-  void forgetUnknownToPolicy();
+  void removeEndpointsUnknownToPolicy();
 
   DispatchPolicy& policy_;
   std::set<DestinationId> destinations_;
--- a/src/discovery/endpoint_list_parser.cpp
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -20,20 +20,21 @@
   if (state == "in_service") return EndpointState::ready;
   if (state == kDrainingState) return EndpointState::draining;
   if (state == kRemovedState) return EndpointState::removed;
-  throw ParseError("unknown state " + state);
+  throw ParseError("state is not in_service, terminating or terminated: " + state);
 }
 
 // The id of a name is its index in the table.
 template <class Id>
 Id idOfName(const std::vector<std::string>& names, const std::string& name) {
   auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) throw ParseError("unknown kind or zone " + name);
+  if (found == names.end()) throw ParseError("kind or zone is not in the settings: " + name);
   return Id{static_cast<decltype(Id{}.value)>(found - names.begin())};
 }
 
 DestinationId parseDestination(const json& entry, const std::string& endpointName) {
   auto cell = entry.at("cell").get<std::int64_t>();
-  if (cell < 0 || cell > kMaxDestination) throw ParseError("bad cell of " + endpointName);
+  if (cell < 0 || cell > kMaxDestination)
+    throw ParseError("cell is not in 0..65535 in the entry of endpoint " + endpointName);
   return DestinationId{static_cast<std::uint16_t>(cell)};
 }
 
@@ -44,19 +45,21 @@
   listed.state = parseState(entry.at("state").get<std::string>());
   listed.endpoint.authority = entry.at("addr").get<std::string>();
   auto address = parseAddress(listed.endpoint.authority);
-  if (!address) throw ParseError("bad address of " + record.name);
+  if (!address)
+    throw ParseError("addr is not an IPv4 address with a port in the entry of endpoint " + record.name);
   listed.endpoint.address = *address;
   record.zone = idOfName<ZoneId>(names.zones, entry.at("zone").get<std::string>());
   record.kind = idOfName<KindId>(names.kinds, entry.at("kind").get<std::string>());
   record.destination = parseDestination(entry, record.name);
   listed.weight = entry.value("weight", 1.0);
-  if (!std::isfinite(listed.weight)) throw ParseError("bad weight of " + record.name);
+  if (!std::isfinite(listed.weight))
+    throw ParseError("weight is not a finite number in the entry of endpoint " + record.name);
   return listed;
 } catch (const json::exception& problem) {
   throw ParseError(problem.what());
 }
 
-// The text at the key; empty where there is none.
+// Returns the string value at the key; empty if the entry has none.
 std::string textAt(const json& entry, const char* key) {
   if (!entry.is_object()) return "";
   auto found = entry.find(key);
@@ -64,7 +67,7 @@
   return found->get<std::string>();
 }
 
-UnusableEntry salvageEntry(const json& entry, const std::string& problem) {
+UnusableEntry readUnusableEntry(const json& entry, const std::string& problem) {
   UnusableEntry unusable{textAt(entry, "id"), std::nullopt, problem};
   std::string state = textAt(entry, "state");
   if (state == kDrainingState || state == kRemovedState) unusable.leavingState = parseState(state);
@@ -94,7 +97,7 @@
     try {
       list.entries.emplace_back(parseEntry(entry, names));
     } catch (const Error& problem) {
-      list.entries.emplace_back(salvageEntry(entry, problem.what()));
+      list.entries.emplace_back(readUnusableEntry(entry, problem.what()));
     }
   }
   return list;
--- a/src/discovery/endpoint_list_parser.h
+++ b/src/discovery/endpoint_list_parser.h
@@ -11,7 +11,7 @@
 #include "policy/endpoint_state.h"
 #include "settings/settings_reader.h"
 
-// Reads discovery's answers. The spelling of the endpoint list stands here and nowhere else.
+// Parses discovery's answers. Only this parser knows the keys and values of the endpoint list's JSON.
 namespace stonewing {
 
 // An entry that can be used as it is.
@@ -21,14 +21,14 @@
   EndpointState state{};
 };
 
-// An entry that cannot be used, with what could still be read of it.
+// An entry that cannot be used, with the parts of it that could be read.
 struct UnusableEntry {
-  std::string name;                           // empty where not even that can be read
-  std::optional<EndpointState> leavingState;  // draining or removed, where the entry says so
-  std::string problem;
+  std::string name;                           // empty if it cannot be read
+  std::optional<EndpointState> leavingState;  // draining or removed, if the entry says so
+  std::string problem;                        // why the entry cannot be used
 };
 
-// Whether an answer names all endpoints there are, or only those that changed.
+// Whether an answer lists all endpoints or only those that have changed.
 enum class ListExtent { changes, full };
 
 struct EndpointList {
@@ -37,12 +37,12 @@
   std::vector<std::variant<ListedEndpoint, UnusableEntry>> entries;  // in the order of the answer
 
   std::size_t unusableCount() const;
-  // What is wrong with the first unusable entry; empty where all can be used.
+  // The problem of the first unusable entry; empty if all entries can be used.
   std::string firstProblem() const;
 };
 
-// Throws ParseError where the answer as a whole cannot be read. An entry that cannot be read, or names a zone
-// or a kind that the settings do not know, is an UnusableEntry.
+// Throws ParseError if the answer as a whole cannot be read. An entry that cannot be read, or has a zone or a
+// kind that the settings do not name, becomes an UnusableEntry.
 EndpointList parseEndpointList(const nlohmann::json& answer, const NameTables& names);
 
 }  // namespace stonewing
--- a/src/discovery/retry_schedule.h
+++ b/src/discovery/retry_schedule.h
@@ -6,52 +6,56 @@
 
 #include "base/ids.h"
 
-// When discovery is polled, and for how long an answer is waited for. All times are milliseconds.
+// The delays between polls of discovery and the time-outs of a poll. All times are milliseconds.
 //
 // The bound: after a poll that failed, was rejected or timed out, an endpoint change reaches this dispatcher
-// within kMaxNotificationDelay after discovery has it and can be reached, whatever delays came before. So the
-// longest chain of steps has to end within that: a watch that has fallen silent, the delay after it, a
-// rejection, the delay after that and an answer, with time for the process's turns between them; or a
-// connection that does not come up or a response that stays incomplete, the longest delay, and the same
-// rejection.
+// within kMaxNotificationDelay from the time at which discovery has the change and can be reached, whatever
+// delays came before. The longest sequences of steps must end within it:
+// - a watch without a response, the delay after it, a rejection, the delay after that, and an answer, with
+//   time for the process's turns between these steps;
+// - a connection that is not established, or a response that stays incomplete, the longest delay, a
+//   rejection, and from there the same steps.
 namespace stonewing::discovery_timing {
 
 constexpr Millis kMaxNotificationDelay = 6000;
 
-// Discovery holds a watch open for so long until it answers that nothing has changed.
+// Discovery holds a watch open for this long before it answers that nothing has changed.
 constexpr Millis kWatchTimeout = 2000;
-// A watch that is unanswered so long after its time will not be answered.
+// A watch that is still unanswered this long after kWatchTimeout counts as failed.
 constexpr Millis kResponseGrace = 500;
-// Without a limit of its own, a connection that never comes up would use up the time of a whole watch.
+// Without a separate time-out, a connection that is never established would take the time of a whole watch.
 constexpr Millis kConnectTimeout = 500;
-// From the first byte of a response to its last; discovery writes it in one go. Without this limit a response
-// that trickles would be waited for forever.
+// Time-out from the first byte of a response to its last; discovery writes a response in one piece. Without
+// it, a poll whose response arrives byte by byte would never end.
 constexpr Millis kResponseTimeout = 1000;
 
-// The delay after a failure, doubled by each further one.
+// The delay after a failure. It is doubled after each further failure.
 constexpr Millis kMinRetryDelay = 50;
 constexpr Millis kMaxRetryDelay = 1000;
-// The delay after a rejection. Discovery then has too many clients: hundreds that started, or lost their
-// watch, at once. Spread thinly from the first delay on they are all served; with short delays first they
-// would keep one another out.
+// The delay after a rejection. Discovery then has too many clients: hundreds have started, or lost their
+// watch, at the same time. With long delays from the first one on, their polls are spread thinly enough for
+// all to be served. With short first delays, their polls would keep discovery overloaded, and it would go on
+// rejecting.
 constexpr Millis kRejectionDelay = 1800;
 // Delays are multiplied by a random factor from 1 - kDelaySpread to 1 + kDelaySpread.
 constexpr double kDelaySpread = 0.5;
 
-// For an answer that discovery gives at once, on a busy core.
-constexpr Millis kAnswerTime = 250;
-// For the process's own turns between the steps, where it shares its core.
-constexpr Millis kTurnsTime = 400;
+// Allowance for an answer that discovery sends at once, when its core is busy.
+constexpr Millis kAnswerAllowance = 250;
+// Allowance for the process's own turns between the steps, when it shares its core.
+constexpr Millis kTurnsAllowance = 400;
 
-constexpr Millis longest(Millis delay) { return delay * (1 + kDelaySpread); }
-constexpr Millis kAfterRejection = longest(kRejectionDelay) + kAnswerTime + kTurnsTime;
-static_assert(kWatchTimeout + kResponseGrace + longest(kMinRetryDelay) + kAfterRejection <=
+constexpr Millis longestDelay(Millis delay) { return delay * (1 + kDelaySpread); }
+constexpr Millis kMaxTimeFromRejection = longestDelay(kRejectionDelay) + kAnswerAllowance + kTurnsAllowance;
+static_assert(kWatchTimeout + kResponseGrace + longestDelay(kMinRetryDelay) + kMaxTimeFromRejection <=
+              kMaxNotificationDelay);
+static_assert(kConnectTimeout + longestDelay(kMaxRetryDelay) + kMaxTimeFromRejection <=
+              kMaxNotificationDelay);
+static_assert(kResponseTimeout + longestDelay(kMaxRetryDelay) + kMaxTimeFromRejection <=
               kMaxNotificationDelay);
-static_assert(kConnectTimeout + longest(kMaxRetryDelay) + kAfterRejection <= kMaxNotificationDelay);
-static_assert(kResponseTimeout + longest(kMaxRetryDelay) + kAfterRejection <= kMaxNotificationDelay);
 
-// Delays before polls that follow an unsuccessful one. They are random, since dispatchers that failed
-// together must not come back together.
+// Computes the delays after unsuccessful polls. They are random, since dispatchers whose polls failed at the
+// same time must not poll again at the same time.
 class RetrySchedule {
  public:
   explicit RetrySchedule(std::uint64_t seed)
@@ -59,17 +63,17 @@
 
   Millis delayAfterFailure() { return nextDelay(kMinRetryDelay, kMaxRetryDelay); }
   Millis delayAfterRejection() { return nextDelay(kRejectionDelay, kRejectionDelay); }
-  // A poll succeeded, or discovery moved: delays begin at the shortest again.
+  // To be called after a successful poll or a change of address: delays begin at the shortest again.
   void reset() { delay_ = 0; }
 
  private:
-  Millis nextDelay(Millis shortest, Millis longest) {
-    delay_ = std::clamp(2 * delay_, shortest, longest);
+  Millis nextDelay(Millis minDelay, Millis maxDelay) {
+    delay_ = std::clamp(2 * delay_, minDelay, maxDelay);
     std::uniform_real_distribution<double> factor(1 - kDelaySpread, 1 + kDelaySpread);
     return delay_ * factor(random_);
   }
 
-  Millis delay_{0};  // the last one, before the random factor
+  Millis delay_{0};  // the last delay, before the random factor
   std::mt19937 random_;
 };
 
