--- a/src/net/buffers.cpp
+++ b/src/net/buffers.cpp
@@ -10,7 +10,8 @@
 namespace stonewing {
 namespace {
 
-// What one connection may read in a turn, so that a busy one leaves time for the others.
+// Limit on the bytes that one connection reads in a turn, so that a busy connection leaves time for the
+// others.
 constexpr std::size_t kMaxBytesPerTurn = 64 * 1024;
 constexpr std::size_t kReadChunkBytes = 16 * 1024;
 constexpr std::size_t kMaxPiecesPerWrite = 64;
@@ -22,8 +23,8 @@
 ReadResult readAvailable(int fd, std::string& buffer, std::size_t maxBytes, StreamEnd streamEnd) {
   std::size_t readInTurn = 0;
   while (readInTurn < kMaxBytesPerTurn && buffer.size() < maxBytes) {
-    // A chunk on the stack and then a copy: a peer that sends a few bytes must not cost the buffer a whole
-    // chunk.
+    // Read into the stack and then copied, so that a peer that sends a few bytes does not make `buffer`
+    // allocate a whole chunk.
     std::array<char, kReadChunkBytes> chunk;
     std::size_t wanted = std::min(kReadChunkBytes, maxBytes - buffer.size());
     ssize_t result = ::recv(fd, chunk.data(), wanted, 0);
@@ -36,7 +37,7 @@
     auto received = static_cast<std::size_t>(result);
     buffer.append(chunk.data(), received);
     readInTurn += received;
-    // Whatever comes after this read, the end of the stream too, raises an event of its own.
+    // The socket is empty now. Bytes that arrive later, or the end of the stream, cause a new event.
     if (streamEnd == StreamEnd::notReported && received < wanted) return ReadResult::wouldBlock;
   }
   return ReadResult::more;
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -6,45 +6,46 @@
 #include <string>
 #include <utility>
 
-// Non-blocking reads into a buffer, and a queue of bytes to write. Both are used on the event loop's thread.
+// Non-blocking reads into a buffer, and a queue of bytes to write. Used on the event loop's thread alone.
 namespace stonewing {
 
 enum class ReadResult {
-  wouldBlock,   // everything that has arrived is read
-  more,         // there may be more: the limit, or the share of this turn, is used up
-  endOfStream,  // the peer has closed its side; what came before is in the buffer
-  broken,       // the connection failed; what came before is in the buffer
+  wouldBlock,   // all bytes that have arrived are read
+  more,         // more bytes may be there: `maxBytes` or the limit of one turn is reached
+  endOfStream,  // the peer has closed its side; the bytes before that are in the buffer
+  broken,       // the connection failed; the bytes before that are in the buffer
 };
 
-// What the event that led to a read says about the end of the stream.
+// Whether the event that led to a read reported the end of the stream or an error.
 enum class StreamEnd {
-  possible,     // an end or an error may be behind the bytes: read until the socket says so
-  notReported,  // nothing was reported: a read that does not fill its buffer was the last one
+  possible,     // the end or an error may follow the bytes: read until the socket reports it
+  notReported,  // not reported: a read that does not fill its chunk is the last one
 };
 
-// Appends what has arrived on `fd` to `buffer`, until there is no more, the share of one turn (64 KiB) is
-// used, or `buffer` holds `maxBytes`. `streamEnd` saves the read that would only find the socket empty.
+// Appends the bytes that have arrived on `fd` to `buffer`, until there are no more, the limit of one turn (64
+// KiB) is reached, or `buffer` holds `maxBytes`. With StreamEnd::notReported, the last read, which would only
+// find the socket empty, is saved.
 ReadResult readAvailable(int fd, std::string& buffer, std::size_t maxBytes,
                          StreamEnd streamEnd = StreamEnd::possible);
 
-// Bytes that wait to be written to a socket, sent with gathering writes. A piece may be shared with its
-// maker, so that one body that goes to several peers is stored once.
+// A queue of bytes to write to a socket, sent with gathering writes. The queue can share the ownership of a
+// piece, so that a body that goes to several peers is stored once.
 class WriteBuffer {
  public:
   enum class WriteResult {
     all,     // the buffer is empty
-    part,    // the socket takes no more now; its next writable event is the time to go on
-    broken,  // the connection failed; what was not sent is still in the buffer
+    part,    // the socket accepts no more now; write again at its next EPOLLOUT event
+    broken,  // the connection failed; bytes that were not sent are still in the buffer
   };
 
   void add(std::string piece) { add(std::make_shared<const std::string>(std::move(piece))); }
   // The piece must not change until it is sent. An empty one is ignored.
   void add(std::shared_ptr<const std::string> piece);
-  // Sends as much as the socket takes, without blocking and without SIGPIPE.
+  // Sends as much as the socket accepts, without blocking and without raising SIGPIPE.
   WriteResult write(int fd);
 
   bool empty() const { return pieces_.empty(); }
-  // Bytes not sent yet.
+  // The number of bytes that are not sent yet.
   std::size_t size() const { return size_; }
 
  private:
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -7,13 +7,14 @@
 // The two clocks of the program, both in milliseconds. They are not comparable with each other.
 namespace stonewing {
 
-// Time since an unspecified start that never steps back. Decisions and timers use it.
+// Time since an unspecified start; it never steps back. Decisions and timers use it.
 inline Millis steadyNow() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-// Time since the Unix epoch; the host may step it. What outlives the process is recorded in it.
+// Time since the Unix epoch; the host may step it. Times that are stored beyond the life of the process use
+// it.
 inline Millis wallNow() {
   return std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch())
       .count();
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -16,7 +16,8 @@
 constexpr int kMaxCallsPerTurn = 16;
 // The longest sleep between two turns, in ms. A longer gap therefore means that the process did not run.
 constexpr Millis kMaxSleepMs = 50;
-// A gap between two turns, in ms, from which on the process counts as stalled.
+// If more time than this, in ms, passes from the start of one turn to the start of the next, the process
+// counts as stalled.
 constexpr Millis kStallThresholdMs = 2 * kMaxSleepMs;
 
 }  // namespace
@@ -57,7 +58,8 @@
   now_ = steadyNow();
   Millis sinceLastTurn = now_ - std::exchange(turnBegan_, now_);
   stalledFor_ = sinceLastTurn > kStallThresholdMs ? sinceLastTurn : 0;
-  // A stopped process wakes early from its sleep; what has come meanwhile belongs to this turn too.
+  // A process that was stopped wakes early from its sleep. Events that have occurred meanwhile belong to this
+  // turn too.
   if (stalledFor_ > 0) collectEvents(0);
 }
 
@@ -68,8 +70,8 @@
   return true;
 }
 
-// Collects all that has come, in several calls if need be: the decisions of a turn must not be made on half
-// of what is known.
+// Collects all events that have occurred, in up to kMaxCallsPerTurn calls of epoll_wait. With a part of the
+// events, the decisions of the turn would be made on incomplete information.
 void EventLoop::collectEvents(int timeoutMs) {
   for (int call = 0; call < kMaxCallsPerTurn; ++call) {
     std::array<epoll_event, kMaxEventsPerCall> events;
@@ -85,12 +87,12 @@
 }
 
 void EventLoop::dispatch() {
-  // Both lists are emptied first: a handler may reschedule itself for the next turn.
+  // Both lists are emptied first, since a handler may reschedule itself for the next turn.
   for (EventTag tag : std::exchange(rescheduled_, {})) deliver(tag, EPOLLIN | EPOLLOUT | EPOLLRDHUP);
   for (auto [tag, events] : std::exchange(pendingEvents_, {})) deliver(tag, events);
 }
 
-// An event whose registration has ended is dropped, also where its descriptor number is in use again.
+// Drops an event whose registration has ended, even if its descriptor number is in use again.
 void EventLoop::deliver(EventTag tag, std::uint32_t events) {
   auto found = registrations_.find(static_cast<int>(tag & 0xffffffffu));
   if (found == registrations_.end() || found->second.serial != tag >> 32) return;
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -21,55 +21,61 @@
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
-  // `events` are epoll's (EPOLLIN and so on). They come once for each change, not for as long as a state
-  // lasts: read and write until there is no more, or ask for another call with EventLoop::reschedule.
+  // `events` are epoll's (EPOLLIN and so on). They are edge-triggered: reported once for each change, not for
+  // as long as a state lasts. So a handler reads and writes until the socket would block, or requests another
+  // call with EventLoop::reschedule.
   virtual void onEvents(std::uint32_t events) = 0;
 };
 
-// A turn is one wait() and one dispatch(): the events of a turn are collected first and handed to their
-// handlers after, so that all of them carry the same time.
+// A turn is one wait() and one dispatch(). The events of a turn are all collected before the first one is
+// passed to its handler, so that all of them have the same time.
 class EventLoop {
  public:
-  // Throws std::system_error where the kernel grants no epoll descriptor.
+  // Throws std::system_error if the epoll descriptor cannot be created.
   EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Registers `fd` for input, output and the end of the peer's side. The handler must live until unwatch, and
-  // the descriptor is still its own to close. False where the kernel cannot register one more.
+  // Registers `fd` for input, output and the end of the peer's side. The handler must outlive the
+  // registration, and the caller remains the owner of the descriptor. False if the kernel cannot register one
+  // more.
   [[nodiscard]] bool watch(int fd, EventHandler& handler);
-  // Ends the registration, before the descriptor is closed. No event reaches the handler after it, those of
-  // the current turn included. Nothing happens where there is no registration.
+  // Ends the registration; to be called before the descriptor is closed. The handler gets no further events,
+  // not even those already collected for the current turn. Has no effect if there is no registration.
   void unwatch(int fd);
-  // The handler has more to do than one turn's share: it is called again in the next turn.
+  // Calls the handler again in the next turn, for a handler that has not finished its work in this one.
   void reschedule(int fd);
-  // Keeps a closed handler alive until the turn is over, since it may be in the middle of its own event.
+  // Destroys a closed handler only after the turn, since it may be in the middle of its own event.
   void deferDeletion(std::unique_ptr<EventHandler> handler) {
     deferredDeletions_.push_back(std::move(handler));
   }
 
-  // Installs what is to be called where no descriptor is left; it returns true where it has closed one.
-  void onDescriptorExhaustion(std::function<bool()> freeOne) { freeOneDescriptor_ = std::move(freeOne); }
-  // Tries to free a descriptor. True: one was closed, and the caller may try again.
-  bool freeDescriptor() { return freeOneDescriptor_ && freeOneDescriptor_(); }
+  // Sets the function that is called when the process has no descriptor left. It returns true if it has
+  // closed one.
+  void onDescriptorExhaustion(std::function<bool()> freeOne) {
+    descriptorExhaustionHandler_ = std::move(freeOne);
+  }
+  // Calls that function. True: a descriptor was closed, and the caller may try again to open one.
+  bool freeDescriptor() { return descriptorExhaustionHandler_ && descriptorExhaustionHandler_(); }
 
-  // Begins a turn: sleeps until `until` (of the steady clock), an event, or 50 ms have passed, collects all
-  // events that have come, and sets now(). Throws std::system_error where epoll itself fails.
+  // Begins a turn: sleeps until `until` (steady clock), an event occurs or 50 ms have passed, collects all
+  // events that have occurred, and sets now(). Throws std::system_error if epoll_wait fails.
   void wait(Millis until);
-  // Sets now() anew where more than `tolerance` has passed since it was set; returns whether it did. For
-  // turns that take long.
+  // Sets now() again if at least `tolerance` has passed since it was set, and returns whether it did. Used
+  // in turns that take long.
   bool refreshTime(Millis tolerance);
-  // Hands the collected events to their handlers.
+  // Passes the collected events to their handlers.
   void dispatch();
-  // The time of this turn, of the steady clock.
+  // The time of this turn (steady clock).
   Millis now() const { return now_; }
-  // How long this turn's events may have waited because the process itself was stopped or starved; 0 where it
-  // was not.
+  // How long this turn's events may have waited because the process itself was stopped or got no processor
+  // time; 0 if it was not.
   Millis stalledFor() const { return stalledFor_; }
 
  private:
-  // A descriptor and the serial number of its registration, in one word as epoll stores it. The kernel reuses
-  // descriptors at once; without the serial, an old event would reach the new owner.
+  // A descriptor and the serial number of its registration, in one integer as epoll stores it. The kernel
+  // reuses descriptor numbers at once; without the serial number, an old event would reach the handler of the
+  // new descriptor.
   using EventTag = std::uint64_t;
   struct Registration {
     EventHandler* handler{};
@@ -88,12 +94,12 @@
   Millis now_;
   Millis turnBegan_;
   Millis stalledFor_{0};
-  std::function<bool()> freeOneDescriptor_;
+  std::function<bool()> descriptorExhaustionHandler_;
   std::uint32_t lastSerial_{0};
   std::unordered_map<int, Registration> registrations_;  // by descriptor
   std::vector<EventTag> rescheduled_;
   std::vector<PendingEvent> pendingEvents_;
-  // Last, so that it is destroyed first: a handler's destructor may still call unwatch.
+  // The last member, so that it is destroyed first: a handler's destructor may still call unwatch.
   std::vector<std::unique_ptr<EventHandler>> deferredDeletions_;
 };
 
--- a/src/net/http_client_connection.cpp
+++ b/src/net/http_client_connection.cpp
@@ -17,7 +17,7 @@
 
 bool HttpClientConnection::open(const sockaddr_in& address) {
   socket_.reset(makeSocket());
-  // Without this, idle clients could hold all descriptors, and nothing would be delivered any more.
+  // Without this, idle clients could use up all descriptors, and no message could be delivered any more.
   bool isExhausted = !socket_.isOpen() && (errno == EMFILE || errno == ENFILE);
   if (isExhausted && loop_.freeDescriptor()) socket_.reset(makeSocket());
   isOutOfResources_ = !socket_.isOpen();
@@ -39,7 +39,7 @@
   received_.clear();
   parser_ = {};
   if (!socket_.isOpen() || !isConnected_) return;
-  // What could not be sent is tried again in the next turn, which also reports a connection that broke.
+  // Unsent bytes are written again in the next turn, which also reports a connection that has failed.
   if (unsent_.write(socket_.get()) != WriteBuffer::WriteResult::all) socket_.reschedule();
 }
 
@@ -71,8 +71,8 @@
   read(mayHaveEnded ? StreamEnd::possible : StreamEnd::notReported);
 }
 
-// Whether the connection is established and its exchange may begin. Where connecting failed, reports it to
-// the observer and returns false.
+// Returns whether the connection is established and its exchange may begin. If connecting failed, reports
+// that to the observer and returns false.
 bool HttpClientConnection::finishConnecting(std::uint32_t events) {
   if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return false;
   int error = 0;
@@ -89,7 +89,7 @@
 
 void HttpClientConnection::write() {
   if (unsent_.write(socket_.get()) != WriteBuffer::WriteResult::broken) return;
-  // A server may respond, or close, before it has read the whole request: its response is read before the
+  // A server may respond and close before it has read the whole request, so its response is read before the
   // connection counts as broken.
   read(StreamEnd::possible);
   if (socket_.isOpen() && isBusy_) fail();
@@ -109,7 +109,7 @@
   finishExchange(result);
 }
 
-// An idle connection that ends, or sends something, is of no use any more.
+// An idle connection that ends, or on which bytes arrive, cannot be used again.
 void HttpClientConnection::readIdle(ReadResult result) {
   if (result != ReadResult::wouldBlock || !received_.empty()) fail();
 }
@@ -117,7 +117,8 @@
 HttpResponseParser::Progress HttpClientConnection::parseReceived(ReadResult result) {
   StreamState stream = result == ReadResult::endOfStream ? StreamState::ended : StreamState::open;
   HttpResponseParser::Progress progress = parser_.parse(received_, stream);
-  // A response may announce gigabytes and keep coming: it is given up as soon as it announces too much.
+  // A response that announces more bytes than allowed is rejected at once. Without this, gigabytes of it
+  // might be read first.
   bool isTooLong = parser_.announcedLength() > maxResponseBytes_ ||
                    (result == ReadResult::more && received_.size() >= maxResponseBytes_);
   if (progress == HttpResponseParser::Progress::needsMore && isTooLong) {
@@ -127,7 +128,7 @@
 }
 
 void HttpClientConnection::finishExchange(ReadResult result) {
-  // Open for another exchange only where nothing is left to read, and the request went out whole.
+  // Stays open for another exchange only if no bytes are left to read and the whole request was sent.
   bool hasExtraBytes = received_.size() > parser_.length() || result == ReadResult::more;
   if (isEnded(result) || !parser_.keepsAlive() || hasExtraBytes || !unsent_.empty()) close();
   isBusy_ = false;
--- a/src/net/http_client_connection.h
+++ b/src/net/http_client_connection.h
@@ -14,69 +14,71 @@
 
 namespace stonewing {
 
-// A connection to an HTTP server that carries one exchange (a request and its response) at a time, and may be
-// used again after it. It lives on the event loop's thread; its owner tells it apart by its address.
+// A connection to an HTTP server. It carries one exchange (a request and its response) at a time and can be
+// used again after it. Used on the event loop's thread alone; the owner identifies a connection by the
+// address of this object.
 //
-// The observer hears of the end of each exchange exactly once, by onResponse or onBroken, and only from the
-// event loop or from readPending: never from within startExchange or close.
+// The end of each exchange is reported to the observer exactly once, by onResponse or onBroken, and only from
+// the event loop or from readPending, never from within startExchange or close.
 class HttpClientConnection : public EventHandler {
  public:
-  // The owner's side. A method may close the connection, but must not destroy it (see closeLater).
+  // Receives the events of a connection. A method may close the connection, but must not destroy it (see
+  // closeLater).
   struct Observer {
     virtual ~Observer() = default;
-    // The connection is established. False: its exchange must not begin any more, and the observer has closed
-    // it.
+    // The connection is established. False: the exchange must no longer begin, and the observer has closed
+    // the connection.
     virtual bool mayStartExchange(HttpClientConnection&) { return true; }
-    // The rest of a request that is partly written may go out. False: it must not, and the observer has
-    // closed the connection.
+    // The remaining bytes of a partly written request can be sent. False: they must not be sent, and the
+    // observer has closed the connection.
     virtual bool mayContinueExchange(HttpClientConnection&) { return true; }
-    // Bytes of the response have come, but not all.
+    // Some bytes of the response have arrived, but not all.
     virtual void onResponseStarted(HttpClientConnection&) {}
-    // The response is complete. The connection may be used again where it is still open.
+    // The response is complete. The connection can be used again if it is still open.
     virtual void onResponse(HttpClientConnection& connection) = 0;
-    // The connection ended, with an exchange or without one; it is closed.
+    // The connection failed or ended, during an exchange or while idle, and is closed now.
     virtual void onBroken(HttpClientConnection& connection) = 0;
   };
 
-  // The loop and the observer must outlive the connection. A response longer than `maxResponseBytes` breaks
-  // it.
+  // The loop and the observer must outlive the connection. A response longer than `maxResponseBytes` counts
+  // as malformed, and the connection is closed.
   HttpClientConnection(EventLoop& loop, Observer& observer, std::size_t maxResponseBytes)
       : loop_(loop), observer_(observer), maxResponseBytes_(maxResponseBytes), socket_(loop) {}
 
-  // Closes the connection, which may be in the middle of its own event, and destroys it after this turn. An
-  // empty pointer is left alone.
+  // Closes the connection, which may be in the middle of its own event, and destroys it after this turn. Has
+  // no effect on an empty pointer.
   static void closeLater(EventLoop& loop, std::unique_ptr<HttpClientConnection>& connection) {
     if (!connection) return;
     connection->close();
     loop.deferDeletion(std::move(connection));
   }
 
-  // Begins to connect. False: it could not, either since resources of our own are exhausted
-  // (isOutOfResources) or since the address was refused at once.
+  // Begins to connect. False: connecting failed at once, either because resources of this process are
+  // exhausted (isOutOfResources) or because the kernel rejected the address.
   bool open(const sockaddr_in& address);
-  // Whether the last open failed for want of a descriptor or of capacity in the event loop.
+  // Whether the last open failed because no descriptor was free or the event loop could not register it.
   bool isOutOfResources() const { return isOutOfResources_; }
-  // Adds bytes of the next request.
+  // Appends bytes to the next request.
   void add(std::string piece) { unsent_.add(std::move(piece)); }
   void add(std::shared_ptr<const std::string> piece) { unsent_.add(std::move(piece)); }
-  // Sends what was added as one request, or does so once the connection is established. Errors are reported
-  // in a later turn.
+  // Sends the bytes that were added as one request, now or once the connection is established. Errors are
+  // reported in a later turn.
   void startExchange();
   // Closes at once. The observer is not called.
   void close();
-  // Reads what has arrived and was not handled yet. It may end the exchange, and call the observer.
+  // Reads bytes that have arrived since the last read. This can end the exchange and call the observer.
   void readPending();
-  // Whether an idle connection can be used again: neither its end nor a stray byte has come.
+  // Whether an idle connection can be used again: it has not ended, and no unexpected bytes have arrived.
   bool isReusable() const;
 
   bool isOpen() const { return socket_.isOpen(); }
   bool isConnected() const { return isConnected_; }
   // An exchange is in progress.
   bool isBusy() const { return isBusy_; }
-  // Bytes of a response have come. Where no complete response follows, the server has still executed the
+  // Bytes of a response have arrived. Even if no complete response follows, the server has executed the
   // request.
   bool hasReceived() const { return !received_.empty(); }
-  // The request is written whole, and its exchange is in progress.
+  // The whole request is written, and its exchange is in progress.
   bool isRequestWritten() const { return isBusy_ && isConnected_ && unsent_.empty(); }
   // The response's status code, header and body, valid until the next exchange; see HttpResponseParser.
   int status() const { return parser_.status(); }
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -9,8 +9,8 @@
 namespace stonewing {
 namespace {
 
-// Limits on what a server may make us keep, in bytes. Without them, a head without an end would fill the
-// memory.
+// Limits, in bytes, on the memory that a server's response can use. Without them, a head that never ends
+// would fill the memory.
 constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 constexpr std::uint64_t kMaxChunkBytes = std::uint64_t{1} << 30;
 constexpr std::uint64_t kMaxContentLength = std::uint64_t{1} << 40;
@@ -42,7 +42,7 @@
   return text;
 }
 
-// Whether a header's value, a list with commas, has `word` in it.
+// Whether a header's value, a comma-separated list, contains `word`.
 bool listContains(std::string_view value, std::string_view word) {
   while (!value.empty()) {
     std::size_t comma = std::min(value.find(','), value.size());
@@ -52,7 +52,7 @@
   return false;
 }
 
-// Whether the line has a name of visible characters up to a colon. Bytes that are not HTTP hardly ever do.
+// Whether the line begins with a name of visible characters and a colon. Bytes that are not HTTP rarely do.
 bool isHeaderLine(std::string_view line) {
   std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0) return false;
@@ -60,7 +60,8 @@
   return std::all_of(name.begin(), name.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
-// The size in a chunk's first line, "1a;extension=value"; no value where it is none, or over the limit.
+// Parses the size in a chunk's first line, "1a;extension=value"; no value if it is malformed or over the
+// limit.
 std::optional<std::size_t> parseChunkSize(std::string_view line) {
   line = trimmed(line);
   std::string_view digits = trimmed(line.substr(0, line.find(';')));
@@ -69,8 +70,8 @@
   return size;
 }
 
-// What to say of a line that begins at `position` and has no end yet.
-HttpResponseParser::Progress awaitLineEnd(std::string_view bytes, std::size_t position) {
+// The progress for a line that begins at `position` and whose end has not arrived yet.
+HttpResponseParser::Progress progressOfPartialLine(std::string_view bytes, std::size_t position) {
   bool isTooLong = bytes.size() - position > kMaxHeadBytes;
   return isTooLong ? HttpResponseParser::Progress::malformed : HttpResponseParser::Progress::needsMore;
 }
@@ -109,7 +110,7 @@
 HttpResponseParser::Progress HttpResponseParser::parseStatusLine(std::string_view bytes) {
   std::string_view line = bytes.substr(start_);
   std::size_t lineEnd = line.find('\n');
-  // Bytes that are not HTTP are recognized by the first that differs, without waiting for a line.
+  // Input that is not HTTP is rejected at its first wrong byte, without waiting for the end of the line.
   std::size_t compared = std::min(line.size(), kProtocol.size());
   if (line.substr(0, compared) != kProtocol.substr(0, compared)) return Progress::malformed;
   if (std::min(lineEnd, line.size()) > kMaxHeadBytes) return Progress::malformed;
@@ -133,13 +134,13 @@
   Progress progress = findBodyStart(bytes);
   if (progress != Progress::complete) return progress;
   if (status_ >= kFirstFinalStatus) return readBodyFraming(bytes);
-  // No upgrade was asked for.
+  // The dispatcher never requests an upgrade.
   if (status_ == kSwitchingProtocols) return Progress::malformed;
   skipInterimResponse();
   return Progress::complete;
 }
 
-// Checks each header line, and sets bodyStart_ at the empty line that ends them.
+// Checks each header line, and sets bodyStart_ to the position after the empty line that ends the headers.
 HttpResponseParser::Progress HttpResponseParser::findBodyStart(std::string_view bytes) {
   std::size_t lineStart = headersStart_;
   for (;;) {
@@ -163,7 +164,7 @@
   status_ = 0;
 }
 
-// Reads from the headers how the body ends, and whether the connection stays open.
+// Determines from the headers how the body ends and whether the connection stays open.
 HttpResponseParser::Progress HttpResponseParser::readBodyFraming(std::string_view bytes) {
   std::string_view connection = header(bytes, "Connection");
   if (listContains(connection, "close")) keepsAlive_ = false;
@@ -186,11 +187,11 @@
   return Progress::complete;
 }
 
-// Decodes the chunks that are whole, up to the one of size 0.
+// Decodes the chunks that have arrived completely, up to the last one, whose size is 0.
 HttpResponseParser::Progress HttpResponseParser::parseChunks(std::string_view bytes) {
   for (;;) {
     std::size_t lineEnd = bytes.find('\n', nextChunk_);
-    if (lineEnd == std::string_view::npos) return awaitLineEnd(bytes, nextChunk_);
+    if (lineEnd == std::string_view::npos) return progressOfPartialLine(bytes, nextChunk_);
     std::optional<std::size_t> size = parseChunkSize(bytes.substr(nextChunk_, lineEnd - nextChunk_));
     if (!size) return Progress::malformed;
     std::size_t dataStart = lineEnd + 1;
@@ -203,11 +204,11 @@
   }
 }
 
-// Skips the trailers behind the last chunk, up to the empty line that ends the response.
+// Skips the trailers after the last chunk, up to the empty line that ends the response.
 HttpResponseParser::Progress HttpResponseParser::parseTrailers(std::string_view bytes, std::size_t position) {
   for (;;) {
     std::size_t lineEnd = bytes.find('\n', position);
-    if (lineEnd == std::string_view::npos) return awaitLineEnd(bytes, position);
+    if (lineEnd == std::string_view::npos) return progressOfPartialLine(bytes, position);
     bool isEmpty = trimmed(bytes.substr(position, lineEnd - position)).empty();
     position = lineEnd + 1;
     if (isEmpty) {
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -10,32 +10,33 @@
 // Whether more bytes may come on a stream.
 enum class StreamState { open, ended };
 
-// Parses one HTTP/1.x response that arrives piece by piece: with Content-Length, in chunks, or up to the end
-// of the connection. Interim responses (1xx) before it are skipped. The parser keeps positions and the
-// decoded chunks; the bytes stay with the caller, who passes all of them at each call.
+// Parses one HTTP/1.x response that arrives in pieces. The body may have a Content-Length, be chunked, or end
+// with the connection. Interim responses (1xx) before it are skipped. The parser stores positions and the
+// decoded chunks; the caller stores the bytes and passes all of them at each call.
 class HttpResponseParser {
  public:
   enum class Progress {
-    needsMore,  // the response is not whole; not returned once the stream has ended
+    needsMore,  // the response is incomplete; never returned once the stream has ended
     complete,
-    malformed,  // not HTTP, cut off, or beyond the parser's limits; no further call makes sense
+    malformed,  // not HTTP, truncated, or over a limit of the parser; parse must not be called again
   };
 
   // `bytes`: all that has arrived for this response, from its first byte on.
   Progress parse(std::string_view bytes, StreamState stream);
 
-  // The status code; 0 until the status line is whole.
+  // The status code; 0 until the status line is complete.
   int status() const { return status_; }
   // Whether the server allows another request on the connection. Valid once the response is complete.
   bool keepsAlive() const { return keepsAlive_; }
-  // The value of the first header of that name (in any case of letters); empty where there is none or the
-  // head is not whole. It refers to `bytes`, which must be those of the last call of parse.
+  // The value of the first header of that name (case-insensitive); empty if there is none or the head is
+  // incomplete. It refers to `bytes`, which must be those of the last call of parse.
   std::string_view header(std::string_view bytes, std::string_view name) const;
-  // The body of a complete response. It refers to `bytes`, or to the parser where the body came in chunks.
+  // The body of a complete response. It refers to `bytes`, or to the parser's memory if the body is
+  // chunked.
   std::string_view body(std::string_view bytes) const;
-  // How many bytes the complete response takes; bytes behind it belong to no request.
+  // The length of the complete response in bytes. Any bytes after it belong to no request.
   std::size_t length() const { return end_; }
-  // The least length of the whole response, in bytes, as far as its head states it.
+  // The minimum length of the whole response in bytes, as far as its head announces it.
   std::size_t announcedLength() const { return bodyStart_ + (extendsToEnd_ ? 0 : bodyLength_); }
 
  private:
@@ -50,9 +51,9 @@
 
   // Positions in the caller's bytes.
   std::size_t start_{0};         // of the status line; moves past interim responses
-  std::size_t headersStart_{0};  // 0: the status line is not whole
-  std::size_t bodyStart_{0};     // 0: the head is not whole
-  std::size_t end_{0};           // one past the response, once it is complete
+  std::size_t headersStart_{0};  // 0: the status line is incomplete
+  std::size_t bodyStart_{0};     // 0: the head is incomplete
+  std::size_t end_{0};           // of the first byte after the complete response
   std::size_t nextChunk_{0};     // of the first chunk that is not decoded yet
   std::size_t bodyLength_{0};    // of a body that is not chunked
   std::string decodedBody_;      // of a chunked body
--- a/src/net/loop_registration.h
+++ b/src/net/loop_registration.h
@@ -8,10 +8,10 @@
 namespace stonewing {
 
 // Registers a descriptor with the event loop for as long as this object lives. The loop, the handler and the
-// descriptor must outlive it; the descriptor stays its owner's to close.
+// descriptor must outlive this object, which does not close the descriptor.
 class LoopRegistration {
  public:
-  // Throws std::system_error where the kernel cannot watch one more descriptor.
+  // Throws std::system_error if the kernel cannot register one more descriptor.
   LoopRegistration(EventLoop& loop, int descriptor, EventHandler& handler)
       : loop_(loop), descriptor_(descriptor) {
     if (!loop_.watch(descriptor_, handler))
--- a/src/net/resp_parser.cpp
+++ b/src/net/resp_parser.cpp
@@ -10,23 +10,23 @@
 
 constexpr std::size_t kMaxWords = 16;
 constexpr std::size_t kMaxCountLineBytes = 32;
-constexpr std::size_t kMinCountLineBytes = 3;  // a sign, a digit and '\r' before the '\n'
+constexpr std::size_t kMinCountLineBytes = 3;  // the type byte, a digit and '\r' before the '\n'
 constexpr std::string_view kLineEnd = "\r\n";
 
-constexpr char kArraySign = '*';
-constexpr char kBulkStringSign = '$';
+constexpr char kArrayTypeByte = '*';
+constexpr char kBulkStringTypeByte = '$';
 
 // A line such as "*3\r\n" or "$12\r\n".
 struct CountLine {
   RespParseResult result{RespParseResult::needsMore};
-  std::size_t count{0};  // valid where complete
-  std::size_t end{0};    // one past the line, where complete
+  std::size_t count{0};  // valid if complete
+  std::size_t end{0};    // the position after the line, valid if complete
 };
 
-CountLine parseCountLine(std::string_view bytes, std::size_t start, char sign, std::size_t maxCount) {
+CountLine parseCountLine(std::string_view bytes, std::size_t start, char typeByte, std::size_t maxCount) {
   constexpr CountLine kMalformed{RespParseResult::malformed};
   if (start >= bytes.size()) return {};
-  if (bytes[start] != sign) return kMalformed;
+  if (bytes[start] != typeByte) return kMalformed;
   std::size_t lineEnd = bytes.find('\n', start);
   if (lineEnd == std::string_view::npos) {
     return bytes.size() - start > kMaxCountLineBytes ? kMalformed : CountLine{};
@@ -39,7 +39,7 @@
   return {RespParseResult::complete, *count, lineEnd + 1};
 }
 
-// Whether a word of `length` bytes at `start` is whole, with its line end.
+// Whether the word of `length` bytes at `start` has arrived completely, with its line end.
 RespParseResult checkWord(std::string_view bytes, std::size_t start, std::size_t length) {
   std::size_t end = start + length;
   if (bytes.size() >= end + kLineEnd.size()) {
@@ -55,13 +55,13 @@
 RespParseResult parseRespCommand(std::string_view bytes, std::vector<std::string_view>& words,
                                  std::size_t& used) {
   words.clear();
-  CountLine header = parseCountLine(bytes, 0, kArraySign, kMaxWords);
+  CountLine header = parseCountLine(bytes, 0, kArrayTypeByte, kMaxWords);
   if (header.result != RespParseResult::complete) return header.result;
   if (header.count == 0) return RespParseResult::malformed;
 
   std::size_t position = header.end;
   for (std::size_t i = 0; i < header.count; ++i) {
-    CountLine length = parseCountLine(bytes, position, kBulkStringSign, kMaxWordBytes);
+    CountLine length = parseCountLine(bytes, position, kBulkStringTypeByte, kMaxWordBytes);
     if (length.result != RespParseResult::complete) return length.result;
     RespParseResult word = checkWord(bytes, length.end, length.count);
     if (word != RespParseResult::complete) return word;
--- a/tests/net/http_response_parser_test.cpp
+++ b/tests/net/http_response_parser_test.cpp
@@ -11,7 +11,7 @@
 
 #include "support/dispatcher_settings.h"
 
-// Responses are parsed from whatever bytes have arrived.
+// The parser with responses that arrive in pieces, are malformed or are random bytes.
 namespace stonewing::testing {
 namespace {
 
@@ -47,11 +47,11 @@
     EXPECT_EQ(parser.length(), expected.bytes.size());
     EXPECT_EQ(parser.header(expected.bytes, "X-Backoff-Ms"), expected.status == 429 ? "40" : "");
   }
-  HttpResponseParser toTheEnd;
+  HttpResponseParser parserUntilEnd;
   std::string open = "HTTP/1.1 200 OK\r\n\r\nall";
-  EXPECT_EQ(toTheEnd.parse(open, StreamState::open), Progress::needsMore);
-  EXPECT_EQ(toTheEnd.parse(open, StreamState::ended), Progress::complete);
-  EXPECT_EQ(toTheEnd.body(open), "all");
+  EXPECT_EQ(parserUntilEnd.parse(open, StreamState::open), Progress::needsMore);
+  EXPECT_EQ(parserUntilEnd.parse(open, StreamState::ended), Progress::complete);
+  EXPECT_EQ(parserUntilEnd.body(open), "all");
 }
 
 TEST(HttpResponseParser, RejectsAMalformedResponse) {
--- a/tests/net/resp_parser_test.cpp
+++ b/tests/net/resp_parser_test.cpp
@@ -9,7 +9,7 @@
 
 #include "support/resp_commands.h"
 
-// Commands of clients are parsed from whatever bytes have arrived.
+// The parser with client commands that arrive in pieces or are malformed.
 namespace stonewing::testing {
 namespace {
 
