--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -10,7 +10,7 @@
 #include "settings/settings_reader.h"
 #include "support/loopback.h"
 
-// The discovery client meets responses that are slow, malformed, missing or from an old address.
+// The discovery client with responses that are slow, malformed, missing or from an old address.
 namespace stonewing::testing {
 namespace {
 
@@ -24,7 +24,7 @@
          "\r\n\r\n" + body;
 }
 
-// A whole list with one endpoint.
+// A response with a full list of one endpoint.
 std::string listResponse(int version, const std::string& state = "in_service",
                          const std::string& id = "s-1") {
   return httpResponse(200, R"({"version":)" + std::to_string(version) + R"(,"full":true,"servers":[{"id":")" +
@@ -33,18 +33,19 @@
 }
 
 struct Poll {
-  std::string requestLine;  // empty where none came
-  Millis after;             // milliseconds until it came
+  std::string requestLine;  // empty if no poll came in time
+  Millis after;             // milliseconds until it came, or of the wait
 };
 
-// A DiscoveryClient alone, on an event loop that the test turns, and a discovery that the test plays.
+// A DiscoveryClient without a dispatcher, on an event loop whose turns the test runs. The test acts as
+// discovery.
 struct DiscoveryHarness {
   NameTables names = readNameTables(kSettings);
   EventLoop loop;
   DispatchPolicy policy{readDeploymentSettings(kSettings), 7};
   int backlog;
   int listener = listenOnLoopback(0, backlog);
-  int connection = -1;  // from the client, the latest
+  int connection = -1;  // the latest one from the client
   std::string received;
   DiscoveryClient client{
       loop, policy, names, *parseAddress("127.0.0.1:" + std::to_string(localPort(listener))), "d", 1};
@@ -62,7 +63,7 @@
     client.onTick();
   }
 
-  // The next request, waiting for at most that many milliseconds.
+  // Waits at most `timeout` milliseconds for the next request.
   Poll nextPoll(Millis timeout) {
     Millis began = loop.now();
     Poll poll;
@@ -98,7 +99,8 @@
   }
 };
 
-// A response that trickles must not be waited for as long as a whole watch, or for ever.
+// The wait for a response that arrives byte by byte must not last as long as a whole watch, or for
+// ever.
 TEST(DiscoveryClient, PollsAgainWhenAResponseTrickles) {
   DiscoveryHarness harness;
   ASSERT_NE(harness.nextPoll(500).requestLine, "");
@@ -113,27 +115,27 @@
   ::close(first);
 }
 
-// Nor may a connection that is never established be waited for as long.
+// The wait for a connection that is not established must not last as long as a whole watch.
 TEST(DiscoveryClient, PollsAgainWhenAConnectionIsNotEstablished) {
   DiscoveryHarness harness{0};
-  int full = connectToLoopback(localPort(harness.listener));  // its backlog
+  int full = connectToLoopback(localPort(harness.listener));  // fills the listener's backlog
   Millis began = harness.loop.now();
   while (harness.loop.now() - began < 1200) harness.turn();
-  ::close(::accept(harness.listener, nullptr, nullptr));  // it can be reached from now on
+  ::close(::accept(harness.listener, nullptr, nullptr));  // discovery can be reached from now on
   ::close(full);
   EXPECT_NE(harness.nextPoll(3000).requestLine, "");
   EXPECT_LT(harness.loop.now() - began, 2300);
 }
 
-// A change at an overloaded discovery counts as notified 6 s later, whatever backoff it asks for.
+// A change must reach the dispatcher within 6 s even if discovery is overloaded and rejects polls.
 TEST(DiscoveryClient, PollsInTimeForAChangeAfterRejectionsAndSilence) {
   DiscoveryHarness harness;
   Poll poll;
   ASSERT_NE(harness.nextPoll(500).requestLine, "");
   harness.respond(listResponse(1));
-  std::string watch = harness.nextPoll(500).requestLine;
-  ASSERT_NE(watch.find("since=1"), std::string::npos) << watch;
-  Millis silentSince = harness.loop.now();  // a change from here on
+  std::string watchRequest = harness.nextPoll(500).requestLine;
+  ASSERT_NE(watchRequest.find("since=1"), std::string::npos) << watchRequest;
+  Millis silentSince = harness.loop.now();  // a change may happen from here on
   ASSERT_NE((poll = harness.nextPoll(3500)).requestLine, "");
   EXPECT_LT(poll.after, 2800);
   for (int n = 0; n < 3; ++n) {
@@ -141,7 +143,7 @@
     poll = harness.nextPoll(6000);
     ASSERT_NE(poll.requestLine, "");
     EXPECT_LE(poll.after, 2800);
-    EXPECT_GE(poll.after, 800);  // hundreds that were rejected together poll spread over time
+    EXPECT_GE(poll.after, 800);  // polls of hundreds of rejected clients must be spread over time
     EXPECT_NE(poll.requestLine.find("timeout_ms=2000"), std::string::npos) << poll.requestLine;
     if (n == 0) {
       EXPECT_LT(harness.loop.now() - silentSince, 5800);
@@ -153,8 +155,8 @@
   EXPECT_TRUE(harness.isReady("s-2") && !harness.isReady("s-1"));
 }
 
-// Discovery moves while a poll is pending, rejected or in backoff: the whole list is asked for at once at
-// the new address, and what the old one still says is ignored.
+// The address of discovery changes while a poll is pending, has been rejected or is in backoff. The full list
+// must be polled at once at the new address, and a late response from the old address must be ignored.
 TEST(DiscoveryClient, AsksTheNewAddressForTheWholeListWhenDiscoveryMoves) {
   for (int phase = 0; phase < 3; ++phase) {
     DiscoveryHarness harness;
@@ -168,20 +170,20 @@
     std::swap(next, harness.listener);
     harness.client.changeAddress(*parseAddress("127.0.0.1:" + std::to_string(localPort(harness.listener))),
                                  "d");
-    int before = std::exchange(harness.connection, -1);
-    sendBytes(before, listResponse(9, "in_service", "old"));
+    int oldConnection = std::exchange(harness.connection, -1);
+    sendBytes(oldConnection, listResponse(9, "in_service", "old"));
     Poll poll = harness.nextPoll(1000);
     EXPECT_TRUE(poll.requestLine.starts_with("GET /catalog/members HTTP")) << phase << poll.requestLine;
     EXPECT_LT(poll.after, 100);
     harness.respond(listResponse(3, "in_service", "new"));
     ASSERT_NE(harness.nextPoll(500).requestLine, "");
     EXPECT_TRUE(harness.isReady("new") && !harness.isReady("old"));
-    ::close(before);
+    ::close(oldConnection);
     ::close(next);
   }
 }
 
-// A response that ends half-way, is no list or has an entry that cannot be read changes nothing.
+// A response that ends early, is no list or has only an unreadable entry must not change the endpoints.
 TEST(DiscoveryClient, KeepsItsListWhenAResponseIsMalformed) {
   DiscoveryHarness harness;
   ASSERT_NE(harness.nextPoll(500).requestLine, "");
@@ -193,7 +195,8 @@
     harness.respond(malformed);
     if (!malformed.ends_with("}")) ::shutdown(harness.connection, SHUT_WR);
     Poll poll = harness.nextPoll(2500);
-    // Of one that broke off nothing is known; one with impossible content is not continued from.
+    // After a response that ended early the last version is still valid; after one with malformed content the
+    // full list is polled.
     bool brokeOff = !malformed.ends_with("}") && !malformed.ends_with("\r\n\r\n");
     EXPECT_TRUE(poll.requestLine.starts_with(brokeOff ? "GET /catalog/members?since=1&"
                                                       : "GET /catalog/members HTTP"))
@@ -203,8 +206,8 @@
   }
 }
 
-// An entry that is malformed, or of a zone that the settings do not name, must not keep the rest from being
-// applied for as long as it is in the list.
+// An entry that is malformed, or of a zone that the settings do not name, must not prevent the other entries
+// from being applied for as long as it is in the list.
 TEST(DiscoveryClient, AppliesTheOtherEntriesWhenOneCannotBeUsed) {
   auto entry = [](const std::string& id, const std::string& state, const std::string& zone = "a") {
     return R"({"id":")" + id + R"(","addr":"127.0.0.1:9","zone":")" + zone +
@@ -218,7 +221,8 @@
   ASSERT_NE(harness.nextPoll(500).requestLine, "");
   harness.respond(list(1, true, entry("s-1", "in_service") + "," + entry("s-2", "in_service")));
   ASSERT_TRUE(harness.nextPoll(500).requestLine.starts_with("GET /catalog/members?since=1&"));
-  // Changes: what can be read is applied, a drain among it; for the rest the whole list is asked for.
+  // A list of changes: readable parts are applied, including a drain, and the full list is polled for the
+  // others.
   harness.respond(list(2, false,
                        R"({"id":"s-1","state":"in_service","cell":"x"},5,)" +
                            entry("s-2", "terminating", "new") + "," + entry("s-3", "in_service")));
@@ -226,15 +230,16 @@
   EXPECT_TRUE((poll = harness.nextPoll(500)).requestLine.starts_with("GET /catalog/members HTTP"));
   EXPECT_LT(poll.after, 200);
   EXPECT_TRUE(harness.isReady("s-1") && !harness.isReady("s-2") && harness.isReady("s-3"));
-  // The whole list has such entries too: then nothing better is to be had, and it is continued from.
+  // The full list has unusable entries too: it is accepted all the same, and changes are polled since its
+  // version.
   harness.respond(list(3, true,
                        entry("s-1", "in_service", "new") + "," + entry("s-4", "in_service", "new") + "," +
                            entry("s-5", "in_service")));
   EXPECT_TRUE(harness.nextPoll(500).requestLine.starts_with("GET /catalog/members?since=3&"));
   EXPECT_TRUE(harness.isReady("s-1") && !harness.isReady("s-3") && !harness.isReady("s-4") &&
               harness.isReady("s-5"));
-  // A later change with one is asked for again; and an entry that was malformed once is applied when it is
-  // right.
+  // Unusable entries in a later list of changes again lead to a poll of the full list. An entry that was
+  // malformed before is applied once it is correct.
   harness.respond(list(4, false, entry("s-5", "terminating", "new") + "," + entry("s-6", "no-such-state")));
   EXPECT_TRUE(harness.nextPoll(500).requestLine.starts_with("GET /catalog/members HTTP"));
   EXPECT_FALSE(harness.isReady("s-5"));
--- a/tests/discovery/endpoint_list_test.cpp
+++ b/tests/discovery/endpoint_list_test.cpp
@@ -12,11 +12,11 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// A whole dispatcher and a discovery that fails, rejects it or sends long lists.
+// A dispatcher process with a discovery that fails, rejects polls or sends long lists.
 namespace stonewing::testing {
 namespace {
 
-// A list that cannot be read must not replace one that can.
+// A malformed list must not replace the endpoints of the list before it.
 TEST(EndpointList, StaysAndIsAskedForAgainWhenResponsesAreMalformed) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
   std::vector<std::string> lists{
@@ -38,8 +38,9 @@
   EXPECT_TRUE(eventually(1000, [&] { return endpoint.requests().size() == 1; }));
 }
 
-// No buffer and no index may be made for the endpoints of one deployment. 1,024 of them, in lists indented
-// for human readers, are read from the configuration and from discovery, and each is reached.
+// Guards against buffers and indexes that are sized for a small deployment. Lists of 1,024 endpoints in
+// indented JSON are read from the configuration and from discovery, and requests reach a sample of the
+// endpoints.
 TEST(EndpointList, MayHoldAThousandEndpointsInIndentedJson) {
   constexpr int kEndpointCount = 1024;
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
@@ -59,35 +60,35 @@
     }
     return list.dump(8);
   };
-  std::string wholeList = listOf("new-", 2);
-  std::atomic<bool> polled{false};
+  std::string fullList = listOf("new-", 2);
+  std::atomic<bool> hasSentList{false};
   HttpServerStub platform([&](const std::string& head, const std::string& body) -> std::string {
-    if (!head.starts_with("GET") || polled.exchange(true)) return confirmNotifications(head, body);
-    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(wholeList.size()) + "\r\n\r\n" + wholeList;
+    if (!head.starts_with("GET") || hasSentList.exchange(true)) return confirmNotifications(head, body);
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(fullList.size()) + "\r\n\r\n" + fullList;
   });
   DispatcherProcess dispatcher(kDispatcherSettings,
                                nlohmann::json::parse(listOf("known-", 1)).at("servers").dump(8),
                                platform.address(), R"({"sockets":512,"disk_mb":3})");
   ASSERT_TRUE(dispatcher.start());
-  auto serves = [&](int first) {
+  auto expectService = [&](int first) {
     for (int n = first; n < kEndpointCount; n += 100) {
       std::string reference = "r" + std::to_string(n);
       std::string submission = submitCommand(reference, "c=order,d=8000,dest=" + std::to_string(n));
-      // -BUSY while the turn that reads the list is long: its client submits again.
+      // The reply is -BUSY while the turn that reads the list takes long; a client then submits again.
       EXPECT_TRUE(eventually(3000, [&] { return dispatcher.request(submission) == "+OK\r\n"; })) << n;
       EXPECT_TRUE(eventually(3000, [&] {
         return endpoint.requestsContaining("X-Request-Id: " + reference + "\r\n") == 1;
       })) << n;
     }
   };
-  serves(23);  // by the configuration: discovery has not responded yet
+  expectService(23);  // with the list of the configuration: discovery has not responded yet
   platform.start();
   ASSERT_TRUE(eventually(5000, [&] { return platform.requestsContaining("since=2") > 0; }));
-  serves(1);
+  expectService(1);
 }
 
-// Hundreds of dispatchers that start at once overload discovery. Asked again at once, for whole lists, it
-// would stay overloaded.
+// Hundreds of dispatchers that start at once overload discovery. If they polled again at once, or for
+// full lists, discovery would stay overloaded.
 TEST(EndpointList, IsAskedForRarelyAndByChangesWhenDiscoveryRejects) {
   HttpServerStub platform([](const std::string& head, const std::string& body) -> std::string {
     if (head.starts_with("GET /catalog")) return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
