--- a/src/adapter/instance_host.cpp
+++ b/src/adapter/instance_host.cpp
@@ -13,20 +13,20 @@
 namespace stonewing {
 namespace {
 
-// The fields of a load report that the policy reads, as the settings name them.
+// The names that the settings give to the fields of a load report that the policy reads.
 constexpr const char* kRateLimitField = "x1";
 constexpr const char* kRemainingShareField = "x0";
 
-std::optional<std::size_t> placeOf(const std::vector<std::string>& fields, const char* field) {
+std::optional<std::size_t> indexOf(const std::vector<std::string>& fields, const char* field) {
   auto found = std::find(fields.begin(), fields.end(), field);
   if (found == fields.end()) return std::nullopt;
   return static_cast<std::size_t>(found - fields.begin());
 }
 
-// The value at a place; absent where the report has none there or it is no number.
-std::optional<double> valueAt(const wire::LoadReportValues& values, std::optional<std::size_t> place) {
-  if (!place || *place >= values.size() || !std::isfinite(values[*place])) return std::nullopt;
-  return values[*place];
+// The value at `index`; none if the report has no value there or the value is not finite.
+std::optional<double> valueAt(const wire::LoadReportValues& values, std::optional<std::size_t> index) {
+  if (!index || *index >= values.size() || !std::isfinite(values[*index])) return std::nullopt;
+  return values[*index];
 }
 
 }  // namespace
@@ -60,8 +60,8 @@
 
 LoadReport InstanceHost::loadReportOf(const Instance& instance, const wire::LoadReportValues& values) {
   LoadReport report;
-  if (auto rateLimit = valueAt(values, instance.rateLimitPlace)) report.rateLimit = *rateLimit;
-  if (auto remaining = valueAt(values, instance.remainingSharePlace)) report.remainingShare = *remaining;
+  if (auto rateLimit = valueAt(values, instance.rateLimitIndex)) report.rateLimit = *rateLimit;
+  if (auto remaining = valueAt(values, instance.remainingShareIndex)) report.remainingShare = *remaining;
   return report;
 }
 
@@ -69,8 +69,8 @@
   Instance created;
   created.policy = std::make_unique<DispatchPolicy>(readDeploymentSettings(event.settings), event.seed);
   const auto fields = readNameTables(event.settings).loadReportFields;
-  created.rateLimitPlace = placeOf(fields, kRateLimitField);
-  created.remainingSharePlace = placeOf(fields, kRemainingShareField);
+  created.rateLimitIndex = indexOf(fields, kRateLimitField);
+  created.remainingShareIndex = indexOf(fields, kRemainingShareField);
   instancesByNumber_.insert_or_assign(event.instance, std::move(created));
   std::erase(instancesInBatch_, event.instance);
   beginRound(event.instance);
@@ -128,16 +128,17 @@
   const Instance* instance = beginRound(event.instance);
   if (event.form == wire::EndpointListForm::failed) return;
   if (event.page >= endpointLists_.size() || !endpointLists_[event.page]) {
-    throw ProtocolError("list " + std::to_string(event.page) + " was never sent");
+    throw ProtocolError("endpoint list " + std::to_string(event.page) +
+                        " is shown, but no record with its endpoints was received");
   }
   if (instance == nullptr) return;
-  const bool isWhole = event.form != wire::EndpointListForm::changes;
+  const bool isFullList = event.form != wire::EndpointListForm::changes;
   runGuarded(event.instance, [&](DispatchPolicy& policy) {
     policy.beginEndpointList();
     for (const wire::EndpointListRow& row : *endpointLists_[event.page]) {
       policy.addEndpoint(row.endpoint, row.destination, row.kind, row.zone, row.weight, row.state);
     }
-    policy.commitEndpointList(isWhole);
+    policy.commitEndpointList(isFullList);
   });
 }
 
@@ -149,7 +150,7 @@
   for (std::uint32_t record = 0; record < recordCount; ++record) {
     std::visit([this](const auto& event) { handle(event); }, reader.next());
   }
-  if (!reader.isAtEnd()) throw ProtocolError("bytes are left over behind the last record");
+  if (!reader.isAtEnd()) throw ProtocolError("the batch body has more bytes than its records");
   for (std::uint32_t number : instancesInBatch_) {
     runGuarded(number, [&](DispatchPolicy& policy) {
       while (auto decision = policy.nextDecision()) reply_.write(number, *decision);
--- a/src/adapter/instance_host.h
+++ b/src/adapter/instance_host.h
@@ -16,25 +16,25 @@
 
 namespace stonewing {
 
-// Hosts the policies of all instances of one simulator process: feeds each the events of a batch, then pulls
-// its decisions. Instances share nothing but the numbered endpoint lists. Single-threaded.
+// Hosts the policies of all instances of one simulator process: passes each policy the events of a batch,
+// then collects its decisions. Instances share only the numbered endpoint lists. Single-threaded.
 class InstanceHost {
  public:
-  // Handles the records behind a batch's header and returns the reply. Throws ParseError or ProtocolError
-  // where the batch cannot be read. An exception of one instance's policy ends that instance alone and is
-  // written as its failure.
+  // Handles the records that follow a batch's header and returns the reply. Throws ParseError or
+  // ProtocolError if the batch cannot be read. An exception of one instance's policy ends only that instance
+  // and is reported in the reply as its failure.
   std::string handleBatch(std::uint32_t batchNumber, std::uint32_t recordCount, double clockSeconds,
                           std::string_view body);
 
  private:
   struct Instance {
     std::unique_ptr<DispatchPolicy> policy;
-    std::optional<std::size_t> rateLimitPlace;  // of the reported rate limit among a load report's values
-    std::optional<std::size_t> remainingSharePlace;  // and of the share of it that remains
+    std::optional<std::size_t> rateLimitIndex;       // of the rate limit among a load report's values
+    std::optional<std::size_t> remainingShareIndex;  // of the share of it that remains
     bool hasFailed{false};
   };
 
-  // One handler for each type of event.
+  // Each handles one type of event.
   void handle(const wire::InstanceCreated& event);
   void handle(const wire::InstanceStopped& event);
   void handle(const wire::TimerFired& event);
@@ -47,20 +47,21 @@
   void handle(const wire::EndpointListPage& event);
   void handle(const wire::EndpointListShown& event);
 
-  // The instance of that number, its round of this batch begun; null where there is none.
+  // Begins the instance's round, if this batch has not begun it yet, and returns the instance; null if there
+  // is none with that number.
   Instance* beginRound(std::uint32_t number);
-  // Begins the instance's round and runs the input on its policy, unless it is unknown or has failed.
+  // Begins the instance's round and runs `input` on its policy, unless the instance is unknown or has failed.
   template <class Input>
   void apply(std::uint32_t number, Input input);
-  // Runs a step on the policy; what it throws becomes the instance's failure.
+  // Runs `step` on the policy. An exception of it is reported as the instance's failure.
   template <class Step>
   void runGuarded(std::uint32_t number, Step step);
   static LoadReport loadReportOf(const Instance& instance, const wire::LoadReportValues& values);
 
   std::map<std::uint32_t, Instance> instancesByNumber_;
   std::array<std::optional<std::vector<wire::EndpointListRow>>, wire::kEndpointListPages> endpointLists_;
-  std::vector<std::uint32_t> instancesInBatch_;  // in the order of their first event; replies keep that order
-  Millis now_{};                                 // the simulator's clock at this batch
+  std::vector<std::uint32_t> instancesInBatch_;  // in the order of their first event and of the reply
+  Millis now_{};                                 // the simulator's time of this batch
   wire::Writer reply_;
 };
 
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,5 +1,5 @@
-// The simulator's adapter: batches of events on standard input, a reply to each on standard output, until the
-// input ends. Exit code 1: the reply could not be written; 2: a batch could not be read.
+// The simulator's adapter: reads batches of events from standard input and writes a reply to each to standard
+// output, until the input ends. Exit code 1: a reply could not be written; 2: a batch could not be read.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -16,27 +16,30 @@
 using stonewing::ProtocolError;
 
 constexpr std::uint32_t kMaxBodyBytes = 1u << 30;
-constexpr std::size_t kChunkBytes = 1u << 20;  // memory grows with what has come, not with what is announced
+// Read at a time. Memory for a body grows only as its bytes arrive, and is not allocated for the announced
+// length at once.
+constexpr std::size_t kChunkBytes = 1u << 20;
 
-std::size_t readSome(char* to, std::size_t size) { return std::fread(to, 1, size, stdin); }
+std::size_t readBytes(char* to, std::size_t size) { return std::fread(to, 1, size, stdin); }
 
-// The next header; none where the input ends before its first byte.
+// Reads the next header; none if the input has ended before its first byte.
 std::optional<stonewing::wire::BatchHeader> readHeader() {
   std::string bytes(stonewing::wire::kHeaderBytes, '\0');
-  const std::size_t got = readSome(bytes.data(), bytes.size());
-  if (got == 0) return std::nullopt;
-  if (got < bytes.size()) throw ProtocolError("the input ends inside a header");
+  const std::size_t bytesRead = readBytes(bytes.data(), bytes.size());
+  if (bytesRead == 0) return std::nullopt;
+  if (bytesRead < bytes.size()) throw ProtocolError("the input ended inside the header of a batch");
   return stonewing::wire::readHeader(bytes);
 }
 
 std::string readBody(std::uint32_t size) {
-  if (size > kMaxBodyBytes) throw ProtocolError("a length of over 1 GiB");
+  if (size > kMaxBodyBytes) throw ProtocolError("the header states a body of more than 1 GiB, the limit");
   std::string body;
   while (body.size() < size) {
-    const std::size_t had = body.size();
-    const std::size_t chunk = std::min<std::size_t>(size - had, kChunkBytes);
-    body.resize(had + chunk);
-    if (readSome(body.data() + had, chunk) != chunk) throw ProtocolError("the input ends inside a body");
+    const std::size_t sizeBefore = body.size();
+    const std::size_t chunk = std::min<std::size_t>(size - sizeBefore, kChunkBytes);
+    body.resize(sizeBefore + chunk);
+    if (readBytes(body.data() + sizeBefore, chunk) != chunk)
+      throw ProtocolError("the input ended inside the body of the batch");
   }
   return body;
 }
--- a/src/adapter/wire_codes.h
+++ b/src/adapter/wire_codes.h
@@ -3,7 +3,8 @@
 #include <cstddef>
 #include <cstdint>
 
-// The numbers of the simulator's wire (WIRE): little-endian records, each with a code first.
+// The codes and sizes of the simulator's wire format (WIRE): little-endian records, each beginning with a
+// code.
 namespace stonewing::wire {
 
 // Records from the simulator.
@@ -35,7 +36,7 @@
 
 inline constexpr std::size_t kHeaderBytes = 20;        // of a batch of events
 inline constexpr std::size_t kEndpointBytes = 6;       // of an endpoint id: an address and a port
-inline constexpr std::size_t kEndpointListPages = 16;  // numbered lists that a process may hold
-inline constexpr double kMillisPerSecond = 1000.0;     // the wire counts in seconds
+inline constexpr std::size_t kEndpointListPages = 16;  // numbered lists that a process may store
+inline constexpr double kMillisPerSecond = 1000.0;     // the wire's times are in seconds
 
 }  // namespace stonewing::wire
--- a/src/adapter/wire_events.h
+++ b/src/adapter/wire_events.h
@@ -9,10 +9,11 @@
 #include "policy/attempt_outcome.h"
 #include "policy/endpoint_state.h"
 
-// What the simulator tells, one type a record. Times are milliseconds; the wire's seconds end in the reader.
+// The simulator's events, one type for each record. Times are in milliseconds; the reader converts the wire's
+// seconds.
 namespace stonewing::wire {
 
-// An instance begins, empty. The settings are the deployment's, as JSON text.
+// A new instance starts without any state. `settings`: the deployment's settings as JSON text.
 struct InstanceCreated {
   std::uint32_t instance{};
   std::uint64_t seed{};
@@ -23,18 +24,18 @@
   std::uint32_t instance{};
 };
 
-// The timer that the instance asked for has run out.
+// The timer that the instance has set has expired.
 struct TimerFired {
   std::uint32_t instance{};
 };
 
-// A client has gone; its message needs no answer any more.
+// A client has disconnected; its message needs no answer any more.
 struct ClientDisconnected {
   std::uint32_t instance{};
   MessageId message{};
 };
 
-// The first bytes of a response have come.
+// The first bytes of a response have arrived.
 struct ResponseStarted {
   std::uint32_t instance{};
   MessageId message{};
@@ -54,10 +55,10 @@
   TenantId tenant{};
   OrderingKey orderingKey{};
   DestinationId destination{};
-  Millis deadline{};  // of the simulator's clock
+  Millis deadline{};  // on the simulator's clock
 };
 
-// The values of a load report, in the order that the settings name; empty where none came.
+// The values of a load report, in the order of the settings' field names; empty if there was no report.
 using LoadReportValues = std::vector<double>;
 
 // An attempt has ended.
@@ -67,7 +68,7 @@
   int attempt{};
   AttemptOutcome outcome{};
   Millis elapsed{};
-  bool isFinal{};       // the message is over
+  bool isFinal{};       // the message is finished
   Millis retryAfter{};  // 0: none
   LoadReportValues loadReport;
 };
@@ -97,7 +98,7 @@
 
 enum class EndpointListForm : std::uint8_t { cached = 0, full = 1, failed = 2, changes = 3 };
 
-// An instance learns a numbered list, or that discovery has failed.
+// An instance receives a numbered list, or the report that discovery has failed.
 struct EndpointListShown {
   std::uint32_t instance{};
   EndpointListForm form{};
--- a/src/adapter/wire_reader.cpp
+++ b/src/adapter/wire_reader.cpp
@@ -21,7 +21,7 @@
     case 2:
       return EndpointState::draining;
     default:
-      throw ProtocolError("unknown phase " + std::to_string(code));
+      throw ProtocolError("field phase is not 0, 1 or 2: " + std::to_string(code));
   }
 }
 
@@ -44,13 +44,13 @@
     case 80:
       return AttemptOutcome::notSent;
     default:
-      throw ProtocolError("unknown completion code " + std::to_string(code));
+      throw ProtocolError("field ending is not 10, 20, 30, 40, 50, 60, 70 or 80: " + std::to_string(code));
   }
 }
 
 EndpointListForm endpointListFormOf(std::uint8_t code) {
   if (code > static_cast<std::uint8_t>(EndpointListForm::changes)) {
-    throw ProtocolError("unknown form of list " + std::to_string(code));
+    throw ProtocolError("field form is not 0, 1, 2 or 3: " + std::to_string(code));
   }
   return static_cast<EndpointListForm>(code);
 }
@@ -117,7 +117,7 @@
 LoadReportValues Reader::loadReport() {
   LoadReportValues values;
   const auto count = bytes_.get<std::uint8_t>("load");
-  for (std::size_t place = 0; place < count; ++place) values.push_back(bytes_.get<float>("load"));
+  for (std::size_t index = 0; index < count; ++index) values.push_back(bytes_.get<float>("load"));
   return values;
 }
 
@@ -137,7 +137,7 @@
   EndpointListPage list;
   list.page = bytes_.get<std::uint8_t>("page");
   if (list.page >= kEndpointListPages) {
-    throw ProtocolError("list number " + std::to_string(list.page) + " is above 15");
+    throw ProtocolError("field page is " + std::to_string(list.page) + ", above the limit of 15");
   }
   const auto count = bytes_.get<std::uint32_t>("records");
   for (std::uint32_t row = 0; row < count; ++row) list.rows.push_back(endpointListRow());
@@ -194,7 +194,8 @@
   bytes_.get<double>("expected-s");
   const double destination = requireFinite(bytes_.get<float>("dest"), "dest");
   bytes_.get<std::uint8_t>("bits");
-  if (destination < 0 || destination > kLargestDestination) throw ProtocolError("dest is out of range");
+  if (destination < 0 || destination > kLargestDestination)
+    throw ProtocolError("field dest is not in 0..65535");
   submitted.destination = DestinationId{static_cast<std::uint16_t>(destination)};
   return submitted;
 }
@@ -209,7 +210,7 @@
   completed.elapsed = millisFromSeconds("spent-s");
   completed.isFinal = bytes_.get<std::uint8_t>("terminal") != 0;
   const Millis holdMillis = bytes_.get<std::uint32_t>("hold-ms");
-  // With the other outcomes the field is no time.
+  // For other outcomes the field is not a time.
   completed.retryAfter = completed.outcome == AttemptOutcome::rejected ? holdMillis : 0;
   completed.loadReport = loadReport();
   return completed;
--- a/src/adapter/wire_reader.h
+++ b/src/adapter/wire_reader.h
@@ -8,7 +8,7 @@
 
 namespace stonewing::wire {
 
-// The head of a batch of events.
+// The header of a batch of events.
 struct BatchHeader {
   std::uint32_t number{};
   std::uint32_t bodyBytes{};
@@ -19,7 +19,7 @@
 // Reads a header of kHeaderBytes.
 BatchHeader readHeader(std::string_view bytes);
 
-// Returns the value, or throws ProtocolError naming the field where it is no finite number.
+// Returns the value. Throws ProtocolError, whose text names the field, if the value is not a finite number.
 double requireFinite(double value, const char* field);
 
 // Reads the records of one batch in order. The bytes must outlive the reader.
@@ -27,7 +27,8 @@
  public:
   explicit Reader(std::string_view body) : bytes_(body) {}
 
-  // Throws ParseError where the bytes end inside a record, ProtocolError where a field has no meaning.
+  // Reads the next record. Throws ParseError if the bytes end inside it, ProtocolError if a field has a value
+  // that is not allowed.
   Event next();
   bool isAtEnd() const { return bytes_.atEnd(); }
 
--- a/src/adapter/wire_writer.cpp
+++ b/src/adapter/wire_writer.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxFailureBytes = 0xffff;  // the length is a 16-bit number
-constexpr std::uint64_t kTimerLabel = 0;          // there is one timer an instance
+constexpr std::size_t kMaxFailureBytes = 0xffff;  // the wire's length field has 16 bits
+constexpr std::uint64_t kTimerLabel = 0;          // each instance has only one timer
 
 }  // namespace
 
--- a/src/adapter/wire_writer.h
+++ b/src/adapter/wire_writer.h
@@ -11,14 +11,14 @@
 
 namespace stonewing::wire {
 
-// Gathers the records of one reply to the simulator.
+// Collects the records of one reply to the simulator.
 class Writer {
  public:
   // Appends the record of one decision of an instance.
   void write(std::uint32_t instance, const Decision& decision);
-  // Appends what ended an instance; at most 65,535 bytes of the text go out.
+  // Appends the error text that ended an instance; at most 65,535 bytes of it are written.
   void writeFailure(std::uint32_t instance, std::string_view text);
-  // The whole reply to the batch of that number. The writer is empty afterwards.
+  // Returns the whole reply to the batch of that number and empties the writer.
   std::string takeFrame(std::uint32_t batchNumber);
 
  private:
--- a/tests/adapter/instance_host_test.cpp
+++ b/tests/adapter/instance_host_test.cpp
@@ -8,7 +8,7 @@
 
 #include "base/errors.h"
 
-// The simulator's wire: frames of packed records in, frames of decisions out.
+// The simulator's wire: the host reads frames of packed event records and returns frames of decisions.
 namespace stonewing::testing {
 namespace {
 
@@ -30,7 +30,7 @@
          kSettings;
 }
 
-// A list of endpoints with one entry, which viewRecord shows to an instance.
+// A record with an endpoint list of one entry; viewRecord makes an instance receive the list.
 std::string endpointListRecord() {
   return packed(std::uint16_t{11}, std::uint8_t{0}, std::uint32_t{1}, std::uint32_t{0x0a0b0c0d},
                 std::uint16_t{8000}, std::uint8_t{0}, std::uint16_t{57}, std::uint8_t{0}, 0.0, 1.0f,
@@ -72,8 +72,9 @@
   };
   throws(1, createRecord(1).substr(0, 30), "facts");
   throws(1, packed(std::uint16_t{99}), "unknown record code 99");
-  throws(2, createRecord(1) + viewRecord(1), "never sent");
-  throws(0, std::string(3, 'x'), "left over");
+  throws(2, createRecord(1) + viewRecord(1),
+         "endpoint list 0 is shown, but no record with its endpoints was received");
+  throws(0, std::string(3, 'x'), "the batch body has more bytes than its records");
   throws(1, packed(std::uint16_t{6}), "who");
 }
 
