--- a/src/discovery/discovery_client.h
+++ b/src/discovery/discovery_client.h
@@ -43,7 +43,7 @@
   // an old list that the host passed to applyAnswer().
   bool hasAnswered() const { return hasAnswered_; }
 
-  // The following call the functions of the same names of EndpointDirectory.
+  // These functions forward to the endpoint directory.
   void addRecoveredEndpoints(const std::map<MessageId, StoredMessage>& messages) {
     directory_.addRecoveredEndpoints(messages);
   }
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -23,8 +23,8 @@
 };
 
 // Appends the bytes that have arrived on `fd` to `buffer`, until there are no more, the limit of one turn (64
-// KiB) is reached, or `buffer` holds `maxBytes`. With StreamEnd::notReported, the last read, which would only
-// find the socket empty, is saved.
+// KiB) is reached, or `buffer` holds `maxBytes`. StreamEnd::notReported saves the last read, which would only
+// find the socket empty.
 ReadResult readAvailable(int fd, std::string& buffer, std::size_t maxBytes,
                          StreamEnd streamEnd = StreamEnd::possible);
 
--- a/src/net/http_client_connection.cpp
+++ b/src/net/http_client_connection.cpp
@@ -89,7 +89,7 @@
 
 void HttpClientConnection::write() {
   if (unsent_.write(socket_.get()) != WriteBuffer::WriteResult::broken) return;
-  // A server may respond and close before it has read the whole request, so its response is read before the
+  // A server may respond, or close, before it has read the whole request, so its response is read before the
   // connection counts as broken.
   read(StreamEnd::possible);
   if (socket_.isOpen() && isBusy_) fail();
@@ -117,8 +117,8 @@
 HttpResponseParser::Progress HttpClientConnection::parseReceived(ReadResult result) {
   StreamState stream = result == ReadResult::endOfStream ? StreamState::ended : StreamState::open;
   HttpResponseParser::Progress progress = parser_.parse(received_, stream);
-  // A response that announces more bytes than allowed is rejected at once. Without this, gigabytes of it
-  // might be read first.
+  // A response may announce gigabytes and go on arriving, so it counts as malformed as soon as it announces
+  // more bytes than allowed.
   bool isTooLong = parser_.announcedLength() > maxResponseBytes_ ||
                    (result == ReadResult::more && received_.size() >= maxResponseBytes_);
   if (progress == HttpResponseParser::Progress::needsMore && isTooLong) {
--- a/src/net/http_client_connection.h
+++ b/src/net/http_client_connection.h
@@ -54,7 +54,7 @@
   }
 
   // Begins to connect. False: connecting failed at once, either because resources of this process are
-  // exhausted (isOutOfResources) or because the kernel rejected the address.
+  // exhausted (isOutOfResources) or because connect() reported an error.
   bool open(const sockaddr_in& address);
   // Whether the last open failed because no descriptor was free or the event loop could not register it.
   bool isOutOfResources() const { return isOutOfResources_; }
--- a/src/net/http_response_parser.h
+++ b/src/net/http_response_parser.h
@@ -7,7 +7,7 @@
 
 namespace stonewing {
 
-// Whether more bytes may come on a stream.
+// Whether more bytes may arrive on a stream.
 enum class StreamState { open, ended };
 
 // Parses one HTTP/1.x response that arrives in pieces. The body may have a Content-Length, be chunked, or end
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -77,7 +77,7 @@
 
   // The time (steady clock) by which the client must be active again, or its connection is ended.
   Millis inactivityDeadline() const { return lastActiveAt_ + allowedInactivity(); }
-  // When the client last began a command, or had one executed (steady clock).
+  // When the client last began a command, or its last command was executed (steady clock).
   Millis lastActiveAt() const { return lastActiveAt_; }
   // Milliseconds from lastActiveAt() to `now`.
   Millis idleFor(Millis now) const { return now - lastActiveAt_; }
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -33,8 +33,8 @@
 }
 
 struct Poll {
-  std::string requestLine;  // empty if no poll came in time
-  Millis after;             // milliseconds until it came, or of the wait
+  std::string requestLine;  // empty if no poll arrived in time
+  Millis after;             // milliseconds until the poll arrived, or of the wait for it
 };
 
 // A DiscoveryClient without a dispatcher, on an event loop whose turns the test runs. The test acts as
