--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -16,7 +16,8 @@
 namespace stonewing {
 namespace {
 
-// The thread's signal mask while it is started: signals are for the event loop's thread alone.
+// Blocks all signals on the current thread while it exists. A thread that is started meanwhile inherits the
+// mask, so that signals reach only the event loop's thread.
 class BlockedSignals {
  public:
   BlockedSignals() {
@@ -40,24 +41,24 @@
 
 }  // namespace
 
-// All that the owner's thread and the background thread have in common. The thread owns a part in it: at the
-// end of the process it may still hang in the kernel when the BackgroundWriter is gone already. `mutex`
-// guards every member below it, for both threads; `wakeUp` never changes after construction.
+// The state that the owner's thread and the background thread share. The background thread holds a shared_ptr
+// to it: at the end of the process the thread may still hang in the kernel after the BackgroundWriter was
+// destroyed. `mutex` guards every member below it; `wakeUp` never changes after construction.
 struct BackgroundWriter::Shared {
   const UniqueFd wakeUp = createEvent();
   std::condition_variable submitted;  // the owner notifies: work was set, or stopping
-  std::condition_variable finished;   // the thread notifies: busy has become false
+  std::condition_variable finished;   // the thread notifies: busy became false
 
   std::mutex mutex;
   std::function<void()> work;  // set by the owner, removed by the thread
   bool busy{false};            // set by the owner with the work, cleared by the thread after it
-  bool ownerGaveUp{false};     // set by the owner after a wait in vain, cleared by the thread
+  bool waitTimedOut{false};    // set by the owner when its wait timed out, cleared by the thread
   bool stopping{false};        // set by the owner's destructor
 
   void run();
 };
 
-// The background thread, until the owner is gone and no work is left.
+// The loop of the background thread. Returns once the owner is destroyed and no work is left.
 void BackgroundWriter::Shared::run() {
   std::unique_lock lock(mutex);
   for (;;) {
@@ -66,16 +67,16 @@
     std::function<void()> current = std::exchange(work, {});
     lock.unlock();
     current();
-    current = {};  // what it owned is gone before the owner may go on
+    current = {};  // destroys the objects of the work before the owner is notified
     lock.lock();
     busy = false;
     finished.notify_one();
-    if (std::exchange(ownerGaveUp, false)) ::eventfd_write(wakeUp.get(), 1);
+    if (std::exchange(waitTimedOut, false)) ::eventfd_write(wakeUp.get(), 1);
   }
 }
 
 BackgroundWriter::BackgroundWriter() : shared_(std::make_shared<Shared>()) {
-  BlockedSignals inheritedByTheThread;
+  BlockedSignals blockedForNewThread;
   std::thread([shared = shared_] { shared->run(); }).detach();
 }
 
@@ -96,7 +97,7 @@
   std::unique_lock lock(shared_->mutex);
   std::chrono::duration<double, std::milli> limit(timeout);
   if (shared_->finished.wait_for(lock, limit, [this] { return !shared_->busy; })) return true;
-  shared_->ownerGaveUp = true;
+  shared_->waitTimedOut = true;
   return false;
 }
 
--- a/src/storage/compaction_schedule.cpp
+++ b/src/storage/compaction_schedule.cpp
@@ -3,25 +3,26 @@
 namespace stonewing {
 namespace {
 
-// The part of maxBytes that a compaction must be able to gain, and that the journal must grow by after one
-// that failed. Without it a journal full of live messages would be written anew without end.
-constexpr std::size_t kWorthwhileDivisor = 16;
+// A compaction is worthwhile if it frees at least 1/16 of maxBytes; after a failed compaction the journal
+// must grow by as much before the next one. Without this minimum, a journal full of live messages would be
+// rewritten endlessly.
+constexpr std::size_t kMinGainDivisor = 16;
 
-// So many calls for an immediate compaction pass after one that gained nothing. Without this, each record for
-// which a full folder has no space would read through all messages in flight.
+// The number of requests for an immediate compaction that are skipped after one that freed no space. Without
+// this, each record that does not fit into a full folder would cause a pass over all messages in flight.
 constexpr int kImmediateToSkip = 64;
 
 }  // namespace
 
 bool CompactionSchedule::isDue(std::size_t journalBytes, std::size_t liveBytes) const {
-  std::size_t worthwhileBytes = maxBytes_ / kWorthwhileDivisor;
-  bool spaceRunsOut = journalBytes + 2 * liveBytes + 2 * worthwhileBytes > maxBytes_;
-  bool gainsEnough = journalBytes > liveBytes + worthwhileBytes;
+  std::size_t minGainBytes = maxBytes_ / kMinGainDivisor;
+  bool spaceRunsOut = journalBytes + 2 * liveBytes + 2 * minGainBytes > maxBytes_;
+  bool gainsEnough = journalBytes > liveBytes + minGainBytes;
   return journalBytes >= notBeforeBytes_ && spaceRunsOut && gainsEnough;
 }
 
 void CompactionSchedule::recordFailure(std::size_t journalBytes) {
-  notBeforeBytes_ = journalBytes + maxBytes_ / kWorthwhileDivisor;
+  notBeforeBytes_ = journalBytes + maxBytes_ / kMinGainDivisor;
 }
 
 bool CompactionSchedule::skipsImmediate() {
--- a/src/storage/compaction_schedule.h
+++ b/src/storage/compaction_schedule.h
@@ -4,27 +4,30 @@
 
 namespace stonewing {
 
-// Decides when the journal is to be compacted: before space runs out, where it gains something, and not again
-// at once after a compaction that failed. All sizes are in bytes. Owned by the MessageStore; used on one
-// thread.
+// Decides when the journal is to be compacted: before its space runs out, only if a compaction frees enough
+// space, and not again immediately after a failed compaction. All sizes are in bytes. Owned by the
+// MessageStore; used on one thread.
 class CompactionSchedule {
  public:
-  // `maxBytes` is the limit on the journal and the compacted file together.
+  // `maxBytes` is the limit on the total size of the journal and the compacted file.
   explicit CompactionSchedule(std::size_t maxBytes) : maxBytes_(maxBytes) {}
 
-  // Whether a compaction in steps should begin, for a journal of this size of which so much is live.
+  // Whether an incremental compaction should begin. `journalBytes` is the size of the journal, and
+  // `liveBytes` the part of it that a compaction must keep.
   bool isDue(std::size_t journalBytes, std::size_t liveBytes) const;
-  // A compaction failed while the journal had this size: none is due until it has grown noticeably.
+  // Records that a compaction failed while the journal had this size. None is due again until the journal has
+  // grown by a minimum.
   void recordFailure(std::size_t journalBytes);
 
-  // Whether the compaction that a lack of space calls for should be left out this time. Counts the call.
+  // Whether an immediate compaction, requested because a record does not fit, should be skipped. Each call
+  // counts as one request.
   bool skipsImmediate();
-  // An immediate compaction gained nothing: the next ones are left out.
+  // Records that an immediate compaction freed no space: the next requests are skipped.
   void recordUselessImmediate();
 
  private:
   std::size_t maxBytes_;
-  std::size_t notBeforeBytes_{0};  // size of the journal
+  std::size_t notBeforeBytes_{0};  // journal size below which no compaction is due
   int immediateToSkip_{0};
 };
 
--- a/src/storage/journal.cpp
+++ b/src/storage/journal.cpp
@@ -11,12 +11,11 @@
 namespace stonewing {
 namespace {
 
-// A buffer of up to this size is used again by the next commit; the one of a burst is given back.
+// The next commit reuses a buffer of up to this size; the larger buffer of a burst is freed.
 constexpr std::size_t kMaxReusedBufferBytes = 64 * 1024;
-// Limits on disk space count whole blocks, so that each of the two files may take up to one more than it
-// holds.
+// Disk limits count whole blocks, so each of the two files may occupy up to one block more than its size.
 constexpr std::size_t kDiskBlockBytes = 512;
-// How long one wait for a commit lasts before it is begun again.
+// The timeout of one wait for a commit; commit() repeats the wait until the commit has ended.
 constexpr Millis kCommitWaitMs = 1000;
 
 std::size_t usableBytes(std::size_t maxBytes) {
@@ -39,7 +38,7 @@
 }
 
 Journal::~Journal() {
-  // A write that hangs still uses the compacted file, which must keep its name for that.
+  // A write that hangs still uses the compacted file, which must not be removed before the write has ended.
   if (pendingWrite_ && !isWritten(0)) return;
   abandonCompaction();
 }
@@ -51,20 +50,21 @@
   writtenBytes_ = contents.readableBytes;
   std::size_t tornBytes = bytes.size() - contents.readableBytes;
   if (tornBytes > 0 && ::ftruncate(file_->get(), static_cast<off_t>(contents.readableBytes)) != 0) {
-    throw std::system_error(errno, std::generic_category(), "cannot cut the journal's torn tail");
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot truncate the incomplete record at the end of the journal");
   }
   return tornBytes;
 }
 
 bool Journal::append(std::string_view record) {
   bool isFirst = size() == 0;
-  std::size_t headBytes = isFirst ? kJournalHeadBytes : 0;
-  std::size_t sizeAfter = size() + headBytes + kJournalFrameBytes + record.size();
+  std::size_t headerBytes = isFirst ? kJournalHeaderBytes : 0;
+  std::size_t sizeAfter = size() + headerBytes + kJournalFrameBytes + record.size();
   if (sizeAfter > maxBytes_) return false;
-  // Accepted messages and their outcomes come before a compaction, which only saves space later. One that is
-  // being written at this moment cannot be given up.
+  // Accepted messages and their outcomes have priority over a compaction, which only saves space later. A
+  // compaction whose bytes are being written at this moment cannot be abandoned.
   if (sizeAfter + compaction_.size() > maxBytes_ && !pendingWrite_) abandonCompaction();
-  if (isFirst) collected_ = journalHead();
+  if (isFirst) collected_ = journalHeader();
   appendJournalFrame(collected_, version_, record);
   frameEnds_.push_back(collected_.size());
   return true;
@@ -83,7 +83,8 @@
   write.compactionPath = compaction_.path();
   write.compactionFrames = std::move(compactionFrames);
   if (installs) {
-    // Records written to the old file while the new one replaces it would be lost. They wait.
+    // Records written to the old file while the new file replaces it would be lost, so they wait for the next
+    // commit.
     write.install = JournalWrite::Install::yes;
   } else {
     write.frames = std::exchange(collected_, {});
@@ -104,7 +105,7 @@
   if (!pendingWrite_) return {};
   std::shared_ptr<JournalWrite> write = std::exchange(pendingWrite_, nullptr);
   if (write->failure) std::rethrow_exception(write->failure);
-  if (!writer_) writingTime_ += write->spent;  // a background thread holds nobody up
+  if (!writer_) writingTime_ += write->spent;  // a background thread does not block the calling thread
   writtenBytes_ = write->journalBytes;
   if (collected_.empty() && write->frames.capacity() <= kMaxReusedBufferBytes) {
     collected_ = std::move(write->frames);
@@ -129,7 +130,7 @@
 
 bool Journal::beginCompaction() {
   abandonCompaction();
-  return compaction_.open() && appendToCompaction(journalHead());
+  return compaction_.open() && appendToCompaction(journalHeader());
 }
 
 bool Journal::appendToCompaction(std::string_view frames) {
@@ -159,8 +160,9 @@
     compaction_.requestInstall();
     return true;
   }
-  // Records are framed in the version of the file that they go to. With the replacement of a file of the
-  // first version this changes, so that none may be collected meanwhile: it is done at once.
+  // Records are framed in the version of the file that they are appended to, and replacing a file of the
+  // first version changes that version. No record may be collected in between, so the replacement happens at
+  // once.
   commit();
   return isCompacting() && installNow();
 }
@@ -175,7 +177,7 @@
   return true;
 }
 
-// The file that was just renamed becomes the one that commits go to.
+// Makes the compacted file, which now has the journal's name, the target of commits.
 void Journal::adoptCompactedFile() {
   writtenBytes_ = compaction_.size();
   file_ = compaction_.takeInstalled();
--- a/src/storage/journal_format.h
+++ b/src/storage/journal_format.h
@@ -6,38 +6,38 @@
 #include <string>
 #include <string_view>
 
-// The bytes of a journal file. A file begins with a head: three letters and a version byte. After it come the
-// records, each in a frame: length (32 bits), check sum (32 bits), both little-endian, and the payload. A
-// file of the first version has no head, and its records have another check sum.
+// The format of a journal file. A file begins with a header: three letters and a version byte. The header is
+// followed by the records, each in a frame: payload length (32 bits), checksum (32 bits), both little-endian,
+// and the payload. A file of the first version has no header, and its records have another kind of checksum.
 namespace stonewing {
 
-// Values are the version byte of the head; a file of the first version has none.
+// The values are stored as the version byte of the header; a file of the first version has no header.
 enum class JournalVersion : std::uint8_t { first = 1, second = 2 };
 
-inline constexpr std::size_t kJournalHeadBytes = 4;
-inline constexpr std::size_t kJournalFrameBytes = 8;  // of a frame, without its payload
+inline constexpr std::size_t kJournalHeaderBytes = 4;
+inline constexpr std::size_t kJournalFrameBytes = 8;  // of a frame without its payload
 
-// The head of a file of the version that new files have.
-std::string journalHead();
-// Whether `bytes` begin as a file with a head does. No record is so long that its length could be taken for
-// one.
-bool beginsWithJournalHead(std::string_view bytes);
+// The header of a file of the version that new files have.
+std::string journalHeader();
+// Whether `bytes` begin with the letters of a header. The length field of a first-version frame cannot be
+// mistaken for these letters: no record is so long.
+bool beginsWithJournalHeader(std::string_view bytes);
 
 // Appends one record in its frame to `destination`.
 void appendJournalFrame(std::string& destination, JournalVersion version, std::string_view record);
 
-// Reads a file from its present position to its end. Throws std::system_error where it cannot.
+// Reads a file from its current position to its end. Throws std::system_error if a read fails.
 std::string readWholeFile(int descriptor);
 
-// What was found in a journal file.
+// The result of scanning a journal file.
 struct JournalContents {
-  JournalVersion version{JournalVersion::second};  // to go on with
-  std::size_t readableBytes{0};                    // head and whole records; what follows is a torn tail
+  JournalVersion version{JournalVersion::second};  // in which to append further records
+  std::size_t readableBytes{0};  // header and whole records; an incomplete record may follow
 };
 
-// Calls `visitRecord` for each whole record in `bytes`, in order, and stops at the first that is cut short or
-// does not match its check sum. The view is valid during the call only. Throws JournalError, naming `path`,
-// where the file has a version that this program does not know, before any record is visited.
+// Calls `visitRecord` for each whole record in `bytes`, in order, and stops at the first record that is cut
+// short or does not match its checksum. The view is valid during the call only. Throws JournalError with
+// `path` in its text, before any record is visited, if this program does not know the file's version.
 JournalContents scanJournal(std::string_view bytes, const std::string& path,
                             const std::function<void(std::string_view)>& visitRecord);
 
--- a/src/storage/journal_write.cpp
+++ b/src/storage/journal_write.cpp
@@ -36,38 +36,41 @@
     if (install == Install::no || compactionResult == WriteResult::failed) return;
     if (std::rename(compactionPath.c_str(), journalPath.c_str()) != 0) compactionResult = WriteResult::failed;
   } catch (...) {
-    // An exception must not leave the background thread; it is thrown again where the commit is finished.
+    // An exception must not leave the background thread. Journal::finishCommit() rethrows it.
     failure = std::current_exception();
   }
 }
 
 void JournalWrite::writeFrames() {
   if (frameEnds.empty() || writeOrTruncate(frames) == WriteResult::complete) return;
-  // There was no space for all of them. One by one some may fit: the record of a finished message is short,
-  // and lets the next compaction free space.
+  // There was no space for all frames. Single frames may still fit: the record of a finished message is
+  // short, and allows the next compaction to free space.
   std::size_t begin = 0;
-  for (std::size_t place = 0; place < frameEnds.size(); ++place) {
-    std::string_view frame = std::string_view(frames).substr(begin, frameEnds[place] - begin);
-    begin = frameEnds[place];
-    if (writeOrTruncate(frame) == WriteResult::failed) lostFrames.push_back(place);
+  for (std::size_t index = 0; index < frameEnds.size(); ++index) {
+    std::string_view frame = std::string_view(frames).substr(begin, frameEnds[index] - begin);
+    begin = frameEnds[index];
+    if (writeOrTruncate(frame) == WriteResult::failed) lostFrames.push_back(index);
   }
 }
 
-// Writes one part whole or leaves the file as it was: half a record would hide all later ones from replay.
+// Writes `part` completely or leaves the file unchanged: replay stops at a partially written record and would
+// not find any later record.
 WriteResult JournalWrite::writeOrTruncate(std::string_view part) {
-  // The head precedes the first frame that is written, whichever that is.
-  bool needsHead = journalBytes == 0 && !beginsWithJournalHead(part);
-  std::string partWithHead;
-  if (needsHead) {
-    partWithHead = journalHead().append(part);
-    part = partWithHead;
+  // The header must precede the first frame in the file, even if the frame that was to carry it could not be
+  // written.
+  bool needsHeader = journalBytes == 0 && !beginsWithJournalHeader(part);
+  std::string partWithHeader;
+  if (needsHeader) {
+    partWithHeader = journalHeader().append(part);
+    part = partWithHeader;
   }
   if (writeTimed(journal, part) == WriteResult::complete) {
     journalBytes += part.size();
     return WriteResult::complete;
   }
   if (::ftruncate(journal->get(), static_cast<off_t>(journalBytes)) != 0) {
-    throw std::system_error(errno, std::generic_category(), "cannot take back a record half written");
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot truncate a partially written record at the end of the journal");
   }
   return WriteResult::failed;
 }
