--- a/src/storage/live_messages.cpp
+++ b/src/storage/live_messages.cpp
@@ -8,10 +8,10 @@
 namespace stonewing {
 namespace {
 
-// Journal space reserved for the attempts and the outcome of each message in flight. Without it a journal
-// could fill up with accepted messages of which nothing more could be recorded.
+// Journal space reserved for the attempts and the outcome of each message in flight. Without this reserve,
+// the journal could fill up with accepted messages, and nothing more could be recorded for them.
 constexpr std::size_t kMessageReserveBytes = 1024;
-// The same for each pending notification: its record, and the one of its confirmation.
+// The same for each pending notification: space for its record and for the record of its confirmation.
 constexpr std::size_t kNotificationReserveBytes = 256;
 
 void appendMessage(std::string& frames, MessageId id, const StoredMessage& message) {
@@ -71,8 +71,8 @@
   chunk.nextId = from;
   auto message = messages_.lower_bound(from);
   auto notification = notifications_.lower_bound(from);
-  auto isLeft = [&] { return message != messages_.end() || notification != notifications_.end(); };
-  while (chunk.frames.size() < maxBytes && isLeft()) {
+  auto hasRemaining = [&] { return message != messages_.end() || notification != notifications_.end(); };
+  while (chunk.frames.size() < maxBytes && hasRemaining()) {
     bool isMessageNext = notification == notifications_.end() ||
                          (message != messages_.end() && message->first < notification->first);
     if (isMessageNext) {
@@ -85,7 +85,7 @@
       chunk.nextId = MessageId{id.value + 1};
     }
   }
-  if (isLeft()) chunk.remainder = CompactionChunk::Remainder::some;
+  if (hasRemaining()) chunk.remainder = CompactionChunk::Remainder::some;
   return chunk;
 }
 
--- a/src/storage/live_messages.h
+++ b/src/storage/live_messages.h
@@ -16,51 +16,52 @@
   enum class Remainder { none, some };
 
   std::string frames;  // for Journal::appendToCompaction()
-  MessageId nextId{};  // where the next chunk has to begin
+  MessageId nextId{};  // the id at which the next chunk begins
   Remainder remainder{Remainder::none};
 };
 
-// The messages in flight and the notifications that are pending: all that a compacted journal has to hold. A
-// message is in one of the two at most. Owned by the MessageStore, which journals each change; used on one
-// thread.
+// The messages in flight and the pending notifications: everything that a compacted journal has to hold. Each
+// message is either in flight, or has a pending notification, or neither. Owned by the MessageStore, which
+// journals each change; used on one thread.
 class LiveMessages {
  public:
-  // What `message` adds to liveBytes(): its record, and a reserve for what may still be journaled of it.
+  // The bytes that `message` adds to liveBytes(): its record, and a reserve for the records that may follow.
   static std::size_t bytesOf(const StoredMessage& message);
 
   // Adds a message in flight.
   void add(MessageId id, StoredMessage message);
-  // Removes a message in flight; false: there is none of this id.
+  // Removes a message in flight. Returns false if there is none with this id.
   bool remove(MessageId id);
-  // Null: no message of this id is in flight. The pointer stays valid until this message is removed, whatever
-  // happens to others: the container has stable nodes.
+  // Null if no message with this id is in flight. The pointer stays valid until this message is removed,
+  // whatever happens to other messages: the container has stable nodes.
   StoredMessage* find(MessageId id);
   const StoredMessage* find(MessageId id) const;
-  // Whether a message of this reference is in flight.
+  // Whether a message with this reference is in flight.
   bool contains(std::string_view reference) const;
   // The id of a message in flight; throws std::out_of_range for any other reference.
   MessageId idOf(const std::string& reference) const { return byReference_.at(reference); }
 
-  // Adds a pending notification, or replaces the one of this id.
+  // Adds a pending notification, or replaces the existing one with this id.
   void addNotification(MessageId id, OutcomeNotification notification);
-  // False: none of this id was pending.
+  // Removes a pending notification. Returns false if there is none with this id.
   bool removeNotification(MessageId id);
 
-  // Both in the order of ids. References to elements stay valid until that element is removed.
+  // Both are ordered by id. References to elements stay valid until that element is removed.
   const std::map<MessageId, StoredMessage>& messages() const { return messages_; }
   const std::map<MessageId, OutcomeNotification>& notifications() const { return notifications_; }
 
-  // Bytes that a compacted journal takes, and that what is live may still add to it.
+  // The size of a compacted journal in bytes, plus the reserve for further records of the live messages and
+  // notifications.
   std::size_t liveBytes() const;
-  // The records of all that is live from id `from` on, in the order of ids, until they have `maxBytes` or
-  // more.
+  // The records of all live messages and notifications from id `from` on, ordered by id. The chunk ends with
+  // the record that makes it `maxBytes` long or longer.
   CompactionChunk encodeChunk(MessageId from, std::size_t maxBytes) const;
 
  private:
   std::map<MessageId, StoredMessage> messages_;
   std::map<MessageId, OutcomeNotification> notifications_;
-  std::unordered_map<std::string, MessageId> byReference_;  // of messages_
-  std::size_t messageBytes_{0};                             // bytesOf() of all messages_
+  std::unordered_map<std::string, MessageId> byReference_;  // the ids of messages_
+  std::size_t messageBytes_{0};                             // sum of bytesOf() over messages_
 };
 
 }  // namespace stonewing
--- a/src/storage/message_store.cpp
+++ b/src/storage/message_store.cpp
@@ -10,9 +10,10 @@
 namespace stonewing {
 namespace {
 
-// One step of a compaction writes about so much. With more, a commit would hold the turn up noticeably.
+// Approximate number of bytes that one step of a compaction writes. With larger steps, a commit would delay
+// the turn noticeably.
 constexpr std::size_t kCompactionChunkBytes = 64 * 1024;
-// How long one wait for a commit lasts before it is begun again.
+// The timeout of one wait for a commit; the wait is repeated until the commit has ended.
 constexpr Millis kCommitWaitMs = 1000;
 
 }  // namespace
@@ -32,8 +33,6 @@
   return 2 * static_cast<double>(live_.liveBytes()) / static_cast<double>(journal_.maxBytes());
 }
 
-// Replay.
-
 std::size_t MessageStore::restore() {
   std::size_t tornBytes = journal_.replay([this](std::string_view record) {
     try {
@@ -48,7 +47,7 @@
 
 void MessageStore::replayRecord(std::string_view record) {
   MessageId id = decodeRecordHeader(record).message;
-  // Also of a record whose rest cannot be read: its id must not be given to another message.
+  // This also applies to a record whose body cannot be read: its id must not be given to another message.
   nextId_ = std::max(nextId_, id.value + 1);
   std::visit(Overloaded{
                  [&](AcceptedRecord&& accepted) { replayAccepted(id, accepted); },
@@ -72,8 +71,8 @@
     message.deadlineWall = record.deadlineWall;
     live_.add(id, std::move(message));
   } catch (const Error& problem) {
-    // The settings have changed since, and it cannot be delivered any more. The platform still has to hear of
-    // it.
+    // The settings have changed since the message was accepted, and it cannot be delivered any more. The
+    // platform must still be notified of its failure.
     log::error("message.undeliverable", {{"message", record.reference}, {"why", problem.what()}});
     live_.addNotification(id, {record.reference, FinalOutcome::failed, 0});
   }
@@ -90,13 +89,12 @@
   message->attempts[record.journaledAttempt].provablyNotExecuted = true;
 }
 
-// Changes.
-
 std::optional<MessageId> MessageStore::accept(StoredMessage message) {
   MessageId id{nextId_};
   std::string record = encodeAccepted(id, message);
   std::size_t liveBytes = LiveMessages::bytesOf(message);
-  // A compaction writes all that is live a second time, so that only half of the journal may be live.
+  // A compaction writes all live messages and notifications a second time, so they may take only half of the
+  // journal.
   if (2 * (live_.liveBytes() + liveBytes) > journal_.maxBytes()) return std::nullopt;
   if (!makeSpace(record.size() + kJournalFrameBytes + liveBytes)) return std::nullopt;
   if (!append(std::move(record), {RecordTag::accepted, id})) return std::nullopt;
@@ -110,15 +108,17 @@
   if (message == nullptr) return false;
   AttemptRecord attempt{endpoint, sentWall, false};
   std::string record = encodeAttempted(id, attempt);
-  // Space first: a compaction for it must not hold the attempt already, since its record follows after that.
+  // Space is made before the attempt is added: a compaction for this space must not include the attempt,
+  // since the record of the attempt is appended after it.
   makeSpace(record.size() + kJournalFrameBytes);
-  // Making space may commit, and a commit that a full disk cut short removes messages that it lost.
+  // Making space may commit, and a commit that a full disk cuts short removes the messages that it could not
+  // write.
   message = live_.find(id);
   if (message == nullptr) return false;
   message->attempts.push_back(std::move(attempt));
   int number = static_cast<int>(message->attempts.size()) - 1;
   if (append(std::move(record), {RecordTag::attempted, id, number})) return true;
-  // It keeps its number, as the decision module counts it.
+  // The attempt keeps its number, since the decision module has counted it.
   message->attempts.back().provablyNotExecuted = true;
   message->attempts.back().journaled = false;
   return false;
@@ -130,8 +130,9 @@
   if (message == nullptr || number >= message->attempts.size()) return;
   message->attempts[number].provablyNotExecuted = true;
   if (!message->attempts[number].journaled) return;
-  // Replay counts attempts by the records in the journal. With our numbers, one that the journal did not take
-  // would make another attempt, which may have been executed, pass for one that was not.
+  // Replay numbers attempts by their records in the journal. If this record used the number in memory, an
+  // attempt missing from the journal would shift the numbers, and another attempt, which may have been
+  // executed, would count as not executed.
   auto first = message->attempts.begin();
   auto journaledBefore =
       std::count_if(first, first + attempt, [](const AttemptRecord& earlier) { return earlier.journaled; });
@@ -163,8 +164,6 @@
   if (live_.remove(id)) ++finishedCount_;
 }
 
-// Space in the journal, and records for it.
-
 bool MessageStore::append(std::string bytes, UncommittedRecord record) {
   if (!journal_.append(bytes)) return false;
   if (journal_.isCompacting()) record.bytes = std::move(bytes);
@@ -177,22 +176,21 @@
   append(std::move(bytes), std::move(record));
 }
 
-// Compacts the journal if `bytes` more would not fit; returns whether they do then.
+// Compacts the journal if another `bytes` would not fit. Returns whether they fit afterwards.
 bool MessageStore::makeSpace(std::size_t bytes) {
   if (!hasSpace(bytes)) compactNow();
   return hasSpace(bytes);
 }
 
-// Space for a compacted file, and for the outcome of all that is live, is never given away.
+// Whether another `bytes` fit. The space for a compacted file and for the outcomes of all live messages and
+// notifications stays reserved.
 bool MessageStore::hasSpace(std::size_t bytes) const {
   std::size_t usedBytes = journal_.size() + journal_.compactedSize();
   return usedBytes + bytes + live_.liveBytes() <= journal_.maxBytes();
 }
 
-// Commits.
-
 void MessageStore::beginCommit() {
-  // While a compacted file replaces the journal nothing is written to either.
+  // While a compacted file replaces the journal, no record is written to either file.
   lastCommitHeldRecords_ = !journal_.isInstallingCompaction();
   if (lastCommitHeldRecords_) {
     committing_ = std::exchange(uncommitted_, {});
@@ -219,7 +217,7 @@
   } while (hasUncommitted());
 }
 
-// One commit, without the step of a compaction that finishCommit() adds.
+// One commit without the compaction step that finishCommit() adds.
 void MessageStore::commitOnce() {
   beginCommit();
   while (!journal_.isWritten(kCommitWaitMs)) {
@@ -231,16 +229,17 @@
   std::vector<UncommittedRecord> committed = std::exchange(committing_, {});
   std::vector<std::size_t> lost = journal_.finishCommit();
   if (lastCommitHeldRecords_) firstUndecidedId_ = committingNextId_;
-  bool compactionHoldsLost = false;
-  for (std::size_t place : lost) {
-    compactionHoldsLost = compactionHoldsLost || isInCompactedFile(committed[place]);
-    undoLost(committed[place]);
+  bool compactionHasLostRecord = false;
+  for (std::size_t index : lost) {
+    compactionHasLostRecord = compactionHasLostRecord || isInCompactedFile(committed[index]);
+    undoLost(committed[index]);
   }
   if (!lost.empty()) log::error("journal.write_failed", {{"records", lost.size()}});
   if (journal_.takeCompactionFailure()) recordCompactionFailure();
   if (!journal_.isCompacting()) return;
-  if (compactionHoldsLost) {
-    // Its attempts would be counted differently from those in memory.
+  if (compactionHasLostRecord) {
+    // The compacted file holds a lost record, and would number the attempts of its message differently from
+    // memory.
     journal_.abandonCompaction();
     recordCompactionFailure();
     return;
@@ -251,7 +250,7 @@
 void MessageStore::undoLost(const UncommittedRecord& record) {
   if (record.tag == RecordTag::accepted) {
     lostAcceptances_.insert(record.message);
-    live_.remove(record.message);  // it was never accepted, and does not count as finished
+    live_.remove(record.message);  // the message was never accepted, and does not count as finished
     return;
   }
   if (record.tag != RecordTag::attempted) return;
@@ -263,12 +262,13 @@
   attempt.journaled = false;
 }
 
-// Whether the compacted file holds its message as it was after this record.
+// Whether the compacted file holds the state of the message that includes this record.
 bool MessageStore::isInCompactedFile(const UncommittedRecord& record) const {
   return record.bytes.empty() && record.message < compactedBelow_;
 }
 
-// Messages that the compaction has passed need these records too; it will find the others as they are then.
+// Appends the committed records to the compacted file if the compaction has already written their messages
+// there. The compaction writes all other messages later, in their state at that time.
 void MessageStore::copyToCompaction(const std::vector<UncommittedRecord>& records) {
   std::string frames;
   for (const UncommittedRecord& record : records) {
@@ -277,8 +277,6 @@
   if (!frames.empty() && !journal_.appendToCompaction(frames)) recordCompactionFailure();
 }
 
-// Compaction.
-
 void MessageStore::beginCompaction() {
   compactedBelow_ = {};
   if (!journal_.beginCompaction()) recordCompactionFailure();
@@ -287,7 +285,7 @@
 // Writes the next chunk to the compacted file, and installs it after the last one.
 void MessageStore::continueCompaction() {
   CompactionChunk chunk = live_.encodeChunk(compactedBelow_, kCompactionChunkBytes);
-  // The chunk holds its messages as they are now, with the records that are not written yet.
+  // The chunk holds its messages in their present state, which includes their uncommitted records.
   for (UncommittedRecord& record : uncommitted_) {
     if (record.message >= compactedBelow_ && record.message < chunk.nextId) record.bytes.clear();
   }
@@ -298,8 +296,8 @@
   if (!succeeded) recordCompactionFailure();
 }
 
-// The whole of a compaction at once, since there is no space to wait. What was recorded is committed first:
-// the compacted file can be installed only while nothing is collected.
+// Compacts the whole journal at once, since there is no space for an incremental compaction. The recorded
+// changes are committed first: the compacted file can be installed only while no record is collected.
 void MessageStore::compactNow() {
   if (isCommitting() || schedule_.skipsImmediate()) return;
   do {
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -20,98 +20,104 @@
 
 namespace stonewing {
 
-// All messages that were accepted and have no final answer, and the notifications that the platform has not
-// confirmed: in memory and in the journal. It is the only state that outlives a process.
+// The accepted messages that have no final answer yet, and the notifications that the platform has not
+// confirmed, both in memory and in the journal. No other state outlives the process.
 //
-// Changes are collected and written by one commit a turn, before anything is done that depends on them:
-// before a client gets +OK, before an attempt's bytes go out, before the platform is notified. So a kill at
-// any moment loses nothing that a client or the platform relies on. The owner calls beginCommit(), waits
-// with finishCommit(), then acts on what was written and asks what was lost.
+// Changes are collected and written by one commit per turn, before anything that depends on them: before a
+// client gets +OK, before an attempt's bytes are sent, before the platform is notified. So a kill at any
+// moment loses nothing that a client or the platform relies on. The owner calls beginCommit(), waits with
+// finishCommit(), asks which records were lost, and then acts on those that were written.
 //
-// Used on one thread; with a background writer only the journal's write() calls happen elsewhere. Functions
-// that write throw std::system_error where the journal cannot be used any more.
+// Used on one thread; with a background writer, only the write() calls of the journal happen on another
+// thread. Functions that write throw std::system_error if the journal cannot be used any more.
 class MessageStore {
  public:
-  // `names` has to outlive the store. `maxBytes` bounds all files in `folder`. Throws as
-  // Journal does.
+  // `names` must outlive the store. `maxBytes` limits the total size of all files in `folder`. Throws as the
+  // constructor of Journal does.
   MessageStore(const NameTables& names, const std::string& folder, std::size_t maxBytes,
                JournalWriter writer = JournalWriter::callingThread);
 
-  // Reads what an earlier process left; to be called once, first. Returns the bytes of an incomplete record
-  // at the journal's end that were cut off. Records that cannot be used are logged and skipped. Throws as
-  // Journal::replay() does.
+  // Restores the state that an earlier process left in the journal. Must be called once, before all other
+  // functions. Returns the length in bytes of an incomplete record that was removed from the end of the
+  // journal. Records that cannot be used are logged and skipped. Throws as Journal::replay() does.
   std::size_t restore();
 
-  // The message of a SUBMIT, by its words (submission_parser.h), received at `receivedWall`, in Unix
-  // milliseconds. The store does not change. Throws ProtocolError that says what is wrong.
+  // Makes the message of a SUBMIT from its arguments (submission_parser.h). `receivedWall` is the time at
+  // which the SUBMIT was received, in Unix milliseconds. Does not change the store. Throws ProtocolError with
+  // a text that names the invalid argument.
   StoredMessage decode(std::string_view orderingKey, std::string_view reference, std::string_view fieldList,
                        std::string_view body, Millis receivedWall) const;
-  // Adds a message. No value: the journal has no space for it. Accepted only once a commit has kept it.
+  // Adds a message. Returns no value if the journal has no space for it. The message counts as accepted only
+  // after a commit has written its record.
   std::optional<MessageId> accept(StoredMessage message);
-  // Records that an attempt is to be sent. False: that could not be recorded, and the attempt must not be
-  // sent. True: the next commit decides; ask isLostAttempt() after it. The attempt has its number in either
-  // case.
+  // Records that an attempt is to be sent. If it returns false, the attempt could not be recorded and must
+  // not be sent. If it returns true, the next commit writes the record; isLostAttempt() tells afterwards
+  // whether that failed. The attempt has a number in both cases.
   bool recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis sentWall);
-  // Records that an attempt was provably not executed. Where that cannot be written, the next process assumes
-  // that it may have been.
+  // Records that an attempt was provably not executed. If that cannot be written, the next process assumes
+  // that the attempt may have been executed.
   void recordNotExecuted(MessageId id, int attempt);
-  // The message is finished, and nothing is left to do for it.
+  // Records that the message is finished and needs no notification.
   void recordDelivered(MessageId id);
-  // The message is finished, and the platform is to be notified. `retryAfter` in milliseconds; 0: no advice.
+  // Records that the message is finished and the platform is to be notified. `retryAfter` is in milliseconds;
+  // 0 means that the notification advises no time.
   void addPendingNotification(MessageId id, FinalOutcome result, Millis retryAfter);
-  // The platform has confirmed the notification.
+  // Records that the platform has confirmed the notification.
   void confirmNotification(MessageId id);
 
-  // Begins to write what was recorded since the last commit. None may be in progress.
+  // Begins to write the records collected since the last commit. No commit may be in progress.
   void beginCommit();
-  // Whether no commit is in progress any more; waits up to `timeout` milliseconds for that. Then what could
-  // not be written is undone: a message is removed again, an attempt counts as never sent, an outcome is
-  // still acted on. Also continues a compaction of the journal, or begins one that is due.
+  // Returns whether no commit is in progress any more; waits up to `timeout` milliseconds for that. Records
+  // that could not be written are then undone: a message is removed again, and an attempt counts as never
+  // sent; an outcome still takes effect. Also begins a compaction of the journal that is due, or continues
+  // one.
   bool finishCommit(Millis timeout);
-  // Commits until nothing is left to write, however long it takes.
+  // Commits until no record is left to write, without a time limit.
   void commit();
   bool isCommitting() const { return journal_.isCommitting(); }
-  // Whether the last commit wrote what was recorded before it. False: it only replaced the journal by a
-  // compacted one, and the records wait for the next commit.
+  // Whether the last commit wrote the records collected before it. False if it only replaced the journal by a
+  // compacted file; the records then wait for the next commit.
   bool lastCommitHeldRecords() const { return lastCommitHeldRecords_; }
   bool hasUncommitted() const { return !uncommitted_.empty(); }
-  // Whether a commit has decided on a message's acceptance, in whatever way.
+  // Whether a commit has written the message's acceptance or has lost it.
   bool isDecided(MessageId id) const { return id.value < firstUndecidedId_; }
-  // Readable once a commit ended that finishCommit() had waited for in vain; -1 without a writer thread.
+  // Becomes readable when a commit ends after finishCommit() timed out; -1 without a writer thread.
   int descriptor() const { return journal_.descriptor(); }
 
-  // What could not be written, in all commits since clearLost().
+  // The records that could not be written, in all commits since clearLost().
   void clearLost();
   const std::set<MessageId>& lostAcceptances() const { return lostAcceptances_; }
   bool isLostAcceptance(MessageId id) const { return lostAcceptances_.contains(id); }
   bool isLostAttempt(MessageId id, int attempt) const { return lostAttempts_.contains({id, attempt}); }
 
-  // Null: not in flight. Valid until the message is finished, or lost by a commit.
+  // Null if the message is not in flight. The pointer is valid until the message is finished, or lost by a
+  // commit.
   const StoredMessage* find(MessageId id) const { return live_.find(id); }
-  // Whether a message of this reference is in flight.
+  // Whether a message with this reference is in flight.
   bool contains(std::string_view reference) const { return live_.contains(reference); }
-  // The id of a message in flight.
+  // The id of a message in flight, by its reference.
   MessageId idOf(const std::string& reference) const { return live_.idOf(reference); }
   const std::map<MessageId, StoredMessage>& inFlight() const { return live_.messages(); }
   const std::map<MessageId, OutcomeNotification>& pendingNotifications() const {
     return live_.notifications();
   }
 
-  // How many accepted messages have finished, in whatever way, since the start.
+  // The number of accepted messages that have finished since the start, with any outcome.
   std::size_t finishedCount() const { return finishedCount_; }
-  // Milliseconds that writing has held up this thread so far.
+  // Milliseconds for which writing has blocked this thread so far.
   Millis writingTime() const { return journal_.writingTime(); }
-  // How full the journal is by what must stay in it, from 0 to 1. A compaction needs as much again.
+  // The share of the journal's capacity that is in use by live messages and notifications, from 0 to 1. A
+  // compaction needs the same space a second time, so half of maxBytes() counts as full.
   double fillShare() const;
 
  private:
-  // A record that the journal has collected and no commit has finished.
+  // A record that was appended to the journal but not yet written by a finished commit.
   struct UncommittedRecord {
     RecordTag tag{};
     MessageId message{};
-    std::optional<int> attempt{};  // its number, for RecordTag::attempted
-    // The record itself where a compaction may have to hold it too. Empty: no compaction was in progress, or
-    // it holds the message as it was after this record.
+    std::optional<int> attempt{};  // the attempt's number, for RecordTag::attempted
+    // The record, in case the compacted file needs a copy of it. Empty if no compaction was in progress, or
+    // if the compacted file already holds the state of the message that includes this record.
     std::string bytes{};
   };
 
@@ -145,14 +151,15 @@
   std::size_t finishedCount_{0};
 
   std::vector<UncommittedRecord> uncommitted_;  // in the order in which the journal collected them
-  std::vector<UncommittedRecord> committing_;   // those of the commit in progress
+  std::vector<UncommittedRecord> committing_;   // the records of the commit in progress
   bool lastCommitHeldRecords_{true};
   std::uint32_t committingNextId_{1};  // nextId_ when the last commit with records began
-  std::uint32_t firstUndecidedId_{1};  // the same for the last one that has finished
+  std::uint32_t firstUndecidedId_{1};  // committingNextId_ of the last finished commit with records
   std::set<MessageId> lostAcceptances_;
   std::set<std::pair<MessageId, int>> lostAttempts_;
 
-  // Messages below this id stand in the compacted file as they are now, if a compaction is in progress.
+  // If a compaction is in progress, the compacted file holds all live messages and notifications with ids
+  // below this one, in their present state.
   MessageId compactedBelow_{};
 };
 
--- a/src/storage/record_codec.cpp
+++ b/src/storage/record_codec.cpp
@@ -81,7 +81,7 @@
     case RecordTag::finished:
       return FinishedRecord{};
   }
-  throw JournalError("unknown tag");
+  throw JournalError("unknown record tag: expected 1 to 5");
 }
 
 std::string encodeAcceptedFields(std::string_view orderingKey, std::string_view reference,
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -9,10 +9,10 @@
 #include "base/ids.h"
 #include "storage/stored_message.h"
 
-// The records of the message store, as they stand in the journal: one type a tag, with its encoding and
-// decoding. A record begins with its tag (8 bits) and the message's id (32 bits). Numbers are packed and
-// little-endian, texts are preceded by their length (32 bits). Stored journals outlive the program: a change
-// here must still read what earlier versions wrote.
+// The records of the message store in the journal: one type for each tag, with its encoding and decoding. A
+// record begins with its tag (8 bits) and the message's id (32 bits). Numbers are packed and little-endian,
+// and each text follows its length (32 bits). Stored journals outlive the program: after a change here, the
+// program must still read records that earlier versions wrote.
 namespace stonewing {
 
 enum class RecordTag : std::uint8_t {
@@ -23,14 +23,14 @@
   finished = 5
 };
 
-// What all records begin with.
+// The header with which each record begins.
 struct RecordHeader {
-  RecordTag tag{};  // may be none of the enumerators, as it was stored
+  RecordTag tag{};  // as stored; may be none of the enumerators
   MessageId message{};
 };
 
-// A message was accepted. The words of its SUBMIT stand in it as the client sent them; the program that
-// replays it reads them by its own settings.
+// A message was accepted. The record holds the arguments of its SUBMIT as the client sent them; the program
+// that replays the record parses them with its own settings.
 struct AcceptedRecord {
   Millis deadlineWall{};
   std::string orderingKey;
@@ -39,39 +39,39 @@
   std::string body;
 };
 
-// An attempt was decided; it may have been sent.
+// An attempt was decided, and may have been sent.
 struct AttemptedRecord {
   AttemptRecord attempt;
 };
 
 // An attempt is known not to have been executed.
 struct NotExecutedRecord {
-  // Its place among the message's attempts in the journal, which lacks those that it did not take.
+  // The attempt's index among the attempts of the message that have a record in the journal.
   std::uint32_t journaledAttempt{};
 };
 
-// A message ended in a way that the platform has yet to be notified of.
+// A message is finished, and the platform has yet to be notified.
 struct NotificationPendingRecord {
   OutcomeNotification notification;
 };
 
-// A message ended, and nothing is left to do for it.
+// A message is finished, and nothing is left to do for it.
 struct FinishedRecord {};
 
 using RecordBody = std::variant<AcceptedRecord, AttemptedRecord, NotExecutedRecord, NotificationPendingRecord,
                                 FinishedRecord>;
 
-// Throws ParseError where the record is too short for one.
+// Throws ParseError if the record is shorter than a header.
 RecordHeader decodeRecordHeader(std::string_view record);
-// What stands in a record behind its header. Throws ParseError where a field is cut short, and JournalError
-// for an unknown tag. Bytes behind the last field are ignored.
+// Decodes the record after its header. Throws ParseError if a field is cut short, and JournalError if the tag
+// is unknown. Bytes after the last field are ignored.
 RecordBody decodeRecordBody(std::string_view record);
 
-// Encodes the words of a SUBMIT for StoredMessage::acceptedFields.
+// Encodes the arguments of a SUBMIT for StoredMessage::acceptedFields.
 std::string encodeAcceptedFields(std::string_view orderingKey, std::string_view reference,
                                  std::string_view fieldList);
 std::string encodeAccepted(MessageId id, const StoredMessage& message);
-// The length of encodeAccepted()'s result, without making it.
+// The length of encodeAccepted()'s result, computed without encoding.
 std::size_t acceptedRecordBytes(const StoredMessage& message);
 std::string encodeAttempted(MessageId id, const AttemptRecord& attempt);
 std::string encodeNotExecuted(MessageId id, NotExecutedRecord record);
--- a/src/storage/stored_message.h
+++ b/src/storage/stored_message.h
@@ -7,8 +7,8 @@
 
 #include "base/ids.h"
 
-// What the message store keeps: plain types without behaviour. Wall times are Unix time in milliseconds,
-// since they have to mean the same to the next process.
+// The data types of the message store, without behaviour. Wall times are Unix time in milliseconds, since
+// they must have the same meaning for the next process.
 namespace stonewing {
 
 // The part of an endpoint's entry in the endpoint list that outlives a process.
@@ -19,37 +19,38 @@
   ZoneId zone{};
 };
 
-// One attempt to deliver a message, as the journal knows it.
+// One attempt to deliver a message: the fields of its journal record, and whether that record exists.
 struct AttemptRecord {
   EndpointRecord endpoint;
-  Millis sentWall{};  // when it was handed to the sender, wall time
+  Millis sentWall{};  // wall time at which the attempt was passed to the sender
   bool provablyNotExecuted{false};
-  // False: the journal did not take its record. It was then never sent, and replay does not count it.
+  // False if the journal could not store the attempt's record. Such an attempt was never sent, and replay
+  // does not count it.
   bool journaled{true};
 };
 
-// A message in flight, with the parts of it that the decision module does not need.
+// A message in flight, including the parts of it that the decision module does not need.
 struct StoredMessage {
-  std::string reference;       // the client's id of the message, which the endpoint sees too
-  std::string idempotencyKey;  // empty: none
+  std::string reference;       // the client's id of the message, also sent to the endpoint
+  std::string idempotencyKey;  // empty if there is none
   std::shared_ptr<const std::string> body;
   TrafficTypeId type{};
   TenantId tenant{};
   OrderingKey orderingKey{};
   DestinationId destination{};
   Millis deadlineWall{};
-  std::vector<AttemptRecord> attempts;  // an attempt's number is its place
-  std::string acceptedFields;           // its record in the journal, without id, deadline and body
+  std::vector<AttemptRecord> attempts;  // an attempt's number is its index
+  std::string acceptedFields;           // part of its journal record: key, reference and field list
 };
 
-// How a message ended that was not delivered in time. The values stand in stored journals.
+// The outcome of a message that was not delivered in time. The values are part of stored journals.
 enum class FinalOutcome : std::uint8_t { failed = 1, shed = 2 };
 
 // A final outcome that the platform has not confirmed yet.
 struct OutcomeNotification {
   std::string reference;
   FinalOutcome result{};
-  Millis retryAfter{};  // milliseconds; 0: no advice
+  Millis retryAfter{};  // in milliseconds; 0 if the platform is given no time
 };
 
 }  // namespace stonewing
--- a/src/storage/submission_parser.cpp
+++ b/src/storage/submission_parser.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMaxIdentifierBytes = 128;
 constexpr int kOrderingKeyBase = 16;
 
-// The number that the whole of `text` is; `format` are further arguments of std::from_chars.
+// Parses the whole of `text` as a number; `format` holds further arguments of std::from_chars.
 template <class Number, class... Format>
 std::optional<Number> parseNumber(std::string_view text, Format... format) {
   Number number{};
@@ -28,8 +28,8 @@
   return number;
 }
 
-// Ids are put into headers, lines and JSON unescaped. So they are visible characters, and none that ends a
-// word there.
+// Ids are inserted unescaped into headers, lines and JSON. So only visible ASCII characters are allowed,
+// except the quote, the backslash and the comma, which would end or change the text around the id.
 bool isIdentifierCharacter(unsigned char character) {
   return character > ' ' && character < 0x7f && character != '"' && character != '\\' && character != ',';
 }
@@ -37,33 +37,38 @@
 std::string parseIdentifier(std::string_view text, const char* field) {
   bool isValid = !text.empty() && text.size() <= kMaxIdentifierBytes &&
                  std::all_of(text.begin(), text.end(), isIdentifierCharacter);
-  if (!isValid) throw ProtocolError(std::string("bad ") + field);
+  if (!isValid)
+    throw ProtocolError(
+        std::string("expected 1 to 128 visible ASCII characters other than quote, backslash and comma in ") +
+        field);
   return std::string(text);
 }
 
-// The id of a name: its place in the table.
+// Returns the id of a name: its index in the table.
 template <class Id>
 Id findName(const std::vector<std::string>& names, std::string_view name, const char* field) {
   auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) throw ProtocolError(std::string("unknown ") + field);
+  if (found == names.end())
+    throw ProtocolError(std::string("the settings do not list the received ") + field);
   return Id{static_cast<decltype(Id{}.value)>(found - names.begin())};
 }
 
 OrderingKey parseOrderingKey(std::string_view text) {
   auto key = parseNumber<std::uint64_t>(text, kOrderingKeyBase);
-  if (!key) throw ProtocolError("bad key");
+  if (!key) throw ProtocolError("the ordering key must be a hexadecimal number of at most 64 bits");
   return OrderingKey{*key};
 }
 
 Millis parseLatencyObjective(std::string_view text) {
   auto objective = parseNumber<Millis>(text);
-  if (!objective || !std::isfinite(*objective) || *objective < 0) throw ProtocolError("bad d");
+  if (!objective || !std::isfinite(*objective) || *objective < 0)
+    throw ProtocolError("field d must be a finite number of milliseconds, 0 or more");
   return *objective;
 }
 
 DestinationId parseDestination(std::string_view text) {
   auto destination = parseNumber<std::uint16_t>(text);
-  if (!destination) throw ProtocolError("bad dest");
+  if (!destination) throw ProtocolError("field dest must be an integer from 0 to 65535");
   return DestinationId{*destination};
 }
 
@@ -74,11 +79,12 @@
 
 Field splitField(std::string_view item) {
   std::size_t equals = item.find('=');
-  if (equals == std::string_view::npos) throw ProtocolError("a name without a value");
+  if (equals == std::string_view::npos)
+    throw ProtocolError("each item of the field list must have the form name=value");
   return {item.substr(0, equals), item.substr(equals + 1)};
 }
 
-// The fields of a list; a later one of the same name wins.
+// The parsed fields of a field list. If a name occurs more than once, its last value is used.
 struct Fields {
   std::optional<TrafficTypeId> type;
   std::optional<Millis> latencyObjective;
@@ -109,7 +115,7 @@
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   if (!fields.type || !fields.latencyObjective || !fields.destination) {
-    throw ProtocolError("c, d and dest are needed");
+    throw ProtocolError("the field list must contain c, d and dest");
   }
   return fields;
 }
--- a/src/storage/submission_parser.h
+++ b/src/storage/submission_parser.h
@@ -8,7 +8,7 @@
 
 namespace stonewing {
 
-// The words of a client's SUBMIT, as they came. The views have to be valid for the call only.
+// The arguments of a client's SUBMIT, as received. The views must be valid during the call only.
 struct Submission {
   std::string_view orderingKey;  // hexadecimal, 64 bits
   std::string_view reference;    // the client's id of the message
@@ -16,9 +16,9 @@
   std::string_view body;         // any bytes
 };
 
-// Makes the message of a submission received at `receivedWall` (wall time in milliseconds), from which the
-// latency objective in the field list counts. Names are looked up in `names`; unknown fields are skipped.
-// Throws ProtocolError that says what is wrong.
+// Makes the message of a submission. `receivedWall` is the wall time in milliseconds at which the submission
+// was received; the latency objective in the field list counts from it. Names are looked up in `names`;
+// unknown fields are skipped. Throws ProtocolError with a text that names the invalid field.
 StoredMessage parseSubmission(const NameTables& names, const Submission& submission, Millis receivedWall);
 
 }  // namespace stonewing
