--- a/src/delivery/attempt_sender.cpp
+++ b/src/delivery/attempt_sender.cpp
@@ -8,13 +8,14 @@
 namespace stonewing {
 namespace {
 
-// For the rest of a response that has begun, in milliseconds; endpoints write it in one go. Without this, a
-// head that does not end, or a body that is shorter than announced, would hold the request and its
-// concurrency, and use up the messages' time, until the attempt times out.
+// Time limit for the remainder of a response after its beginning, in milliseconds; endpoints write a response
+// in one go. Without this limit, a response head that does not end, or a body shorter than announced, would
+// occupy the request and its share of the concurrency limit, and use up the time of its messages, until the
+// attempt times out.
 constexpr Millis kResponseCompletionMs = 250;
 
 EndpointConnection& endpointConnection(HttpClientConnection& httpConnection) {
-  return static_cast<EndpointConnection&>(httpConnection);  // the pool makes no others
+  return static_cast<EndpointConnection&>(httpConnection);  // the pool creates no other type
 }
 
 }  // namespace
@@ -31,27 +32,26 @@
       recorder_(loop, policy, store, names, log_),
       pool_(loop, *this, policy, settings, names, {maxConnections, maxHealthChecks}) {}
 
-// Sending.
-
 void AttemptSender::sendAttempt(const SendAttempt& decision) {
   const StoredMessage* message = store_.find(decision.message);
   const auto& attempts = policy_.state().messages.at(decision.message).attempts;
   int request = attempts.at(static_cast<std::size_t>(decision.attempt)).requestId;
-  Batch& batch = gathered_[request];
+  Batch& batch = gatheredBatches_[request];
   batch.endpoint = decision.endpoint;
   batch.attempts.push_back({decision.message, decision.attempt, loop_.now() + decision.timeout,
                             message != nullptr ? message->reference : ""});
 }
 
 void AttemptSender::recordBatches() {
-  for (auto& [request, batch] : std::exchange(gathered_, {})) recordBatch(std::move(batch));
+  for (auto& [request, batch] : std::exchange(gatheredBatches_, {})) recordBatch(std::move(batch));
 }
 
 void AttemptSender::recordBatch(Batch batch) {
   EndpointConnection& connection = pool_.acquire(batch.endpoint, discovery_.find(batch.endpoint));
-  // Endpoints file a batch under its first message. Where that one finished while the request waited there,
-  // the others counted as never delivered, though the response said ok for each. So the one with most time
-  // left, which finishes last, goes first.
+  // Endpoints store a batch under the id of its first message. If that message finished while the request
+  // waited at the endpoint, the other messages counted as never delivered, although the response reported ok
+  // for each of them. So the message with the latest time-out, which finishes last, is the first of the
+  // batch.
   std::stable_sort(
       batch.attempts.begin(), batch.attempts.end(),
       [](const BatchedAttempt& a, const BatchedAttempt& b) { return a.timeoutAt > b.timeoutAt; });
@@ -69,8 +69,8 @@
   awaitingCommit_.push_back(&connection);
 }
 
-// An attempt is recorded before its last byte leaves, since after a kill it may have been executed. What
-// cannot be recorded is not sent.
+// An attempt is recorded before its last byte is sent, since after a kill it may have been executed. An
+// attempt that cannot be recorded is not sent.
 void AttemptSender::recordInStore(EndpointConnection& connection) {
   const DiscoveredEndpoint* endpoint = discovery_.find(connection.endpoint());
   for (const BatchedAttempt& attempt : connection.attempts()) {
@@ -101,11 +101,11 @@
   pool_.update(connection);
 }
 
-// A slow write of the journal may have kept the request back. Without this check it could reach an endpoint
-// that is draining by now or has sent a Retry-After, or go out after the deduplication window of a retry. And
-// however short that write was: the reused connection may have ended meanwhile, and the attempt would count
-// as possibly executed; or the endpoint may have sent something unasked on it, which would count as the
-// response.
+// Whether the request may still be sent after the journal was written. A slow journal write may have delayed
+// the request. Without this check, the request could reach an endpoint that is draining by now or has sent a
+// Retry-After, or could be sent after the deduplication window of a retry. Even after a short write, the
+// reused connection may have ended, and the attempt would count as possibly executed; or the endpoint may
+// have sent unrequested bytes on the connection, which would count as the response.
 bool AttemptSender::isStillSendable(const EndpointConnection& connection) const {
   if (connection.isConnected() && !connection.isReusable()) return false;
   if (loop_.now() <= connection.sentAt()) return true;  // not delayed
@@ -115,7 +115,8 @@
       });
 }
 
-// Without this, the endpoint would count as unresponsive for as long as the journal kept the request back.
+// Moves the time of sending to the present if the journal delayed the request. Without this, the delay would
+// count as time for which the endpoint did not respond.
 void AttemptSender::recordDelayedSend(EndpointConnection& connection) {
   if (loop_.now() <= connection.sentAt()) return;
   connection.setSentAt(loop_.now());
@@ -124,8 +125,8 @@
   }
 }
 
-// Composes the request of the attempts that the connection carries by now. To be called only once it is
-// established, since attempts may be cancelled until then.
+// Composes the request of the attempts that the connection carries at this time. Must be called only once the
+// connection is established, since attempts may be cancelled until then.
 void AttemptSender::writeRequest(EndpointConnection& connection) {
   Millis latestTimeout = loop_.now();
   std::vector<const StoredMessage*> messages;
@@ -139,8 +140,8 @@
 }
 
 void AttemptSender::sendHealthCheck(EndpointId endpoint) {
-  // Without this bound, checks of hundreds of endpoints that are down at once would take the descriptors of
-  // all other connections.
+  // Without this limit, simultaneous health checks of hundreds of endpoints that are down would use the
+  // descriptors of all other connections.
   if (!pool_.mayStartHealthCheck()) {
     return policy_.recordHealthCheckOutcome(endpoint, AttemptOutcome::localResourceExhausted, {});
   }
@@ -157,17 +158,15 @@
 
 void AttemptSender::closeIdleConnection(EndpointId endpoint) { pool_.closeIdle(endpoint); }
 
-// Cancelling.
-
 void AttemptSender::cancelAttempt(const CancelAttempt& decision) {
   std::pair key{decision.message, decision.attempt};
   auto found = connectionOfAttempt_.find(key);
   if (found == connectionOfAttempt_.end()) return;
-  // While the loop is behind, the attempt's response may lie there unread. If the connection were closed on
-  // it, the message would be attempted again after it was delivered.
+  // If the loop is behind, the attempt's response may be in the socket's buffer, not yet read. If the
+  // connection were closed with the response unread, the message would be attempted again after its delivery.
   found->second->readPending();
   found = connectionOfAttempt_.find(key);
-  if (found == connectionOfAttempt_.end()) return;  // the response was there
+  if (found == connectionOfAttempt_.end()) return;  // the response was read just now
   EndpointConnection& connection = *found->second;
   auto attempt = std::find_if(
       connection.attempts().begin(), connection.attempts().end(), [&](const BatchedAttempt& each) {
@@ -187,34 +186,37 @@
   finishAttempt(connection, attempt, {outcomeOfInterruption(connection, AttemptOutcome::cancelled)});
 }
 
-// One message of a batch cannot be cancelled alone: the request stays at the endpoint for the others. If the
-// policy heard of its cancellation, it would attempt the message again at the same time: a second hedge,
-// which not every deployment allows. And for the first message of the batch, a response to its other attempt
-// would finish it while the rest is at the endpoint. So the outcome is recorded with that of the whole
-// request, or at the message's deadline. Where hedges are allowed, only the first has to wait: at endpoints
-// that hang, one message that must not be retried would otherwise keep all others there.
+// Whether the cancellation of an attempt must wait until its request can end. One message of a batch cannot
+// be cancelled alone: the request stays at the endpoint for the other messages. If the policy were notified
+// of the cancellation, it would attempt the message again while the request is pending: a second hedge, which
+// not every deployment allows. For the first message of the batch, a response to that new attempt would also
+// finish it while the remaining messages are at the endpoint. So the outcome is recorded with the
+// outcome of the whole request, or at the message's deadline. If hedges are allowed, only the cancellation of
+// the first message has to wait: otherwise, at endpoints that hang, one message that must not be retried
+// would keep all other messages of the batch at the endpoint.
 bool AttemptSender::mustDeferCancel(const EndpointConnection& connection,
                                     const BatchedAttempt& attempt) const {
-  bool isBound = !mayHedge_ || &attempt == &connection.attempts().front();
-  if (!isBound || !connection.isRequestWritten()) return false;
+  bool endsWithRequest = !mayHedge_ || &attempt == &connection.attempts().front();
+  if (!endsWithRequest || !connection.isRequestWritten()) return false;
   if (loop_.now() >= recorder_.deadlineOf(attempt.message)) return false;
   return std::any_of(connection.attempts().begin(), connection.attempts().end(),
                      [&](const BatchedAttempt& other) { return &other != &attempt && other.isPending(); });
 }
 
-// Finishes those attempts of a request for which it has become useless, since another one was finished.
+// Finishes the attempts of a request that has become useless because another of its attempts was finished.
 void AttemptSender::finishUselessAttempts(EndpointConnection& connection) {
   std::vector<BatchedAttempt>& attempts = connection.attempts();
   auto isFinished = [](const BatchedAttempt& attempt) { return attempt.isFinished(); };
-  bool isHalfWritten = connection.isBusy() && connection.isConnected() && !connection.isRequestWritten();
-  // The rest of a half-written request would still go out, with a message that is finished or was recorded as
-  // not sent. Broken off now, none of the batch was executed.
-  if (isHalfWritten && std::any_of(attempts.begin(), attempts.end(), isFinished)) {
+  bool isPartiallyWritten = connection.isBusy() && connection.isConnected() && !connection.isRequestWritten();
+  // The remaining bytes of a partially written request would still be sent, with a message that is finished
+  // or was recorded as not sent. If the request is aborted now, no message of the batch was executed.
+  if (isPartiallyWritten && std::any_of(attempts.begin(), attempts.end(), isFinished)) {
     for (BatchedAttempt& attempt : attempts) finishAttempt(connection, attempt, {AttemptOutcome::notSent});
   }
   if (!connection.isRequestWritten()) return;
-  // The first message may also be finished by another attempt. The endpoint still answers ok for the rest,
-  // which then counts for none of them. Cancelled with the first, they may be sent again.
+  // The first message may also be finished by another attempt. The endpoint still responds ok for the other
+  // messages, but this counts for none of them. If they are cancelled together with the first message, they
+  // may be sent again.
   bool isFirstFinished = !attempts.empty() && attempts.front().isFinished();
   bool isAnyPending = std::any_of(attempts.begin(), attempts.end(),
                                   [](const BatchedAttempt& attempt) { return attempt.isPending(); });
@@ -226,16 +228,14 @@
   }
 }
 
-// Events of the connections.
-
 // A connection may be established long after its request was decided. By then the endpoint may be draining or
-// have sent a Retry-After, or the deduplication window of a retry may have ended, and the policy counts a
-// request from its first byte: such an attempt is not sent. Of a batch, one attempt may have ended meanwhile,
-// by its time-out or by its other attempt. Composed any earlier, the request would carry it after its final
-// outcome.
+// may have sent a Retry-After, or the deduplication window of a retry may have ended. The policy counts a
+// request from its first byte, so such an attempt is not sent. One attempt of a batch may have ended
+// meanwhile, by its time-out or because its message was finished by another attempt. A request composed
+// earlier would contain this message after its final outcome.
 bool AttemptSender::mayStartExchange(HttpClientConnection& httpConnection) {
   EndpointConnection& connection = endpointConnection(httpConnection);
-  // Until it is busy, its request waits for the journal.
+  // Until the connection is busy, its request waits for the journal.
   if (connection.isHealthCheck() || !connection.isBusy()) return true;
   for (BatchedAttempt& attempt : connection.attempts()) {
     if (attempt.isFinished() || policy_.mayStartAttempt(attempt.message, attempt.attempt)) continue;
@@ -252,7 +252,7 @@
 }
 
 // A request counts as executed from its last byte. An endpoint may read a retry so slowly that its
-// deduplication window ends meanwhile. Broken off before the last byte, the request was not executed.
+// deduplication window ends meanwhile. A request that is aborted before its last byte was not executed.
 bool AttemptSender::mayContinueExchange(HttpClientConnection& httpConnection) {
   EndpointConnection& connection = endpointConnection(httpConnection);
   if (connection.isHealthCheck()) return true;
@@ -289,9 +289,9 @@
   pool_.update(connection);
 }
 
-// What this process lacks itself (a descriptor, capacity in the journal) is no failure of the endpoint.
-// Counted as one, a full disk, or a table of descriptors that clients have filled, would make every
-// destination look down, and slow start would follow.
+// A missing resource of this process (a descriptor, space in the journal) is not a failure of the endpoint.
+// If it counted as one, a full disk, or clients that use up all descriptors, would make every destination
+// look down, and slow start would follow.
 void AttemptSender::onBroken(HttpClientConnection& httpConnection) {
   EndpointConnection& connection = endpointConnection(httpConnection);
   AttemptOutcome outcome = AttemptOutcome::localResourceExhausted;
@@ -304,18 +304,16 @@
   finishAllAndRelease(connection, outcome);
 }
 
-// Time-outs.
-
 void AttemptSender::onTick() {
   pool_.followReusableIdleTime();
   while (EndpointConnection* connection = pool_.firstDue()) handleDue(*connection);
 }
 
 void AttemptSender::handleDue(EndpointConnection& connection) {
-  if (connection.isRequestWritten()) {  // its response may lie there unread
+  if (connection.isRequestWritten()) {  // its response may have arrived and not been read
     std::size_t connectionsBefore = pool_.size();
     connection.readPending();
-    if (pool_.size() < connectionsBefore) return;  // it was released
+    if (pool_.size() < connectionsBefore) return;  // the connection was released
     if (!connection.isBusy() || loop_.now() < pool_.dueAt(connection)) return pool_.update(connection);
   }
   bool isResponseOverdue =
@@ -345,14 +343,12 @@
       attempt.timeoutAt = deadline;
       continue;
     }
-    // On a connection that was never established nothing was attempted, and its own time was not up: not
-    // sent.
+    // If the connection was never established, nothing was sent, and the attempt's time at the endpoint had
+    // not begun: the outcome is notSent.
     finishAttempt(connection, attempt, {outcomeOfInterruption(connection, AttemptOutcome::timeout)});
   }
 }
 
-// Outcomes.
-
 void AttemptSender::finishAttempt(EndpointConnection& connection, BatchedAttempt& attempt,
                                   const AttemptResult& result) {
   connectionOfAttempt_.erase({attempt.message, attempt.attempt});
--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -20,38 +20,41 @@
 
 namespace stonewing {
 
-// Sends attempts and health checks to endpoints over HTTP/1.1, and records how each ended with the policy and
+// Sends attempts and health checks to endpoints over HTTP/1.1, and records their outcomes in the policy and
 // the message store.
 //
-// The way of an attempt: sendAttempt() gathers the attempts of one request, recordBatches() gives the request
-// a connection and records it in the store, and sendBatches() sends it once the journal holds the record. The
-// bytes are composed when the connection is established, and the policy is asked again before the first and
-// before every later part leaves. The outcome is recorded exactly once.
+// Steps of an attempt: sendAttempt() gathers the attempts of one request, recordBatches() assigns a
+// connection to the request and records its attempts in the store, and sendBatches() sends the request once
+// the journal holds the records. The request is composed when the connection is established, and the policy
+// is asked again before the first and before every later part of the request is sent. The outcome is recorded
+// exactly once.
 //
-// To be used on the event loop's thread alone. Times are milliseconds of the event loop's clock.
+// Must be used on the event loop's thread only. Times are milliseconds of the event loop's clock.
 class AttemptSender : public HttpClientConnection::Observer {
  public:
-  // All references must outlive the sender. maxHealthChecks is how many health checks may be in flight at
-  // once, so that together with the concurrent requests they stay within maxConnections.
+  // All references must outlive the sender. maxHealthChecks limits the health checks in flight, so that
+  // health checks and concurrent requests together stay within maxConnections.
   AttemptSender(EventLoop& loop, DispatchPolicy& policy, MessageStore& store,
                 const DiscoveryClient& discovery, const DeploymentSettings& settings, const NameTables& names,
                 std::size_t maxConnections, std::size_t maxHealthChecks);
   AttemptSender(const AttemptSender&) = delete;
   AttemptSender& operator=(const AttemptSender&) = delete;
 
-  // Gathers an attempt that was just decided, for recordBatches(). Attempts of one request go out together.
+  // Gathers an attempt that was just decided, for recordBatches(). Attempts of one request are sent together.
   void sendAttempt(const SendAttempt& decision);
-  // Ends an attempt. Within a batch this may have to wait for the rest; the policy hears of it when it is
-  // done. Does nothing if the outcome was recorded already, or arrives by now.
+  // Ends an attempt. In a batch, the cancellation may have to wait for the outcomes of the other attempts;
+  // the policy is notified once the attempt has ended. Does nothing if the outcome was already recorded, or
+  // if the response has arrived by now.
   void cancelAttempt(const CancelAttempt& decision);
-  // Sends a health check; the policy hears of its outcome, at once if there is no capacity for it.
+  // Sends a health check. The policy is notified of its outcome, immediately if the limit of health checks is
+  // reached.
   void sendHealthCheck(EndpointId endpoint);
   // Closes all idle connections to an endpoint.
   void closeIdleConnection(EndpointId endpoint);
-  // Assigns the gathered requests to connections and records their attempts in the store. To be called before
-  // the store's commit begins.
+  // Assigns the gathered requests to connections and records their attempts in the store. Must be called
+  // before the store's commit begins.
   void recordBatches();
-  // Sends what was recorded. To be called once that commit is done.
+  // Sends the recorded requests. Must be called once that commit is done.
   void sendBatches();
 
   // Handles time-outs, and connections that cannot be established.
@@ -80,7 +83,7 @@
   void recordDelayedSend(EndpointConnection& connection);
   void writeRequest(EndpointConnection& connection);
 
-  // Whether an attempt can only end together with its request.
+  // Whether the outcome of an attempt must wait until its whole request can end.
   bool mustDeferCancel(const EndpointConnection& connection, const BatchedAttempt& attempt) const;
   void cancelOnConnection(EndpointConnection& connection, BatchedAttempt& attempt);
   void finishUselessAttempts(EndpointConnection& connection);
@@ -101,13 +104,13 @@
   DeliveryLog log_;
   OutcomeRecorder recorder_;
   ConnectionPool pool_;
-  // The pointers in the next two are to connections of the pool; release() removes them.
+  // The pointers in the next two members refer to connections of the pool; release() removes them.
   // The connection of each attempt whose outcome was not recorded yet.
   std::map<std::pair<MessageId, int>, EndpointConnection*> connectionOfAttempt_;
-  // Requests that were recorded in the store and wait for its commit, in the order of sending.
+  // Connections whose requests were recorded in the store and wait for its commit, in the order of sending.
   std::vector<EndpointConnection*> awaitingCommit_;
-  // Attempts that were decided since the last recordBatches(), by the number of their request.
-  std::map<int, Batch> gathered_;
+  // Attempts that were decided since the last recordBatches(), by the id of their request.
+  std::map<int, Batch> gatheredBatches_;
 };
 
 }  // namespace stonewing
--- a/src/delivery/connection_pool.cpp
+++ b/src/delivery/connection_pool.cpp
@@ -9,11 +9,11 @@
 namespace stonewing {
 namespace {
 
-// A response that claims or sends more than this is malformed. Without a bound, one endpoint could take all
-// memory.
+// A response that announces or sends more than this is malformed. Without this limit, one endpoint could use
+// up all memory.
 constexpr std::size_t kMaxResponseBytes = std::size_t{128} * 1024;
 
-// Before and after all times, to search an index by endpoint alone.
+// Before and after all times. They allow a search in an index by endpoint only.
 constexpr Millis kBeforeAllTimes = -1e300;
 constexpr Millis kAfterAllTimes = 1e300;
 
@@ -28,14 +28,16 @@
       connectTimeout_(names.connectTimeout > 0 ? names.connectTimeout : kNever),
       limits_(limits) {
   if (settings.connectionIdleTimeout > 0) maxIdleTime_ = settings.connectionIdleTimeout;
-  // A request that is written near the end of the idle time may cross the other side's close, and would end
-  // as a reset that proves nothing. So the connection is not used for as long before as a new one may take.
+  // A request that is written near the end of the idle time may cross with the endpoint's close of the
+  // connection. It would end as a reset, which does not prove whether the request was executed. So a
+  // connection is not reused in the last connectTimeout_ of its idle time, which is as long as a new
+  // connection may take.
   if (maxIdleTime_ > connectTimeout_) maxIdleTime_ -= connectTimeout_;
 }
 
-// The policy knows the endpoint alone, and states for how long an idle connection to any is to be trusted. Of
-// several connections to an endpoint the less used ones stay idle for long while others are busy, so each
-// connection is limited to that time here.
+// The policy knows only the endpoint, and states for how long an idle connection to any endpoint may be
+// reused. If an endpoint has several connections, the less used ones stay idle for long while the others are
+// busy, so this limit is applied to each connection here.
 Millis ConnectionPool::reusableIdleTime() const {
   return maxIdleTime_ < kNever ? std::min(maxIdleTime_, policy_.state().reusableIdleTime) : maxIdleTime_;
 }
@@ -119,7 +121,7 @@
 }
 
 void ConnectionPool::recordUse(EndpointConnection& connection) {
-  removeFromIndexes(connection);  // under the old time
+  removeFromIndexes(connection);  // while lastUsedAt_ still is the key in the indexes
   connection.lastUsedAt_ = loop_.now();
 }
 
@@ -135,7 +137,7 @@
 
 void ConnectionPool::followReusableIdleTime() {
   if (reusableIdleTime() < lastReusableIdleTime_) {
-    std::vector<EndpointConnection*> idle;  // apart, since update() changes the index
+    std::vector<EndpointConnection*> idle;  // a copy, since update() changes the index
     idle.reserve(leastRecentlyUsed_.size());
     for (const TimedConnection& entry : leastRecentlyUsed_) idle.push_back(entry.connection);
     for (EndpointConnection* connection : idle) update(*connection);
--- a/src/delivery/connection_pool.h
+++ b/src/delivery/connection_pool.h
@@ -15,25 +15,25 @@
 // A time that never comes, in milliseconds.
 inline constexpr Millis kNever = 1e15;
 
-// How much the pool may use of the process' descriptors.
+// The limits on the pool's use of the process' descriptors.
 struct ConnectionLimits {
-  std::size_t maxConnections{};   // idle ones are closed in favour of new ones from here on
-  std::size_t maxHealthChecks{};  // health checks at once
+  std::size_t maxConnections{};   // at this number, a new connection replaces an idle one
+  std::size_t maxHealthChecks{};  // health checks in flight
 };
 
-// Owns the connections to all endpoints, and knows when each needs attention next.
+// Owns the connections to all endpoints, and knows when each of them needs attention next.
 //
 // A connection is in the list `connections_` from acquire() to release(), and in the indexes as follows:
-// - It is in none of them between acquire() and the next update(): whoever acquired it is about to use it.
-// - From update() on it is in `dueTimes_`, under dueAt() as of that call.
-// - If it was connected, not busy and had not failed then, it is in `idleByEndpoint_` and
-//   `leastRecentlyUsed_` too. Idle connections have no attempts and are no health check, so the pool may
-//   close them without telling anyone.
-// What a due time depends on may change at any time, but then update() must be called before the next tick.
+// - It is in no index between acquire() and the next update(): its caller is about to use it.
+// - From update() on it is in `dueTimes_`, under the value of dueAt() at that call.
+// - If it was connected, not busy and had not failed at that call, it is in `idleByEndpoint_` and
+//   `leastRecentlyUsed_` too. Idle connections have no attempts and carry no health check, so the pool may
+//   close them without notifying the observer.
+// If a value changes on which a due time depends, update() must be called before the next tick.
 //
-// References and pointers to a connection stay valid until release(); the object itself is deleted by the
-// event loop at the end of the turn, since it may be in the middle of its own event. To be used on the event
-// loop's thread alone.
+// References and pointers to a connection stay valid until release(). The event loop deletes the object at
+// the end of the turn, since the object may be handling an event of its own. Must be used on the event loop's
+// thread only.
 class ConnectionPool {
  public:
   // `observer` receives the events of all connections. All references must outlive the pool.
@@ -42,45 +42,47 @@
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  // A connection for the next request to an endpoint: the idle one that was used last if it is still good, or
-  // a new one. `target` is what discovery knows of the endpoint, or nullptr. If the connection could not even
-  // begin, its startFailure() says why. It is in the pool all the same, until release().
+  // Returns a connection for the next request to an endpoint: the idle connection that was used last if it
+  // may be reused, otherwise a new one. `target` is the endpoint's entry in discovery, or nullptr. If the
+  // connection could not be opened, its startFailure() gives the reason; it stays in the pool until release()
+  // all the same.
   EndpointConnection& acquire(EndpointId endpoint, const DiscoveredEndpoint* target);
-  // Closes a connection and takes it out of the pool; it is deleted at the end of the turn.
+  // Closes a connection and removes it from the pool; the object is deleted at the end of the turn.
   void release(EndpointConnection& connection);
   // Releases all idle connections to an endpoint.
   void closeIdle(EndpointId endpoint);
 
-  // Puts a connection into the indexes anew, after something changed that its due time depends on.
+  // Updates the index entries of a connection. Must be called after a change on which its due time depends.
   void update(EndpointConnection& connection);
-  // Notes that a response ended just now. The connection is in no index until update() or release().
+  // Records that a response ended just now. The connection is in no index until update() or release().
   void recordUse(EndpointConnection& connection);
 
-  // Whether another health check stays within the limit.
+  // Whether another health check is within the limit.
   bool mayStartHealthCheck() const { return healthChecksInFlight_ < limits_.maxHealthChecks; }
-  // An acquired connection carries a health check from now on, which counts towards the limit until
+  // Marks an acquired connection as carrying a health check, which counts towards the limit until
   // endHealthCheck() or release().
   void beginHealthCheck(EndpointConnection& connection);
   void endHealthCheck(EndpointConnection& connection);
 
-  // Makes the due times follow the policy, where it trusts idle connections for less long than at the last
-  // call.
+  // Updates the due times if the policy allows less idle time than at the last call.
   void followReusableIdleTime();
-  // The connection that needs attention first, if its due time has come; else nullptr.
+  // The connection with the earliest due time, if that time has come; otherwise nullptr.
   EndpointConnection* firstDue() const;
   // The earliest due time; kNever without connections.
   Millis nextDueAt() const;
 
-  // When a connection needs attention: its request times out, or it has been idle for too long.
+  // When a connection needs attention, because its request times out or because it has been idle for too
+  // long.
   Millis dueAt(const EndpointConnection& connection) const;
-  // Until when a connection with a request must be established; kNever if it is, or without a request.
+  // The time by which a connection with a request must be established; kNever if it is established or has no
+  // request.
   Millis connectDeadline(const EndpointConnection& connection) const;
-  // Until when a health check must be answered.
+  // The time by which a health check must be answered.
   Millis healthCheckDeadline(const EndpointConnection& connection) const;
-  // Until when an idle connection may be used again.
+  // The time until which an idle connection may be reused.
   Millis idleDeadline(const EndpointConnection& connection) const;
 
-  // How many connections there are, whatever their state.
+  // The number of connections in any state.
   std::size_t size() const { return connections_.size(); }
   // Whether a connection carries an attempt.
   bool hasAttempts() const;
@@ -115,7 +117,7 @@
   std::list<std::unique_ptr<EndpointConnection>> connections_;
   std::set<TimedConnection> dueTimes_;
   std::set<IdleConnection> idleByEndpoint_;
-  std::set<TimedConnection> leastRecentlyUsed_;  // the idle ones, by when they were last used
+  std::set<TimedConnection> leastRecentlyUsed_;  // idle connections, ordered by their last use
 };
 
 }  // namespace stonewing
--- a/src/delivery/delivery_log.cpp
+++ b/src/delivery/delivery_log.cpp
@@ -26,7 +26,7 @@
     case AttemptOutcome::localResourceExhausted:
       return "local_resource_exhausted";
   }
-  return "unknown";  // no value is left; compilers cannot know
+  return "unknown";  // unreachable: all enumerators are handled above
 }
 
 }  // namespace
@@ -67,9 +67,13 @@
 }
 
 void DeliveryLog::attemptResourceExhausted(const EndpointConnection& connection) const {
-  log::warn("attempt.resource_exhausted",
-            {{"endpoint", nameOf(connection.endpoint())},
-             {"why", connection.isOutOfResources() ? "no descriptor" : "not noted, or not listed any more"}});
+  log::warn(
+      "attempt.resource_exhausted",
+      {{"endpoint", nameOf(connection.endpoint())},
+       {"why",
+        connection.isOutOfResources()
+            ? "no free file descriptor"
+            : "the attempt was not recorded in the journal, or discovery no longer lists the endpoint"}});
 }
 
 void DeliveryLog::requestUnreadable(const EndpointConnection& connection) const {
--- a/src/delivery/delivery_log.h
+++ b/src/delivery/delivery_log.h
@@ -9,8 +9,9 @@
 // The log events of delivery (docs/log.md lists them). `now` is the event loop's time.
 namespace stonewing {
 
-// Writes the events of attempts and of their requests, with the endpoints by name. Each function writes one
-// event of nearly its own name, from the state that its arguments have at the call. Nothing is changed.
+// Writes the log events of attempts and of their requests, with the names of the endpoints. Each function
+// writes one event with a name similar to its own, from the state of its arguments at the call, and changes
+// nothing.
 class DeliveryLog {
  public:
   // `discovery` must outlive the log.
--- a/src/delivery/endpoint_connection.h
+++ b/src/delivery/endpoint_connection.h
@@ -11,35 +11,36 @@
 
 namespace stonewing {
 
-// One message's attempt as a part of an HTTP request. The request carries one attempt or a batch of them.
+// The attempt of one message as a part of an HTTP request. A request carries one attempt or a batch of
+// attempts.
 struct BatchedAttempt {
   enum class State {
     pending,
-    cancelDeferred,  // to be cancelled, but its outcome is recorded only when the whole request can end
-    finished         // its outcome was recorded; the request may go on for others
+    cancelDeferred,  // to be cancelled; the outcome is recorded only when the whole request can end
+    finished         // the outcome was recorded; the request may continue for other attempts
   };
 
   MessageId message{};
-  int attempt{};          // its number among the message's attempts, from 0
-  Millis timeoutAt{};     // when it times out, in milliseconds of the event loop's clock
-  std::string reference;  // the message's id at the client and the endpoint
+  int attempt{};          // the number of the attempt among those of its message, from 0
+  Millis timeoutAt{};     // time-out, in milliseconds of the event loop's clock
+  std::string reference;  // the client's id of the message, also sent to the endpoint
   State state{State::pending};
 
   bool isFinished() const { return state == State::finished; }
   bool isPending() const { return state == State::pending; }
 };
 
-// A connection to one endpoint and the request that it carries, if any. The connection pool owns it and alone
-// changes its place in the pool's indexes. Times are milliseconds of the event loop's clock. To be used on
-// the event loop's thread alone.
+// A connection to one endpoint and its current request, if any. The connection pool owns the connection, and
+// only the pool changes its position in the pool's indexes. Times are milliseconds of the event loop's clock.
+// Must be used on the event loop's thread only.
 class EndpointConnection : public HttpClientConnection {
  public:
-  // Why no request can go out on this connection.
+  // The reason why no request can be sent on this connection.
   enum class StartFailure {
     none,
-    refused,  // the endpoint's address refused it at once
-    // This process lacks something: a descriptor, a record in the journal, or the endpoint's address, which
-    // discovery lists no more. It says nothing about the endpoint's health.
+    refused,  // the endpoint's address refused the connection immediately
+    // This process lacks a descriptor, or a record in the journal, or the endpoint's address because
+    // discovery no longer lists the endpoint. Such a failure is no evidence of the endpoint's health.
     localResources
   };
 
@@ -48,38 +49,40 @@
 
   EndpointId endpoint() const { return endpoint_; }
 
-  // The attempts of the current request, in its order; none for a health check, or while the connection is
-  // idle. References into it stay valid until the request ends or finished attempts are removed.
+  // The attempts of the current request, in their order in the request; empty for a health check, or while
+  // the connection is idle. References to elements stay valid until the request ends or finished attempts are
+  // removed.
   std::vector<BatchedAttempt>& attempts() { return attempts_; }
   const std::vector<BatchedAttempt>& attempts() const { return attempts_; }
   void removeFinishedAttempts() {
     std::erase_if(attempts_, [](const BatchedAttempt& attempt) { return attempt.isFinished(); });
   }
-  // Whether there is a request with attempts and the outcome of each was recorded.
+  // Whether there is a request with attempts, and all their outcomes were recorded.
   bool areAllAttemptsFinished() const {
     return !attempts_.empty() && std::all_of(attempts_.begin(), attempts_.end(),
                                              [](const BatchedAttempt& each) { return each.isFinished(); });
   }
 
-  // A connection with a start failure is due at once, and then reported as broken.
+  // A connection with a start failure is due immediately, and is then reported as broken.
   StartFailure startFailure() const { return startFailure_; }
   bool hasFailedToStart() const { return startFailure_ != StartFailure::none; }
   void setStartFailure(StartFailure failure) { startFailure_ = failure; }
 
   bool isHealthCheck() const { return isHealthCheck_; }
 
-  // When the current request was sent, or decided while it waits for the journal or for the connection.
+  // When the current request was sent, or when it was decided if it still waits for the journal or the
+  // connection.
   Millis sentAt() const { return sentAt_; }
   void setSentAt(Millis now) { sentAt_ = now; }
 
   // When the last response ended; 0 before the first one.
   Millis lastUsedAt() const { return lastUsedAt_; }
 
-  // Until when the response that has begun must be complete; no value while none has begun.
+  // The time by which a response that has begun must be complete; no value if none has begun.
   std::optional<Millis> responseDueAt() const { return responseDueAt_; }
   void setResponseDueAt(Millis at) { responseDueAt_ = at; }
 
-  // Forgets the request that was answered. The connection may carry another one if it is still open.
+  // Clears the answered request. The connection may carry another one if it is still open.
   void clearRequest() {
     attempts_.clear();
     responseDueAt_.reset();
@@ -94,13 +97,13 @@
   Millis sentAt_{0};
   std::optional<Millis> responseDueAt_;
 
-  // Changed by the pool alone.
+  // Changed only by the pool.
   sockaddr_in address_{};
-  bool isHealthCheck_{false};  // the pool counts those that are out
+  bool isHealthCheck_{false};  // the pool counts the health checks in flight
   Millis lastUsedAt_{0};       // part of the key in the pool's two idle indexes
-  Millis indexedDueAt_{-1};    // its key in the pool's due times; -1 before the first time
+  Millis indexedDueAt_{-1};    // the key in the pool's due times; -1 before the first update()
   bool isIndexedAsIdle_{false};
-  // Its place in the pool's list. List iterators stay valid while other elements come and go.
+  // Position in the pool's list. List iterators stay valid while other elements are added and removed.
   std::list<std::unique_ptr<EndpointConnection>>::iterator position_{};
 };
 
--- a/src/delivery/load_report.cpp
+++ b/src/delivery/load_report.cpp
@@ -8,11 +8,11 @@
 namespace stonewing {
 namespace {
 
-// The wire's names of the two fields that the policy uses.
+// The names, in the header, of the two fields that the policy uses.
 constexpr std::string_view kRemainingShareField = "x0";
 constexpr std::string_view kRateLimitField = "x1";
 
-// Cuts the first item of a comma-separated list off the front of `list`.
+// Removes the first item of a comma-separated list from `list` and returns it.
 std::string_view takeItem(std::string_view& list) {
   std::size_t comma = std::min(list.find(','), list.size());
   std::string_view item = list.substr(0, comma);
@@ -20,12 +20,12 @@
   return item;
 }
 
-// A finite number that is not negative, with nothing before or behind it.
+// Parses a finite number that is not negative; other text before or after it is not allowed.
 std::optional<double> parseQuantity(std::string_view text) {
   double value = -1;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  bool isWhole = error == std::errc() && end == text.data() + text.size();
-  if (!isWhole || !std::isfinite(value) || value < 0) return std::nullopt;
+  bool isNumber = error == std::errc() && end == text.data() + text.size();
+  if (!isNumber || !std::isfinite(value) || value < 0) return std::nullopt;
   return value;
 }
 
@@ -39,7 +39,7 @@
     std::string_view field = item.substr(0, equals);
     std::optional<double> value = parseQuantity(item.substr(std::min(equals + 1, item.size())));
     bool isKnown = std::find(knownFields.begin(), knownFields.end(), field) != knownFields.end();
-    // Without this, garbage in one part of a header could pass for a rate limit in another.
+    // Without this check, a malformed part of a header could make another part look like a rate limit.
     if (!isKnown || !value) return {};
     if (field == kRemainingShareField) report.remainingShare = *value;
     if (field == kRateLimitField) report.rateLimit = *value;
--- a/src/delivery/load_report.h
+++ b/src/delivery/load_report.h
@@ -6,11 +6,11 @@
 
 #include "policy/decision.h"
 
-// What the headers of a response say about the load of its endpoint.
+// The load that an endpoint reports in the headers of its responses.
 namespace stonewing {
 
-// Reads the value of an X-Load header, "field=number,field=number". `knownFields` are the fields that this
-// deployment declares. A header with any part that cannot be read gives a report that reports nothing.
+// Parses the value of an X-Load header, "field=number,field=number". `knownFields` are the fields that this
+// deployment declares. If any part of the header cannot be parsed, the result is an empty report.
 LoadReport parseLoadReport(std::string_view header, const std::vector<std::string>& knownFields);
 
 }  // namespace stonewing
--- a/src/delivery/outcome_notifier.cpp
+++ b/src/delivery/outcome_notifier.cpp
@@ -11,19 +11,20 @@
 namespace stonewing {
 namespace {
 
-// The platform reads bodies of up to 64 KiB; no notification is added from here on, in bytes. With many small
-// bodies, one after the other, thousands of messages that end at once would be notified too late.
+// The platform accepts bodies of up to 64 KiB; no notification is added to a body of this size or more, in
+// bytes. With many small bodies sent one after the other, notifications of thousands of messages that end at
+// once would be late.
 constexpr std::size_t kFullBodyBytes = std::size_t{60} * 1024;
 constexpr std::size_t kMaxResponseBytes = std::size_t{64} * 1024;
-// The platform answers at once. A connection that died unnoticed stays silent, and the notification is soon
-// overdue.
+// The platform answers immediately. A connection that broke without notice stays silent, and the deadline of
+// its notifications is near.
 constexpr Millis kResponseTimeoutMs = 100;
-// Between requests that were not confirmed: short, since notifications have a deadline, and growing, so that
-// a platform that is down is not flooded.
+// The wait between requests that were not confirmed. It is short, since notifications have a deadline, and
+// increases, so that a platform that is down is not flooded.
 constexpr Millis kInitialBackoffMs = 25;
 constexpr Millis kMaxBackoffMs = 400;
 
-constexpr int kNoContent = 204;  // the platform confirms all notifications of the request
+constexpr int kNoContent = 204;  // response by which the platform confirms all notifications of the request
 
 std::string jsonLineOf(const OutcomeNotification& notification) {
   bool isFailed = notification.result == FinalOutcome::failed;
@@ -58,7 +59,7 @@
   notBefore_ = loop_.now();
 }
 
-// False: no connection could even begin.
+// Returns false if no connection could be opened.
 bool OutcomeNotifier::ensureConnection() {
   if (connection_ && connection_->isOpen() && connection_->isReusable()) return true;
   HttpClientConnection::closeLater(loop_, connection_);
@@ -66,7 +67,8 @@
   return connection_->open(platform_);
 }
 
-// One line for each notification, as many as fit, or the one whose turn it is; they await confirmation then.
+// Composes a body with one line for each notification: as many notifications as fit, or a single one in mode
+// oneByOne. These notifications await confirmation from now on.
 std::string OutcomeNotifier::composeBody() {
   const auto& pending = store_.pendingNotifications();
   auto next = pending.begin();
--- a/src/delivery/outcome_notifier.h
+++ b/src/delivery/outcome_notifier.h
@@ -10,27 +10,27 @@
 
 namespace stonewing {
 
-// Notifies the platform of messages that ended without a delivery, and repeats it until the platform
-// confirms. The store owns the pending notifications; one request at a time carries many of them. To be used
-// on the event loop's thread alone. Times are milliseconds of the event loop's clock.
+// Notifies the platform of messages that ended without a delivery, and repeats each notification until the
+// platform confirms it. The store owns the pending notifications. One request at a time carries many of them.
+// Must be used on the event loop's thread only. Times are milliseconds of the event loop's clock.
 class OutcomeNotifier : public HttpClientConnection::Observer {
  public:
-  // `host` is the Host header for the platform. `loop` and `store` must outlive the notifier.
+  // `host` is the Host header of requests to the platform. `loop` and `store` must outlive the notifier.
   OutcomeNotifier(EventLoop& loop, MessageStore& store, sockaddr_in platform, std::string host);
 
-  // The platform is at another address from now on; what it has not confirmed goes there.
+  // Sets a new address of the platform. Notifications that are not confirmed yet are sent there.
   void changeAddress(sockaddr_in platform, std::string host);
-  // Sends what is pending, and gives up a request that stays unanswered. To be called while no commit of the
-  // store is in progress.
+  // Sends pending notifications, and abandons a request that has timed out. Must be called while no commit of
+  // the store is in progress.
   void onTick();
   // When onTick() is to be called next.
   Millis due() const;
-  // Whether the platform has confirmed everything.
+  // Whether the platform has confirmed all notifications.
   bool idle() const { return store_.pendingNotifications().empty(); }
 
  private:
-  // oneByOne: after a request that the platform rejected, so that one notification that it cannot read holds
-  // up no other. It lasts until everything is confirmed.
+  // oneByOne is used after the platform rejected a request, so that one notification that it cannot parse
+  // does not block the others. This mode lasts until all notifications are confirmed.
   enum class Mode { batched, oneByOne };
 
   void onResponse(HttpClientConnection& connection) override;
@@ -49,13 +49,13 @@
   std::string host_;
   std::unique_ptr<HttpClientConnection> connection_;
   std::vector<MessageId>
-      awaitingConfirmation_;  // the notifications in the current request; empty without one
+      awaitingConfirmation_;  // the notifications in the current request; empty if there is none
   Mode mode_{Mode::batched};
   std::uint32_t nextSingle_{
-      0};                // counts the requests sent one by one, so that each notification has its turn
+      0};                // counts the requests in mode oneByOne, so that the notifications are sent in turn
   Millis sentAt_{0};     // when the current request was sent
-  Millis notBefore_{0};  // when the next request may go out
-  Millis backoff_{0};    // after the last failed request; 0 after a confirmed one
+  Millis notBefore_{0};  // when the next request may be sent
+  Millis backoff_{0};    // wait after the last failed request; 0 after a confirmed one
 };
 
 }  // namespace stonewing
--- a/src/delivery/outcome_recorder.cpp
+++ b/src/delivery/outcome_recorder.cpp
@@ -5,8 +5,9 @@
 namespace stonewing {
 namespace {
 
-// A message's deadline counts from when its client sent it, and our clock from when we read it. That is so
-// much later at the most, in milliseconds: a longer delay is noticed (EventLoop::stalledFor).
+// A message's deadline counts from the time at which its client sent it, but this process counts from the
+// time at which it read the message. This is the longest difference, in milliseconds, that goes unnoticed:
+// EventLoop::stalledFor detects a longer delay.
 constexpr Millis kMaxReadDelay = 100;
 
 bool isProvablyNotExecuted(AttemptOutcome outcome) {
@@ -32,10 +33,12 @@
   attempt.state = BatchedAttempt::State::finished;
   bool isFinal = result.scope == OutcomeScope::message || result.outcome == AttemptOutcome::completed;
   MessageId message = attempt.message;
-  // Before the policy hears of the outcome: after that the message may have no deadline any more.
+  // Determined before the policy is notified of the outcome: after that the message may have no deadline any
+  // more.
   Arrival arrival = loop_.now() < deadlineOf(message) - kMaxReadDelay ? Arrival::onTime : Arrival::maybeLate;
   if (wasFinished) {
-    // Cancelled or timed out before, and now it was delivered after all: nothing more may be sent for it.
+    // The attempt was cancelled or timed out before, and its message was delivered after all: no further
+    // attempt may be sent for it.
     if (!isFinal || store_.find(message) == nullptr) return;
     policy_.cancelMessage(message);
     recordFinalOutcome(message, arrival);
@@ -50,9 +53,9 @@
   if (isFinal) recordFinalOutcome(message, arrival);
 }
 
-// A response that was written when the message's deadline had just passed delivers nothing, and the platform
-// must still be notified. On arrival it cannot be distinguished from one written just before. A notification
-// for a message that was delivered does no harm.
+// A response that was written just after the message's deadline delivers nothing, and the platform must still
+// be notified. When it arrives, it cannot be distinguished from a response written just before the deadline.
+// A notification of a delivered message does no harm.
 void OutcomeRecorder::recordFinalOutcome(MessageId message, Arrival arrival) {
   if (arrival == Arrival::onTime) return store_.recordDelivered(message);
   store_.addPendingNotification(message, FinalOutcome::failed, 0);
--- a/src/delivery/outcome_recorder.h
+++ b/src/delivery/outcome_recorder.h
@@ -10,7 +10,8 @@
 
 namespace stonewing {
 
-// Tells the policy and the message store how each attempt ended. To be used on the event loop's thread alone.
+// Records the outcome of each attempt in the policy and the message store. Must be used on the event loop's
+// thread only.
 class OutcomeRecorder {
  public:
   // All references must outlive the recorder.
@@ -18,17 +19,17 @@
                   const DeliveryLog& log)
       : loop_(loop), policy_(policy), store_(store), names_(names), log_(log) {}
 
-  // Marks an attempt of a connection's request as finished, and records its result. For one that was finished
-  // before, only a result that is final for its message still counts.
+  // Marks an attempt of a connection's request as finished, and records its result. If the attempt was
+  // already finished, only a result that is final for its message is recorded.
   void record(const EndpointConnection& connection, BatchedAttempt& attempt, const AttemptResult& result);
 
-  // What the response on a connection reports of the rate limit; nothing before its status line has come.
+  // The load report in the response on a connection; an empty report before the status line has arrived.
   LoadReport loadReportOf(const EndpointConnection& connection) const;
-  // Until when a message is to be delivered, in milliseconds of the event loop's clock; 0 if it is finished.
+  // The deadline of a message, in milliseconds of the event loop's clock; 0 if the message is finished.
   Millis deadlineOf(MessageId message) const;
 
  private:
-  // Whether a response came surely before its message's deadline.
+  // Whether a response certainly arrived before its message's deadline.
   enum class Arrival { onTime, maybeLate };
   void recordFinalOutcome(MessageId message, Arrival arrival);
 
--- a/src/delivery/request_writer.cpp
+++ b/src/delivery/request_writer.cpp
@@ -23,7 +23,7 @@
   connection.add(message.body);
 }
 
-// The line in front of a message's body in a batch: "reference key length", "-" for no key.
+// The line before a message's body in a batch: "reference key length", with "-" if there is no key.
 std::string batchLineOf(const StoredMessage& message) {
   return message.reference + " " + (message.idempotencyKey.empty() ? "-" : message.idempotencyKey) + " " +
          std::to_string(message.body->size()) + "\r\n";
--- a/src/delivery/response_reader.cpp
+++ b/src/delivery/response_reader.cpp
@@ -20,7 +20,7 @@
   return milliseconds ? static_cast<Millis>(*milliseconds) : 0;
 }
 
-// Cuts the first line off the front of `text`, and returns it without its end.
+// Removes the first line from `text`, and returns it without its line end.
 std::string_view takeLine(std::string_view& text) {
   std::size_t lineFeed = std::min(text.find('\n'), text.size());
   std::string_view line = text.substr(0, lineFeed);
@@ -29,8 +29,8 @@
   return line;
 }
 
-// The body of a batch response: a line "reference word" for each message. The views point into `body`. Of
-// several lines for one message the last one counts; lines without a blank are ignored.
+// Parses the body of a batch response: a line "reference word" for each message. The views point into `body`.
+// If several lines have the same reference, the last one counts; lines without a blank are ignored.
 std::map<std::string_view, std::string_view> readBatchBody(std::string_view body) {
   std::map<std::string_view, std::string_view> wordOfReference;
   while (!body.empty()) {
@@ -41,14 +41,14 @@
   return wordOfReference;
 }
 
-// What a batch response says of one message. A Retry-After holds for the endpoint, whatever word it came
-// with.
+// The result that a batch response reports for one message. A Retry-After applies to the endpoint,
+// independent of the word.
 AttemptResult resultOfBatchWord(std::string_view word, Millis retryAfter) {
   if (word == "ok") return {AttemptOutcome::completed, OutcomeScope::message, retryAfter};
   if (word == "later") return {AttemptOutcome::rejected, OutcomeScope::attempt, retryAfter};
   if (word == "gone") return {AttemptOutcome::notSent, OutcomeScope::message, retryAfter};
   if (word == "exhausted") return {AttemptOutcome::notSent, OutcomeScope::attempt, retryAfter};
-  // Also where nothing is said of the message: it may have been executed.
+  // This includes a message without a line in the response: the message may have been executed.
   return {AttemptOutcome::error, OutcomeScope::attempt, retryAfter};
 }
 
@@ -64,7 +64,7 @@
   return results;
 }
 
-// What a status says of every attempt of the request alike.
+// The result that a status means for every attempt of the request.
 AttemptResult resultOfStatus(const EndpointConnection& connection) {
   switch (connection.status()) {
     case kOk:
@@ -72,7 +72,7 @@
     case kTooManyRequests:
       return {AttemptOutcome::rejected, OutcomeScope::attempt, retryAfterOf(connection)};
     case kServiceUnavailable:
-      // All concurrent requests of this dispatcher were in use: the endpoint never saw this one.
+      // This dispatcher has used up its concurrency limit: the endpoint did not receive this request.
       if (connection.header("X-Egress-Full") == "1") return {AttemptOutcome::notSent};
       return {AttemptOutcome::rejected, OutcomeScope::attempt, retryAfterOf(connection)};
     case kGatewayTimeout:
@@ -81,7 +81,7 @@
       return {AttemptOutcome::notSent, OutcomeScope::message};
     case kBadRequest:
     case kPayloadTooLarge:
-      // In a batch another message may be at fault, and each may be sent again.
+      // In a batch, the fault may lie in another message, and each message may be sent again.
       return {connection.attempts().size() > 1 ? AttemptOutcome::notSent : AttemptOutcome::error};
     default:
       return {AttemptOutcome::error};
@@ -104,19 +104,20 @@
   return AttemptOutcome::error;
 }
 
-AttemptOutcome outcomeWithoutResponse(const EndpointConnection& connection, AttemptOutcome ifSilent) {
-  // Before its last byte was written the request cannot have been executed.
+AttemptOutcome outcomeWithoutResponse(const EndpointConnection& connection, AttemptOutcome ifNoResponse) {
+  // A request whose last byte was not written cannot have been executed.
   if (!connection.isRequestWritten()) return AttemptOutcome::connectFailed;
-  // A status line that says 200 is true, whatever follows it.
+  // A status line with 200 is valid, even if the remaining response is not.
   if (connection.status() == kOk && connection.attempts().size() == 1) return AttemptOutcome::completed;
-  // Anything else came from an endpoint that is there and has executed the request, and spoilt its response.
-  // Counted as a dead connection, it would make the policy trust idle connections less.
-  return connection.hasReceived() ? AttemptOutcome::error : ifSilent;
+  // Any other bytes come from an endpoint that is alive, has executed the request, and has sent a malformed
+  // response. If the outcome were that of a dead connection, the policy would reuse idle connections for less
+  // time.
+  return connection.hasReceived() ? AttemptOutcome::error : ifNoResponse;
 }
 
-AttemptOutcome outcomeOfInterruption(const EndpointConnection& connection, AttemptOutcome ifSilent) {
+AttemptOutcome outcomeOfInterruption(const EndpointConnection& connection, AttemptOutcome ifNoResponse) {
   if (!connection.isRequestWritten()) return AttemptOutcome::notSent;
-  return outcomeWithoutResponse(connection, ifSilent);
+  return outcomeWithoutResponse(connection, ifNoResponse);
 }
 
 }  // namespace stonewing
--- a/src/delivery/response_reader.h
+++ b/src/delivery/response_reader.h
@@ -6,35 +6,35 @@
 #include "policy/decision.h"
 #include "settings/deployment_settings.h"
 
-// How the end of a request, with or without a response, becomes the outcome of each of its attempts. These
-// functions change nothing; the bytes that they read stay with the connection.
+// Derives the outcome of each attempt from the end of its request, with or without a response. The functions
+// change nothing; the connection owns the bytes that they read.
 namespace stonewing {
 
-// Whether an outcome is final for the message, or for the attempt alone.
+// Whether an outcome is final for the message or only for the attempt.
 enum class OutcomeScope { attempt, message };
 
-// How one attempt ended.
+// The result of one attempt.
 struct AttemptResult {
   AttemptOutcome outcome{};
   OutcomeScope scope{OutcomeScope::attempt};
-  Millis retryAfter{0};  // what the endpoint asked to wait, in milliseconds from now; 0 for nothing
+  Millis retryAfter{0};  // the wait that the endpoint requested, in milliseconds from now; 0 if none
 };
 
-// The results that a complete response states, one for each attempt of the request, in their order.
+// The results that a complete response reports, one for each attempt of the request, in their order.
 std::vector<AttemptResult> readAttemptResults(const EndpointConnection& connection);
 
-// Whether a status says that the endpoint could not read the request: a fault of this program.
+// Whether a status means that the endpoint could not parse the request, which is a fault of this program.
 bool isRequestUnreadable(int status);
 
-// What a complete response to a health check says.
+// The outcome of a health check, by the status of a complete response.
 AttemptOutcome healthCheckOutcome(int status);
 
-// The outcome of a request that ended without a complete response. `ifSilent` applies where the request was
-// written in full and nothing came back.
-AttemptOutcome outcomeWithoutResponse(const EndpointConnection& connection, AttemptOutcome ifSilent);
+// The outcome of a request that ended without a complete response. `ifNoResponse` is returned if the request
+// was written in full and no byte of a response arrived.
+AttemptOutcome outcomeWithoutResponse(const EndpointConnection& connection, AttemptOutcome ifNoResponse);
 
-// The outcome of an attempt that this process ends itself, by cancelling it or because it timed out.
-// `ifSilent` applies where the request was written in full and nothing came back.
-AttemptOutcome outcomeOfInterruption(const EndpointConnection& connection, AttemptOutcome ifSilent);
+// The outcome of an attempt that this process ends itself, because it was cancelled or timed out.
+// `ifNoResponse` is returned if the request was written in full and no byte of a response arrived.
+AttemptOutcome outcomeOfInterruption(const EndpointConnection& connection, AttemptOutcome ifNoResponse);
 
 }  // namespace stonewing
