--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -6,45 +6,47 @@
 namespace stonewing {
 namespace {
 
-// A client waits so long for an answer, and submits the message again elsewhere when there is none.
+// The time for which a client waits for an answer. After that it submits the message again elsewhere.
 constexpr Millis kClientTimeout = 400;
-// Pressure rises from 0 at kEasyTurnWork to 1 at kMaxTurnWork. With turns of an eighth of the client's
-// timeout all clients are answered in time, as long as reading and rejecting alone do not fill the loop; with
-// a quarter of it half of the clients had left unanswered, each to submit again (stonewing_lab gates). A
-// journal write that is under way keeps answers waiting as a turn does, and counts the same.
-constexpr Millis kEasyTurnWork = 20;
-constexpr Millis kMaxTurnWork = 50;
-// Weight of a turn in the running mean, when it is shorter than the mean. A single short turn must not end
+// Pressure rises from 0 at kLowTurnWork to 1 at kHighTurnWork. If turns take an eighth of the client's
+// timeout, all clients are answered in time, unless reading and rejecting alone overload the loop. With turns
+// of a quarter of the timeout, half of the clients left without an answer, and each submitted its message
+// again (stonewing_lab gates). A journal write in progress delays answers as a turn does, so its age counts
+// the same.
+constexpr Millis kLowTurnWork = 20;
+constexpr Millis kHighTurnWork = 50;
+// Weight of a turn in the running mean if the turn is shorter than the mean. A single short turn must not end
 // the pressure.
 constexpr double kShortTurnWeight = 0.25;
-// Share of the journal's capacity in use from which pressure rises, up to 1 when the journal is full.
-constexpr double kEasyJournalFill = 0.9;
-// Pressure when no further message may be in flight. Anything from 1 on rejects all messages.
+// Share of the journal's capacity in use above which pressure rises; pressure is 1 when the journal is full.
+constexpr double kLowJournalFill = 0.9;
+// Pressure when the limit of messages in flight is reached. All messages are rejected from a pressure of 1
+// on.
 constexpr double kOutOfCapacityPressure = 2;
-// Time constant with which turns, final answers and rejections fade.
+// Time constant for the decay of recorded turns, final answers and rejections.
 constexpr Millis kRecentTimeConstant = 1000;
-// Shortest advice: sooner than that nothing has changed.
+// The shortest Retry-After: a client that returns sooner would meet the same overload.
 constexpr Millis kMinRetryAfter = 20;
-// Advice is multiplied by a random factor between these, so that rejected clients do not return at one
-// moment.
-constexpr double kMinAdviceFactor = 0.5;
-constexpr double kMaxAdviceFactor = 1.5;
-constexpr double kRandomRange = 4294967296.0;  // 2^32, the values of std::mt19937
-// Keeps divisors above 0.
+// A Retry-After is multiplied by a random factor between these, so that rejected clients do not all return at
+// the same moment.
+constexpr double kMinRetryAfterFactor = 0.5;
+constexpr double kMaxRetryAfterFactor = 1.5;
+constexpr double kRandomRange = 4294967296.0;  // 2^32, the number of values of std::mt19937
+// Lower limit of divisors, which prevents divisions by 0.
 constexpr double kMinDivisor = 1e-9;
 
-double fadeFactor(Millis age) { return std::exp(-std::max(0.0, age) / kRecentTimeConstant); }
+double decayFactor(Millis age) { return std::exp(-std::max(0.0, age) / kRecentTimeConstant); }
 
-// 0 up to `easy`, then rising linearly: 1 at `most`, and above 1 beyond it.
-double pressureOf(double value, double easy, double most) {
-  if (value <= easy) return 0;
-  return (value - easy) / std::max(kMinDivisor, most - easy);
+// 0 up to `low`, then rising linearly: 1 at `high`, and more than 1 above it.
+double pressureOf(double value, double low, double high) {
+  if (value <= low) return 0;
+  return (value - low) / std::max(kMinDivisor, high - low);
 }
 
 }  // namespace
 
 double AdmissionController::DecayingCount::valueAt(Millis now) const {
-  return value * fadeFactor(now - updatedAt);
+  return value * decayFactor(now - updatedAt);
 }
 
 void AdmissionController::DecayingCount::add(Millis now) {
@@ -52,7 +54,8 @@
   updatedAt = now;
 }
 
-// A long turn counts at once, since what it kept waiting is about to be read; a short one only by its weight.
+// A long turn counts fully at once, since the events that it delayed are about to be read; a shorter turn
+// counts only by its weight.
 void AdmissionController::recordTurn(Millis now, Millis worked) {
   if (worked >= turnWork_) {
     turnWork_ = worked;
@@ -64,30 +67,31 @@
 
 void AdmissionController::recordFinished(Millis now) { recentFinished_.add(now); }
 
-// A loop that has rested since its last turn is no longer as far behind as that turn shows.
+// A loop that has been idle since its last turn is no longer as far behind as that turn indicates.
 double AdmissionController::decayedTurnWork(Millis now) const {
   if (turnWorkUpdatedAt_ < 0) return 0;
-  return turnWork_ * fadeFactor(now - turnWorkUpdatedAt_);
+  return turnWork_ * decayFactor(now - turnWorkUpdatedAt_);
 }
 
 double AdmissionController::pressure(const AdmissionInputs& inputs) const {
-  // Below the limit it is the policy that evicts messages.
+  // Below the limit, the policy evicts messages if necessary.
   if (inputs.messagesInFlight >= settings_.maxInFlight) return kOutOfCapacityPressure;
-  // A turn that reads a surge is known to be long before it has ended.
+  // While a turn reads a burst of submissions, its work so far already shows that the turn is long.
   Millis work = std::max(decayedTurnWork(inputs.now), inputs.workThisTurn);
-  // A journal write that hangs keeps all answers waiting as a long turn does, though the loop itself is idle.
-  return std::max({pressureOf(work, kEasyTurnWork, kMaxTurnWork),
-                   pressureOf(inputs.journalWriteAge, kEasyTurnWork, kMaxTurnWork),
-                   pressureOf(inputs.journalFillShare, kEasyJournalFill, 1)});
+  // A journal write that hangs delays all answers as a long turn does, although the loop itself is idle.
+  return std::max({pressureOf(work, kLowTurnWork, kHighTurnWork),
+                   pressureOf(inputs.journalWriteAge, kLowTurnWork, kHighTurnWork),
+                   pressureOf(inputs.journalFillShare, kLowJournalFill, 1)});
 }
 
-// How long it takes until one more message can be accepted, behind those that were rejected before it, at the
-// rate at which messages finish.
+// The expected time until one more message can be accepted, at the rate at which messages finish, if the
+// messages that were rejected before it are accepted first.
 Millis AdmissionController::expectedWait(Millis now, Millis journalWriteAge) const {
-  // While a journal write hangs no message finishes, and nobody knows for how long: it is expected to hang
-  // for as long again. But a rejection costs the client no more time than no answer would, since it may be
-  // accepted by another dispatcher.
-  if (journalWriteAge > kEasyTurnWork) return std::min(journalWriteAge, kClientTimeout);
+  // While a journal write hangs, no message finishes, and the end of the write is unknown: the write is
+  // expected to hang for as long again as it has so far. The wait is limited to the client's timeout, so that
+  // a rejection costs the client no more time than a missing answer would; another dispatcher may accept the
+  // message.
+  if (journalWriteAge > kLowTurnWork) return std::min(journalWriteAge, kClientTimeout);
   double finishedPerMs = recentFinished_.valueAt(now) / kRecentTimeConstant;
   if (finishedPerMs <= 0) return settings_.maxRetryAfter;
   return recentRejections_.value / finishedPerMs;
@@ -95,13 +99,14 @@
 
 Millis AdmissionController::drawRetryAfter(Millis now, Millis journalWriteAge) {
   recentRejections_.add(now);
-  // Drawn also where no advice is given: the sequence of random numbers does not depend on the settings.
-  double range = kMaxAdviceFactor - kMinAdviceFactor;
-  double factor = kMinAdviceFactor + range * static_cast<double>(random_()) / kRandomRange;
-  Millis most = settings_.maxRetryAfter;
-  if (!settings_.mayAdviseRetryAfter || most <= 0) return 0;
-  Millis wait = std::min(expectedWait(now, journalWriteAge), most / kMaxAdviceFactor);
-  return std::clamp(wait * factor, std::min(kMinRetryAfter, most), most);
+  // Drawn even if no Retry-After is sent, so that the sequence of random numbers does not depend on the
+  // settings.
+  double range = kMaxRetryAfterFactor - kMinRetryAfterFactor;
+  double factor = kMinRetryAfterFactor + range * static_cast<double>(random_()) / kRandomRange;
+  Millis maxRetryAfter = settings_.maxRetryAfter;
+  if (!settings_.mayAdviseRetryAfter || maxRetryAfter <= 0) return 0;
+  Millis wait = std::min(expectedWait(now, journalWriteAge), maxRetryAfter / kMaxRetryAfterFactor);
+  return std::clamp(wait * factor, std::min(kMinRetryAfter, maxRetryAfter), maxRetryAfter);
 }
 
 AdmissionDecision AdmissionController::decide(const AdmissionInputs& inputs, double priorityWeight,
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -5,19 +5,19 @@
 
 #include "base/ids.h"
 
-// Overload control of the dispatcher itself: whether a submitted message is accepted at all, decided before
-// it is written to the journal. Messages that were accepted are the policy's matter; this looks only at
-// whether the dispatcher is out of capacity for messages, its journal is nearly full, a journal write hangs,
-// or its event loop falls behind.
+// Overload control of the dispatcher itself: decides whether a submitted message is accepted, before it is
+// written to the journal. The policy handles messages after their acceptance. The decision depends only on
+// whether the limit of messages in flight is reached, the journal is nearly full, a journal write hangs, or
+// the event loop falls behind.
 namespace stonewing {
 
 // Times are milliseconds.
 struct AdmissionSettings {
-  int maxInFlight{1};               // messages accepted and without a final answer
-  bool mayAdviseRetryAfter{false};  // whether a rejection may say when to submit again
-  Millis maxRetryAfter{0};          // the longest time that it may say
-  double maxPriorityWeight{1};      // the highest of all traffic types
-  double overQuotaWeightShare{1};   // share of its weight that a message over its tenant's quota has
+  int maxInFlight{1};               // limit of accepted messages without a final answer
+  bool mayAdviseRetryAfter{false};  // whether a rejection may carry a Retry-After
+  Millis maxRetryAfter{0};          // the longest Retry-After of a rejection
+  double maxPriorityWeight{1};      // the highest weight of all traffic types
+  double overQuotaWeightShare{1};   // factor on the weight of a message over its tenant's quota
 };
 
 // The state of the dispatcher at a decision. Times are milliseconds.
@@ -25,41 +25,41 @@
   Millis now{0};
   int messagesInFlight{0};
   double journalFillShare{0};  // share of the journal's capacity that is in use
-  Millis journalWriteAge{0};   // for how long the pending journal write has been under way; 0: none is
-  Millis workThisTurn{0};      // of the event loop so far, sleep not counted
+  Millis journalWriteAge{0};   // duration of the journal write in progress so far; 0 if there is none
+  Millis workThisTurn{0};      // work of the event loop in this turn so far, without sleep
 };
 
 struct AdmissionDecision {
   bool accepted{true};
-  Millis retryAfter{0};  // of a rejection, in milliseconds; 0: it says no time
+  Millis retryAfter{0};  // of a rejection, in milliseconds; 0 if it carries none
 };
 
-// Accepts or rejects messages by how overloaded the dispatcher is and what a message is worth. No clock,
-// sockets or threads of its own: times are those of the caller's clock, and random numbers follow from the
-// seed alone.
+// Accepts or rejects messages by the overload of the dispatcher and the weight of the message. Uses no clock,
+// sockets or threads: times are those of the caller's clock, and random numbers depend on the seed alone.
 class AdmissionController {
  public:
   AdmissionController(const AdmissionSettings& settings, std::uint64_t seed)
       : settings_(settings), random_(static_cast<std::mt19937::result_type>(seed ^ (seed >> 32))) {}
 
-  // A turn of the event loop has ended; it worked for so long, sleep not counted.
+  // Records a turn of the event loop that has ended. `worked` is its duration without sleep.
   void recordTurn(Millis now, Millis worked);
-  // An accepted message has got its final answer, whichever it is.
+  // Records that an accepted message has got its final answer, whether delivered or not.
   void recordFinished(Millis now);
-  // A message was rejected for another reason, such as a journal that could not store it. Returns when to
-  // submit it again, as AdmissionDecision::retryAfter does.
+  // Records a rejection for another reason, such as a journal that could not store the message. Returns the
+  // Retry-After of the rejection, as AdmissionDecision::retryAfter does.
   Millis recordRejection(Millis now) { return drawRetryAfter(now, 0); }
 
-  // Whether a submitted message is accepted. priorityWeight: of its traffic type; overQuota: whether its
-  // tenant is over its quota. A rejection counts for the advice that later ones get.
+  // Decides whether a submitted message is accepted. `priorityWeight` is the weight of its traffic type;
+  // `overQuota` is whether its tenant is over its quota. A rejection lengthens the Retry-After of later
+  // rejections.
   AdmissionDecision decide(const AdmissionInputs& inputs, double priorityWeight, bool overQuota);
 
-  // How overloaded the dispatcher is. 0: not at all; below 1: messages of less than this share of the highest
-  // weight are rejected; from 1 on: all messages are.
+  // The overload of the dispatcher. 0: none; below 1: messages with less than this share of the highest
+  // weight are rejected; from 1 on: all messages are rejected.
   double pressure(const AdmissionInputs& inputs) const;
 
  private:
-  // A count of events in which each event fades with its age.
+  // A count of events in which the contribution of each event decays with its age.
   struct DecayingCount {
     double value{0};
     Millis updatedAt{0};
@@ -74,8 +74,8 @@
 
   AdmissionSettings settings_;
   std::mt19937 random_;
-  Millis turnWork_{0};            // work of recent turns: the longest, falling towards the running mean
-  Millis turnWorkUpdatedAt_{-1};  // before 0: no turn was recorded
+  Millis turnWork_{0};            // work of recent turns: the longest, decreasing towards the running mean
+  Millis turnWorkUpdatedAt_{-1};  // below 0 if no turn was recorded
   DecayingCount recentFinished_;  // final answers
   DecayingCount recentRejections_;
 };
