--- a/tests/storage/journal_compatibility_test.cpp
+++ b/tests/storage/journal_compatibility_test.cpp
@@ -12,14 +12,14 @@
 #include "storage/message_store.h"
 #include "support/temporary_directory.h"
 
-// Journals that the program of commit 4dcfc7e wrote, byte for byte, are read by the present one: a dispatcher
-// that is upgraded goes on with what its predecessor left. The bytes were written by that program's message
-// store, with the messages that recordMessages() below records; the file of version 1 began with a record
-// with that version's CRC-32, so that the program went on in version 1.
+// Journals that the program of commit 4dcfc7e wrote must be read by the present program, so that an upgraded
+// dispatcher continues with the state of its predecessor. The bytes were written by the message store of that
+// program, with the messages that recordMessages() below records. For the file of version 1, the first record
+// was written with the CRC-32 of that version, so that the program continued in version 1.
 namespace stonewing::testing {
 namespace {
 
-// A head ("SWJ" and the version), then records with an XXH3 checksum.
+// A header ("SWJ" and the version), then records with an XXH3 checksum.
 constexpr std::string_view kVersionTwoHex =
     "53574a02570000006a2ff49a01010000000004e41205ae79420200000032610b000000696e2d666c696768742d312300"
     "0000633d6f726465722c743d776573742c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d"
@@ -37,7 +37,7 @@
     "506f401a000000fa301e120404000000080000006661696c65642d340100000000000000001d000000f2ad8a4d040500"
     "00000b000000636f6e6669726d65642d3501000000000000000005000000976d90230505000000";
 
-// No head, and records with a CRC-32 checksum.
+// No header, and records with a CRC-32 checksum.
 constexpr std::string_view kVersionOneHex =
     "57000000f74409a801010000000004e41205ae79420200000032610b000000696e2d666c696768742d3123000000633d"
     "6f726465722c743d776573742c643d383030302c6b3d356330662c646573743d370a0000006c616d7020370d0a00ff40"
@@ -67,8 +67,8 @@
 
 std::string bytesOf(std::string_view hex) {
   std::string bytes;
-  for (std::size_t at = 0; at < hex.size(); at += 2) {
-    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(at, 2)), nullptr, 16)));
+  for (std::size_t offset = 0; offset < hex.size(); offset += 2) {
+    bytes.push_back(static_cast<char>(std::stoi(std::string(hex.substr(offset, 2)), nullptr, 16)));
   }
   return bytes;
 }
@@ -78,7 +78,8 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-// What the journals hold: six messages, each record type, and every field with a value of its own.
+// Records the messages of the journals above: six messages, each record type, and a different value in every
+// field.
 void recordMessages(MessageStore& store) {
   auto accept = [&](const char* orderingKey, const char* reference, const char* fields,
                     const std::string& body, Millis wall) {
@@ -169,7 +170,7 @@
   const char* version;
   std::string_view hex;
 };
-// Failures print the version, not the whole file.
+// Failures print the version instead of the whole file.
 void PrintTo(const EarlierJournal& journal, std::ostream* out) { *out << journal.version; }
 
 class JournalCompatibility : public ::testing::TestWithParam<EarlierJournal> {};
@@ -186,12 +187,12 @@
   MessageStore store(names, directory.path.string(), kMaxBytes);
   EXPECT_EQ(store.restore(), 0u);
   expectRecordedMessages(store);
-  EXPECT_EQ(readFile(directory.path / "journal"), bytes);  // reading alone changes nothing
-  // The ids of the earlier process are not used again.
+  EXPECT_EQ(readFile(directory.path / "journal"), bytes);  // restoring does not change the file
+  // The ids that the earlier process assigned are not used again.
   EXPECT_EQ(store.accept(store.decode("0", "next", "c=status,d=1,dest=1", "", 0)), MessageId{7});
 }
 
-// What an earlier process left is read after this one has appended to it, too.
+// The messages of an earlier process can still be restored after this process has appended to the journal.
 TEST_P(JournalCompatibility, RestoresAnEarlierJournalThatThisProgramAppendedTo) {
   TemporaryDirectory directory;
   std::ofstream(directory.path / "journal", std::ios::binary) << bytesOf(GetParam().hex);
@@ -211,7 +212,7 @@
   expectRecordedMessages(restored);
 }
 
-// A program that goes back to the earlier build must be able to read what this one writes.
+// After a return to the earlier build, that build must be able to read the journal of the present one.
 TEST(JournalFormat, IsTheSameByteForByteAsThatOfTheEarlierProgram) {
   TemporaryDirectory directory;
   NameTables names = readNameTables(kSettings);
--- a/tests/storage/journal_test.cpp
+++ b/tests/storage/journal_test.cpp
@@ -14,12 +14,12 @@
 #include "base/bytes.h"
 #include "support/temporary_directory.h"
 
-// The file format of the journal: versions, torn tails and compaction.
+// The file format of the journal: versions, incomplete records at the end, and compaction.
 namespace stonewing::testing {
 namespace {
 
-// Without this, an upgraded program would take the journal of the one before it for torn, and cut off every
-// accepted message.
+// Without this, an upgraded program would treat the journal of the earlier program as incomplete, and would
+// truncate all accepted messages.
 TEST(Journal, ReadsAndAppendsToVersionOneAndCompactsItIntoVersionTwo) {
   auto frameOfVersionOne = [](const std::string& record) {
     std::uint32_t checksum = 0xffffffffu;
@@ -68,14 +68,14 @@
   EXPECT_EQ(std::string(std::istreambuf_iterator<char>(in), {}), bytes);
 }
 
-// A kill in the middle of a write leaves half a record. Without the cut, all records after it would be
+// A kill during a write leaves a partial record. If it were not removed, all records after it would be
 // unreadable.
 TEST(Journal, KeepsAllWholeRecordsAndAcceptsNewOnesWhenCutAtAnyByte) {
   TemporaryDirectory folder;
   std::string path = (folder.path / "journal").string();
-  const std::string head = "SWJ\2";
-  std::string bytes = head + Journal::framed("first") + Journal::framed("second");
-  std::size_t whole = head.size() + Journal::framed("first").size();
+  const std::string header = "SWJ\2";
+  std::string bytes = header + Journal::framed("first") + Journal::framed("second");
+  std::size_t firstRecordEnd = header.size() + Journal::framed("first").size();
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     std::ofstream(path, std::ios::trunc) << bytes.substr(0, cut);
     std::ofstream(path + ".new") << "a compaction that was interrupted";
@@ -83,8 +83,11 @@
     auto collect = [&](std::string_view record) { read.emplace_back(record); };
     {
       Journal journal(folder.path.string(), 100000);
-      std::size_t kept = cut < head.size() ? 0 : cut < whole ? head.size() : cut < bytes.size() ? whole : cut;
-      EXPECT_EQ(journal.replay(collect), cut - kept);
+      std::size_t readable = cut < header.size()    ? 0
+                             : cut < firstRecordEnd ? header.size()
+                             : cut < bytes.size()   ? firstRecordEnd
+                                                    : cut;
+      EXPECT_EQ(journal.replay(collect), cut - readable);
       ASSERT_TRUE(journal.append("third"));
       EXPECT_TRUE(journal.commit().empty());
     }
@@ -93,7 +96,7 @@
     Journal(folder.path.string(), 100000).replay(collect);
     std::vector<std::string> expected{"third"};
     if (cut == bytes.size()) expected.insert(expected.begin(), "second");
-    if (cut >= whole) expected.insert(expected.begin(), "first");
+    if (cut >= firstRecordEnd) expected.insert(expected.begin(), "first");
     EXPECT_EQ(read, expected) << cut;
   }
 }
--- a/tests/storage/lost_acceptance_test.cpp
+++ b/tests/storage/lost_acceptance_test.cpp
@@ -10,11 +10,12 @@
 #include "storage/message_store.h"
 #include "support/message_store_fixture.h"
 
-// Messages that a full disk takes back while something else is recorded of them.
+// Accepted messages whose record a full disk did not store, while another record of the same message is
+// added.
 namespace stonewing::testing {
 namespace {
 
-// While it lives, no file of this process may grow beyond that many bytes.
+// Limits the size of all files of this process to `bytes` while it exists.
 class FileSizeLimit {
  public:
   explicit FileSizeLimit(std::size_t bytes) {
@@ -32,11 +33,12 @@
   rlimit previous_{};
 };
 
-// The record of an attempt can need a compaction, whose commit removes a message that a full disk did not
-// take. The attempt of such a message must not be sent, and the store must not touch what it has removed.
+// The record of an attempt may require a compaction, whose commit removes a message that the full disk did
+// not store. An attempt of such a message must not be sent, and the store must not access the removed
+// message.
 TEST(MessageStore, RecordsNoAttemptOfAMessageThatIsLostWhileSpaceIsMade) {
   int lost = 0;
-  // In some of these sizes the message still fits without a compaction, and its attempt does not.
+  // For some of these sizes, the message fits without a compaction, but its attempt does not.
   for (std::size_t bodyBytes = 19000; bodyBytes < 20500; bodyBytes += 10) {
     StoreFixture fixture;
     fixture.store.restore();
--- a/tests/storage/message_store_restart_test.cpp
+++ b/tests/storage/message_store_restart_test.cpp
@@ -11,7 +11,7 @@
 #include "support/message_store_fixture.h"
 #include "support/temporary_directory.h"
 
-// A kill between any two commits, also in the middle of a compaction that goes on in parts.
+// A kill between any two commits, including those during an incremental compaction.
 namespace stonewing::testing {
 namespace {
 
@@ -29,13 +29,13 @@
   return content.str();
 }
 
-// Runs with the journal written by the caller and by the background writer. With the latter, more is recorded
-// while a commit is in progress.
+// Each test runs once with a journal written by the calling thread and once with the background writer. With
+// the background writer, further changes are recorded while a commit is in progress.
 class MessageStoreRestart : public ::testing::TestWithParam<JournalWriter> {};
 INSTANTIATE_TEST_SUITE_P(Writers, MessageStoreRestart,
                          ::testing::Values(JournalWriter::callingThread, JournalWriter::backgroundThread));
 
-// What the directory then holds must be what the commits kept, no more and no less.
+// After a kill, the journal must restore exactly the state of the last commit.
 TEST_P(MessageStoreRestart, RestoresWhatTheLastCommitKeptWhenKilledAfterIt) {
   std::mt19937 random(11);
   constexpr std::size_t kMaxBytes = 500000;
--- a/tests/storage/message_store_test.cpp
+++ b/tests/storage/message_store_test.cpp
@@ -14,11 +14,11 @@
 #include "support/message_store_fixture.h"
 #include "support/temporary_directory.h"
 
-// What the message store keeps, rejects and restores.
+// Tests which records the message store keeps, rejects and restores.
 namespace stonewing::testing {
 namespace {
 
-// No file of this process may grow beyond that many bytes from now on; 0: any may.
+// Limits the size of all files of this process to `bytes` from now on; 0 removes the limit.
 void limitFileSize(std::size_t bytes) {
   ::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -62,7 +62,8 @@
             confirmed->value);
 }
 
-// A dispatcher over its disk limit counts as crashed, and the file and its compaction count together.
+// A dispatcher that exceeds its disk limit counts as crashed. The limit applies to the total size of the
+// journal and the compacted file.
 TEST(MessageStore, StaysWithinItsDiskLimitAndRejectsWhatDoesNotFit) {
   StoreFixture fixture;
   fixture.store.restore();
@@ -93,8 +94,8 @@
   EXPECT_EQ(restored.inFlight().size(), inFlight.size());
 }
 
-// Of what one turn wrote together only a part fits. An attempt that was not journaled must not be sent, nor
-// may its number let another attempt, which may have been executed, count as one that provably was not.
+// Only a part of the records of one turn fits. An attempt without a record must not be sent. Its number must
+// not make another attempt, which may have been executed, count as provably not executed.
 TEST(MessageStore, KeepsTheRecordsOfACommitThatFitAndNumbersAttemptsByThem) {
   StoreFixture fixture;
   fixture.store.restore();
--- a/tests/storage/slow_disk_test.cpp
+++ b/tests/storage/slow_disk_test.cpp
@@ -11,12 +11,13 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// A dispatcher whose disk hangs, by a preloaded library that holds up its writes while a file "hang" exists.
+// A dispatcher whose disk hangs: a preloaded library blocks its writes while a file "hang" exists.
 namespace stonewing::testing {
 namespace {
 
-// A directory that hangs for seconds would block the event loop, so that every client goes unanswered and
-// the responses of endpoints lie unread; and nothing may be answered or sent that is not journaled.
+// A directory that hangs for seconds must not block the event loop: no client would get an answer, and
+// responses of endpoints would stay unread. Meanwhile the dispatcher must not accept a message or send an
+// attempt whose record is not in the journal.
 TEST(SlowDisk, RejectsAtOnceAndAnswersAndSendsNothingThatIsNotJournaled) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
   HttpServerStub platform(confirmNotifications);
@@ -49,7 +50,7 @@
   EXPECT_TRUE(eventually(1000, [&] { return endpoint.requestsContaining("X-Request-Id: two") == 1; }));
   EXPECT_TRUE(eventually(1000, [&] { return platform.requestsContaining("three") == 1; }));
   EXPECT_EQ(endpoint.requestsContaining("X-Request-Id: three"), 0u);
-  // Killed while the disk hangs: what was not answered may be lost, but nothing that was.
+  // Killed while the disk hangs: messages without an answer may be lost, but no answered message.
   std::ofstream(dispatcher.directory() / "hang") << "";
   std::thread unanswered([&] { dispatcher.request(submitCommand("five", "c=order,d=8000,dest=7")); });
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
--- a/tests/support/attempt_sender_harness.h
+++ b/tests/support/attempt_sender_harness.h
@@ -21,7 +21,7 @@
 #include "support/loopback.h"
 #include "support/temporary_directory.h"
 
-// The sending side of a dispatcher: policy, store, discovery, sender and event loop, without clients.
+// The sending part of a dispatcher: policy, store, discovery, sender and event loop, without clients.
 namespace stonewing::testing {
 
 inline const char* const kSenderSettings = R"({"request-classes":[
@@ -42,13 +42,13 @@
   return settings;
 }
 
-// One endpoint, s-1 of destination 7, which reads what is sent and responds when the test tells it to. The
-// policy's cancellations are ignored; the test cancels with cancelAttempt(), so that the result does not
-// depend on the clock.
+// A sender with one endpoint, s-1 of destination 7, which records received bytes and responds when the test
+// asks for it. Cancellations decided by the policy are ignored; the test cancels with cancelAttempt(), so
+// that the result does not depend on the clock.
 struct AttemptSenderHarness {
   TemporaryDirectory directory;
   int listener = listenOnLoopback();
-  int connection = -1;  // at the endpoint's side
+  int connection = -1;  // the endpoint's end of the connection
   EventLoop loop;
   DeploymentSettings settings;
   NameTables names = readNameTables(kSenderSettings);
@@ -57,9 +57,9 @@
   MessageStore store{names, directory.path.string(), maxJournalBytes};
   DiscoveryClient discovery{loop, policy, names, *parseAddress("127.0.0.1:9"), "nowhere", 1};
   AttemptSender sender{loop, policy, store, discovery, settings, names, 64, 8};
-  std::string received;  // by the endpoint
+  std::string received;  // bytes received by the endpoint
   std::map<std::string, MessageId> ids;
-  bool executesCancellations{false};  // those that the policy decides
+  bool executesCancellations{false};  // whether cancellations decided by the policy are executed
 
   explicit AttemptSenderHarness(Hedges hedges = Hedges::forbidden, std::size_t journalBytes = 3'000'000)
       : settings(senderSettings(hedges)), maxJournalBytes(journalBytes) {
@@ -71,7 +71,7 @@
     ::close(listener);
   }
 
-  // Applies a watch event with the endpoint in that state, at the address of the listener.
+  // Applies a discovery event with the endpoint in the given state, at the address of the listener.
   void setEndpoint(const std::string& state) {
     discovery.applyAnswer(nlohmann::json::parse(
         R"({"version":1,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:)" +
@@ -79,7 +79,8 @@
         R"(","weight":1.0,"started_ms":0}]})"));
   }
 
-  // Accepts a message of a class of the settings, with a deadline that many milliseconds from now.
+  // Accepts a message of a traffic type of the settings, with a deadline `untilDeadline` milliseconds from
+  // now.
   void accept(const std::string& reference, const std::string& type, Millis untilDeadline,
               const std::string& body = "x") {
     StoredMessage message = store.decode("00", reference, "c=" + type + ",d=1,dest=7", body, 0);
@@ -88,14 +89,14 @@
     policy.acceptMessage(ids[reference], stored->type, {}, {}, DestinationId{7}, loop.now() + untilDeadline);
   }
 
-  // Waits for events for that many milliseconds at most, and begins a round.
+  // Waits for events for at most `timeout` milliseconds, and begins a round of the policy.
   void beginRound(Millis timeout) {
     loop.wait(loop.now() + timeout);
     policy.beginRound(loop.now());
   }
 
-  // Accepts a message whose deduplication window of a second has just begun, with an attempt that may have
-  // been executed.
+  // Accepts a message with an earlier attempt that may have been executed. Its deduplication window of one
+  // second begins now.
   void acceptAttemptedBefore(const std::string& reference, const std::string& body = "x") {
     accept(reference, "repeat", 9000, body);
     policy.recordEarlierAttempt(ids[reference], discovery.idOf("s-1"), loop.now(), false);
@@ -108,7 +109,8 @@
     sender.onTick();
   }
 
-  // Turns the loop until the condition holds; false when it does not within that many milliseconds.
+  // Turns the loop until the condition holds. Returns false if it does not hold within `timeout`
+  // milliseconds.
   bool turnUntil(const std::function<bool()>& condition, Millis timeout = 1000) {
     return eventually(timeout, [&] {
       turn();
@@ -116,19 +118,20 @@
     });
   }
 
-  // Responds 200 to the latest request; whether that finishes all messages.
+  // Responds 200 to the latest request. Returns whether that finishes all messages.
   bool respondAndFinishAll() {
     sendBytes(connection, kEmptyResponse);
     return turnUntil([&] { return store.inFlight().empty(); });
   }
 
-  // Sends what is due in one request; whether the endpoint has received it up to these bytes.
+  // Sends the attempts that are due. Returns whether the endpoint receives bytes that end with `lastBytes`.
   bool sendUpTo(const std::string& lastBytes) {
     sendDecided();
     return receiveUpTo(lastBytes);
   }
 
-  // Decides, journals and sends, as the dispatcher does it. duringCommit: while the journal is written.
+  // Decides, journals and sends attempts, as the dispatcher does. Calls `duringCommit` after the journal is
+  // written and before the attempts are sent.
   void sendDecided(const std::function<void()>& duringCommit = [] {}) {
     while (auto decision = policy.nextDecision()) {
       if (const auto* send = std::get_if<SendAttempt>(&*decision)) sender.sendAttempt(*send);
@@ -143,7 +146,7 @@
     sender.sendBatches();
   }
 
-  // Whether the endpoint receives up to these bytes, or so many.
+  // Returns whether the endpoint receives bytes that end with `lastBytes`, or at least `byteCount` bytes.
   bool receiveUpTo(const std::string& lastBytes, std::size_t byteCount = 1e9) {
     return turnUntil([&] {
       pollfd waiting{listener, POLLIN, 0};
@@ -158,7 +161,7 @@
   // Cancels the first attempt of a message.
   void cancelAttempt(const std::string& reference) { sender.cancelAttempt({ids[reference], 0}); }
 
-  // The attempts of a message that is in flight; the reference stays valid until the message is finished.
+  // The attempts of a message in flight; the reference stays valid until the message is finished.
   const std::vector<Attempt>& attemptsOf(const std::string& reference) const {
     return policy.state().messages.at(ids.at(reference)).attempts;
   }
@@ -170,7 +173,7 @@
     return found != messages.end() && found->second.attempts.at(0).pending;
   }
 
-  // Whether the endpoint sees the end of the connection.
+  // Whether the connection has ended at the endpoint.
   bool isClosed() const {
     char byte;
     return ::recv(connection, &byte, 1, MSG_DONTWAIT) == 0;
--- a/tests/support/http_server_stub.h
+++ b/tests/support/http_server_stub.h
@@ -11,13 +11,14 @@
 
 namespace stonewing::testing {
 
-// An HTTP server on loopback in the place of an endpoint, of discovery or of the platform. It accepts
-// connections once start() was called; until then they wait in the backlog. One thread a connection, all
-// joined at the end.
+// An HTTP server on loopback that acts as an endpoint, as discovery or as the platform. It accepts
+// connections after start() was called; until then connections wait in the backlog. Each connection has a
+// thread; the destructor joins all threads.
 class HttpServerStub {
  public:
-  // Returns the bytes of the response to one request, called on the connection's thread. Empty: no response.
-  // One that ends with the byte 4: without that byte, and the connection is closed behind it.
+  // Returns the bytes of the response to one request; called on the connection's thread. Empty: no response
+  // is sent. If the response ends with the byte 4, it is sent without that byte, and the connection is closed
+  // after it.
   using Responder = std::function<std::string(const std::string& head, const std::string& body)>;
 
   explicit HttpServerStub(Responder responder, int backlog = 64)
@@ -36,7 +37,7 @@
     ::close(listener_);
   }
 
-  // Accepts connections from now on.
+  // Starts to accept connections.
   void start() {
     acceptThread_ = std::thread([this] {
       for (int fd; (fd = ::accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;) {
@@ -50,13 +51,13 @@
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
 
-  // Head and body of each request, in the order in which they arrived.
+  // Head and body of each request, in the order of arrival.
   std::vector<std::string> requests() {
     std::lock_guard lock(mutex_);
     return requests_;
   }
 
-  // How many requests contain this text.
+  // The number of requests that contain this text.
   std::size_t requestsContaining(const std::string& text) {
     std::size_t count = 0;
     for (const std::string& request : requests()) count += request.find(text) != std::string::npos ? 1 : 0;
@@ -69,13 +70,14 @@
     char chunk[4096];
     for (ssize_t size; (size = ::recv(fd, chunk, sizeof chunk, 0)) > 0;) {
       received.append(chunk, static_cast<std::size_t>(size));
-      while (answerOneRequest(fd, received)) {
+      while (respondToOneRequest(fd, received)) {
       }
     }
   }
 
-  // Takes the first request out of what was received and answers it; false where it is not complete.
-  bool answerOneRequest(int fd, std::string& received) {
+  // Removes the first request from `received` and responds to it. Returns false if the request is not
+  // complete.
+  bool respondToOneRequest(int fd, std::string& received) {
     std::size_t headEnd = received.find("\r\n\r\n");
     if (headEnd == std::string::npos) return false;
     std::size_t lengthField = received.find("Content-Length: ");
@@ -98,7 +100,7 @@
   Responder responder_;
   int listener_;
   std::uint16_t port_;
-  std::mutex mutex_;  // of the connections and the requests
+  std::mutex mutex_;  // guards the connections and the requests
   std::vector<int> connections_;
   std::vector<std::string> requests_;
   std::thread acceptThread_;
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -13,12 +13,13 @@
 
 #include "base/ids.h"
 
-// Sockets on the loopback address, and waiting for what another process or thread does.
+// Sockets on the loopback address, and waiting for results of other processes or threads.
 namespace stonewing::testing {
 
 namespace internal {
 
-// Reads on it end after 5 s, so that a test which waits in vain fails instead of hanging.
+// Reads on the socket time out after 5 s, so that a test that waits for missing data fails instead of
+// hanging.
 inline int makeSocket() {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   int on = 1;
@@ -44,7 +45,7 @@
 
 }  // namespace internal
 
-// A listening descriptor that the caller closes, or -1. Port 0 lets the system choose.
+// Returns a listening descriptor, which the caller closes, or -1. With port 0 the system chooses a port.
 inline int listenOnLoopback(std::uint16_t port = 0, int backlog = 64) {
   int fd = internal::makeSocket();
   sockaddr_in address = internal::loopbackAddress(port);
@@ -53,7 +54,7 @@
   return internal::closeUnless(good, fd);
 }
 
-// A connected descriptor that the caller closes, or -1.
+// Returns a connected descriptor, which the caller closes, or -1.
 inline int connectToLoopback(std::uint16_t port) {
   int fd = internal::makeSocket();
   sockaddr_in address = internal::loopbackAddress(port);
@@ -68,7 +69,7 @@
   return ntohs(address.sin_port);
 }
 
-// A port on which nothing listens just now.
+// Returns a port on which no socket listens at present.
 inline std::uint16_t unusedPort() {
   int fd = listenOnLoopback();
   std::uint16_t port = localPort(fd);
@@ -76,16 +77,17 @@
   return port;
 }
 
-// Sends what the socket takes; a connection that has ended is no error here.
+// Sends as many bytes as the socket accepts. A connection that has ended is not treated as an error.
 inline void sendBytes(int fd, const std::string& bytes) {
   (void)!::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
 }
 
-// What has arrived on a connection, waiting for its end for at most that many milliseconds. "FIN" or "RST" at
-// the end of the text stands for the end of the connection, neither for one that is still open.
+// Returns the bytes that have arrived on a connection, after waiting at most `timeout` milliseconds for its
+// end. "FIN" or "RST" at the end of the text means that the connection has ended; without them it is still
+// open.
 inline std::string receiveAvailable(int fd, Millis timeout = 0);
 
-// Whether the condition becomes true within that many milliseconds; it is asked every 5 ms.
+// Returns whether the condition becomes true within `timeout` milliseconds; it is evaluated every 5 ms.
 inline bool eventually(Millis timeout, const std::function<bool()>& condition) {
   for (Millis waited = 0; waited < timeout; waited += 5) {
     if (condition()) return true;
@@ -103,7 +105,7 @@
       received.append(chunk, static_cast<std::size_t>(size));
     }
     bool isOpen = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    int error = 0;  // a reset that follows an end already received shows here alone
+    int error = 0;  // a reset after an end of stream that was already received is visible only here
     socklen_t errorSize = sizeof error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &errorSize);
     if (!isOpen) received += size == 0 && error == 0 ? "FIN" : "RST";
--- a/tests/support/message_store_fixture.h
+++ b/tests/support/message_store_fixture.h
@@ -11,7 +11,7 @@
 
 namespace stonewing::testing {
 
-// A message store in a directory of its own.
+// A message store in its own temporary directory.
 struct StoreFixture {
   TemporaryDirectory directory;
   NameTables names = readNameTables(kDispatcherSettings);
