--- a/tests/admission/admission_controller_test.cpp
+++ b/tests/admission/admission_controller_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <set>
 
-// Overload of the dispatcher itself: what is rejected, and when it may be submitted again.
+// Overload of the dispatcher itself: which messages are rejected, and with which Retry-After.
 namespace stonewing::testing {
 namespace {
 
@@ -27,7 +27,8 @@
   EXPECT_FALSE(controller.decide({50, 100, 0.5}, 2, false).accepted);
 }
 
-// A loop that is behind answers everybody too late. Then all submit again, and it stays behind.
+// A loop that is behind answers every client too late. All clients would then submit again, and the loop
+// would stay behind.
 TEST(AdmissionController, RejectsTheLowestWeightsFirstWhileTheLoopIsBehindAndStopsSoonAfter) {
   AdmissionController controller(admissionSettings(), 1);
   controller.recordTurn(1000, 30);
@@ -40,10 +41,11 @@
   for (int n = 1; n <= 8; ++n) controller.recordTurn(1060 + n, 2);
   EXPECT_TRUE(controller.decide({1070, 10, 0}, 0.01, true).accepted);
   controller.recordTurn(1100, 500);
-  EXPECT_TRUE(controller.decide({9000, 10, 0}, 0.01, true).accepted);  // a pause ends it too
+  EXPECT_TRUE(controller.decide({9000, 10, 0}, 0.01, true).accepted);  // an idle loop also ends the pressure
 }
 
-// A turn that reads a surge is over before anything is known of its length.
+// A turn that reads a burst of submissions would be over before its length is recorded, so the work within
+// the turn counts.
 TEST(AdmissionController, RejectsWithinTheTurnThatGrowsLong) {
   AdmissionController controller(admissionSettings(), 1);
   EXPECT_TRUE(controller.decide({1000, 10, 0, 0, 15}, 0.01, true).accepted);
@@ -52,8 +54,8 @@
   EXPECT_FALSE(controller.decide({1000, 10, 0, 0, 60}, 2, false).accepted);
 }
 
-// While the disk hangs no message finishes, and a Retry-After by the rate of finished messages would keep
-// clients away for seconds from other dispatchers that could accept them.
+// While the disk hangs, no message finishes. A Retry-After derived from the rate of finished messages would
+// keep clients for seconds from submitting to other dispatchers, which could accept the messages.
 TEST(AdmissionController, RejectsSoonWithAShortRetryAfterWhenTheDiskHangs) {
   AdmissionController controller(admissionSettings(), 1);
   EXPECT_TRUE(controller.decide({1000, 10, 0, 10}, 0.01, true).accepted);
@@ -71,10 +73,10 @@
   EXPECT_FALSE(controller.decide({0, 10, 1}, 2, false).accepted);
 }
 
-// With one and the same Retry-After, all rejected clients would come back in one moment.
+// With the same Retry-After for all, all rejected clients would return at the same moment.
 TEST(AdmissionController, SpreadsRetryAfterByTheRateOfFinishedMessages) {
   AdmissionController controller(admissionSettings(), 1);
-  for (int n = 0; n < 100; ++n) controller.recordFinished(n * 10.0);  // a hundred a second
+  for (int n = 0; n < 100; ++n) controller.recordFinished(n * 10.0);  // 100 per second
   std::set<int> distinct;
   Millis first = 0, last = 0;
   for (int n = 0; n < 40; ++n) {
--- a/tests/delivery/attempt_batch_test.cpp
+++ b/tests/delivery/attempt_batch_test.cpp
@@ -4,12 +4,13 @@
 
 #include "support/attempt_sender_harness.h"
 
-// One request that carries the attempts of several messages.
+// One request with the attempts of several messages.
 namespace stonewing::testing {
 namespace {
 
-// Seen on roll+brink+mass and zone+brink+mass: the first of seven messages was failed at its deadline, then
-// the response said ok for all seven, and six of them were never counted as finished.
+// Endpoints store a batch under the id of its first message. With the earliest deadline first, the first of
+// seven messages failed at its deadline, the response then reported ok for all seven, and six of them were
+// never counted as finished (experiments roll+brink+mass and zone+brink+mass).
 TEST(AttemptBatch, BeginsWithTheMessageOfTheLatestDeadline) {
   AttemptSenderHarness harness;
   harness.accept("early", "status", 400);
@@ -20,9 +21,10 @@
   EXPECT_EQ(harness.received.substr(body), "latest - 1\r\nx\r\nmiddle - 1\r\nx\r\nearly - 1\r\nx\r\n");
 }
 
-// Seen on roll+brink+mass of a deployment that allows no second hedge: "attempt.ended attempt=1
-// ending=cancelled" out of a batch of six, "attempt.sent attempt=2" 345 ms later, and the other five
-// answered on the first request after that.
+// If one attempt of a batch were cancelled alone, its message would be attempted again while the first
+// request is pending. In a deployment that allows no second hedge, attempt 1 of a message was cancelled in a
+// batch of six, attempt 2 was sent 345 ms later, and the endpoint answered the other five on the first
+// request after that (experiment roll+brink+mass).
 TEST(AttemptBatch, IsCancelledAsAWholeOrNotAtAll) {
   for (Hedges hedges : {Hedges::forbidden, Hedges::allowed}) {
     AttemptSenderHarness harness(hedges);
@@ -31,9 +33,9 @@
     harness.cancelAttempt("two");
     EXPECT_EQ(
         harness.isPending("two"),
-        hedges == Hedges::forbidden);  // while its request is pending, another attempt of it would be a hedge
+        hedges == Hedges::forbidden);  // while its request is pending, a further attempt would be a hedge
     harness.cancelAttempt("one");
-    EXPECT_TRUE(harness.isPending("one"));  // the first
+    EXPECT_TRUE(harness.isPending("one"));  // the first message of the batch
     harness.turn();
     EXPECT_FALSE(harness.isClosed());
     harness.cancelAttempt("three");
@@ -54,7 +56,7 @@
   EXPECT_EQ(harness.store.inFlight().size(), 0u);
 }
 
-// A message whose deadline passes is finished at once; the rest of the batch goes on.
+// A message whose deadline passes is finished at once, and the request continues for the other messages.
 TEST(AttemptBatch, GoesOnWhenTheDeadlineOfOneMessagePasses) {
   AttemptSenderHarness harness;
   harness.accept("late", "order", 9000);
@@ -65,8 +67,7 @@
   EXPECT_FALSE(harness.isClosed());
 }
 
-// The first message may be finished by another attempt. The rest cannot be delivered by this request any
-// more.
+// If another attempt finishes the first message, this request can no longer deliver the other messages.
 TEST(AttemptBatch, EndsWithItsFirstMessage) {
   AttemptSenderHarness harness;
   harness.accept("first", "status", 9000);
--- a/tests/delivery/attempt_sender_test.cpp
+++ b/tests/delivery/attempt_sender_test.cpp
@@ -10,12 +10,14 @@
 #include "logging/log.h"
 #include "support/attempt_sender_harness.h"
 
-// One request of one message: deadlines, descriptors, deduplication windows and changes of the endpoint list.
+// Requests with a single message: deadlines, descriptors, deduplication windows and changes of the endpoint
+// list.
 namespace stonewing::testing {
 namespace {
 
-// Seen on roll+brink+mass, 300 dispatchers, seed 54: "attempt.sent time_out_ms=11999.0", "attempt.ended
-// ending=completed spent_ms=11999.42", and a message that was never counted as finished.
+// A response that was written just after the deadline delivers nothing, and cannot be distinguished from one
+// written just before it. An attempt with a time-out of 11999.0 ms completed after 11999.42 ms, and its
+// message was never counted as finished (experiment roll+brink+mass, 300 dispatchers, seed 54).
 TEST(AttemptSender, AlsoNotifiesThePlatformOfADeliveryAtTheDeadline) {
   for (Millis untilDeadline : {9000.0, 400.0}) {
     AttemptSenderHarness harness;
@@ -29,10 +31,10 @@
   }
 }
 
-// A delivery, a refused connection and a log line while there are descriptors. The sanitizer of undefined
-// behaviour checks each polymorphic type once, by way of a pipe; without descriptors for it, an object of a
-// type that it meets for the first time passes for a broken one.
-void rehearseWithDescriptors() {
+// Performs a delivery, a refused connection and a log line while descriptors are available. The sanitizer for
+// undefined behaviour checks each polymorphic type once, and needs a pipe for this. Without descriptors, it
+// would report an object of a type that it has not checked before as invalid.
+void warmUpSanitizerWithDescriptors() {
   AttemptSenderHarness delivered;
   delivered.accept("delivered", "order", 9000);
   ASSERT_TRUE(delivered.sendUpTo("\r\n\r\nx"));
@@ -42,13 +44,13 @@
   refused.accept("refused", "order", 9000);
   refused.sendDecided();
   for (int count = 0; count < 5; ++count) refused.turn();
-  log::warn("test.rehearsed", {{"why", "quoted text"}});
+  log::warn("test.sanitizer_warmed_up", {{"why", "quoted text"}});
 }
 
-// Clients hold all descriptors. An attempt that could not have one must not count as a failed connection,
-// nor its destination as in outage.
+// Clients use up all descriptors. An attempt that gets no descriptor must not count as a failed connection,
+// and its destination must not count as being in an outage.
 TEST(AttemptSender, RetriesLaterAndBlamesNoEndpointWithoutADescriptor) {
-  ASSERT_NO_FATAL_FAILURE(rehearseWithDescriptors());
+  ASSERT_NO_FATAL_FAILURE(warmUpSanitizerWithDescriptors());
   AttemptSenderHarness harness;
   harness.accept("one", "order", 9000);
   rlimit before{};
@@ -71,7 +73,7 @@
   }));
 }
 
-// Health checks beyond the budget of descriptors are dropped without an outcome.
+// Health checks beyond the descriptor limit are not sent, and do not count as failures.
 TEST(AttemptSender, SendsNoMoreHealthChecksAtOnceThanItsBudget) {
   AttemptSenderHarness harness;
   EndpointId id = harness.discovery.idOf("s-1");
@@ -83,9 +85,9 @@
   EXPECT_EQ(harness.policy.state().endpoints.at(id).failures.consecutiveFailures(), 0);
 }
 
-// A descriptor is made free where possible, and the attempt is sent at once.
+// If a descriptor can be freed, it is freed and the attempt is sent at once.
 TEST(AttemptSender, SendsAtOnceWhenAnIdleConnectionCanBeEvicted) {
-  ASSERT_NO_FATAL_FAILURE(rehearseWithDescriptors());
+  ASSERT_NO_FATAL_FAILURE(warmUpSanitizerWithDescriptors());
   AttemptSenderHarness harness;
   harness.accept("one", "order", 9000);
   int idle = ::dup(0);
@@ -100,15 +102,15 @@
   EXPECT_TRUE(harness.receiveUpTo("\r\n\r\nx"));
 }
 
-// A retry whose last bytes leave after the deduplication window: by then the endpoint has forgotten the
-// first attempt.
+// A retry whose last bytes are sent after the deduplication window would be executed a second time: by then
+// the endpoint has forgotten the first attempt.
 TEST(AttemptSender, AbortsAHalfWrittenRetryWhenItsDeduplicationWindowCloses) {
   for (bool expired : {false, true}) {
     AttemptSenderHarness harness(Hedges::allowed, 30'000'000);
     harness.acceptAttemptedBefore("one", std::string(8'000'000, 'x'));
     harness.sendDecided();
     harness.connection = ::accept(harness.listener, nullptr, nullptr);
-    for (int count = 0; count < 20; ++count) harness.turn();  // as much as the kernel takes
+    for (int count = 0; count < 20; ++count) harness.turn();  // writes as much as the socket buffers hold
     if (expired) std::this_thread::sleep_for(std::chrono::milliseconds(1000));
     harness.beginRound(0);
     EXPECT_EQ(harness.receiveUpTo("xxxx\n\n", 8'000'000), !expired);
@@ -117,7 +119,8 @@
   }
 }
 
-// After a commit that hung, or a long turn, what was decided is asked again before its bytes leave.
+// After a commit that hung, or after a long turn, a decision may be outdated, so the policy is asked again
+// before the first byte is sent.
 TEST(AttemptSender, AsksThePolicyAgainAfterALongTurn) {
   for (bool expired : {false, true}) {
     AttemptSenderHarness harness(Hedges::allowed);
@@ -129,7 +132,7 @@
   }
 }
 
-// The connection that was chosen has ended while the journal was written.
+// The connection chosen for the request ended while the journal was written.
 TEST(AttemptSender, WritesNothingToAConnectionThatEndedDuringTheCommit) {
   AttemptSenderHarness harness;
   harness.accept("one", "order", 9000);
@@ -142,15 +145,16 @@
   });
   for (int count = 0; count < 5; ++count) harness.turn();
   const auto& attempts = harness.attemptsOf("two");
-  EXPECT_TRUE(attempts.at(0).provablyNotExecuted);  // not idempotent, and it may be retried
+  EXPECT_TRUE(attempts.at(0).provablyNotExecuted);  // so it may be retried although it is not idempotent
 }
 
-// An idle connection has bytes of its endpoint that nobody asked for: half a line, or a response before its
-// request. The next request would take them for its own response, and count as delivered.
+// An endpoint sent unrequested bytes on an idle connection: a partial line, or a response before its request.
+// The next request would read them as its own response, and count as delivered.
 TEST(AttemptSender, UsesNoIdleConnectionWithUnexpectedBytes) {
   for (std::string unexpected : {"HT", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"}) {
-    // 0: while it is idle, and the loop has seen them; 1: while it is idle, and the loop has not; 2: while
-    // the journal is written, the request decided and the connection chosen.
+    // When the bytes arrive. 0: while the connection is idle, and the loop reads them; 1: while it is idle,
+    // and the loop does not read them; 2: while the journal is written, after the connection was chosen for
+    // the request.
     for (int when : {0, 1, 2}) {
       AttemptSenderHarness harness;
       harness.accept("one", "order", 9000);
@@ -163,10 +167,10 @@
       harness.accept("two", "order", 9000);
       harness.received.clear();
       harness.sendDecided(when == 2 ? std::function<void()>(sendUnexpected) : [] {});
-      EXPECT_EQ(harness.receiveUpTo("\r\n\r\nx"), when < 2) << when;  // on a new connection, or not at all
+      EXPECT_EQ(harness.receiveUpTo("\r\n\r\nx"), when < 2) << when;  // sent on a new connection, or not sent
       char byte;
       EXPECT_LE(::recv(oldConnection, &byte, 1, MSG_DONTWAIT), 0) << "two was sent on it";
-      ASSERT_TRUE(harness.store.contains("two")) << when << unexpected;  // and nothing has completed it
+      ASSERT_TRUE(harness.store.contains("two")) << when << unexpected;  // and no response has completed it
       const Attempt& attempt = harness.attemptsOf("two").at(0);
       EXPECT_EQ(attempt.pending, when < 2);
       EXPECT_EQ(attempt.provablyNotExecuted, when == 2);
@@ -175,7 +179,8 @@
   }
 }
 
-// One part arrives before and one after what its message waits for: a turn in which nothing else happens.
+// The first part of a response arrives in a turn without other events. It must not finish the message, and
+// the second part must finish it once.
 TEST(AttemptSender, CompletesOnceWhenAResponseArrivesInTwoParts) {
   for (std::size_t split = 1; split < 38; ++split) {
     AttemptSenderHarness harness;
@@ -192,16 +197,17 @@
   }
 }
 
-// An endpoint leaves the list, drains, or comes back at another address while a request to it is on its way.
+// An endpoint leaves the list, drains, or returns with another address while a request to it is being
+// prepared.
 TEST(AttemptSender, SendsNothingToAnEndpointThatLeavesTheListMeanwhile) {
-  // Decided and journaled, the connection not established: the drain is notified first.
+  // The attempt is decided and journaled, and its connection is not established when the drain is reported.
   AttemptSenderHarness harness;
   harness.accept("one", "order", 9000);
   harness.sendDecided();
   harness.setEndpoint("terminating");
   EXPECT_FALSE(harness.receiveUpTo("x"));
   EXPECT_TRUE(harness.attemptsOf("one").at(0).provablyNotExecuted);
-  // Decided and not journaled yet: it has been removed.
+  // The attempt is decided and not journaled yet when the endpoint is removed.
   AttemptSenderHarness other;
   other.accept("one", "order", 9000);
   other.sendDecided([&] {
@@ -210,7 +216,8 @@
   });
   EXPECT_FALSE(other.receiveUpTo("x"));
   EXPECT_TRUE(other.attemptsOf("one").at(0).provablyNotExecuted);
-  // Back under its name with another address: the idle connection leads to where it was.
+  // The endpoint returns with the same name and another address. The idle connection leads to its old
+  // address.
   AttemptSenderHarness moved;
   moved.accept("one", "order", 9000);
   ASSERT_TRUE(moved.sendUpTo("\r\n\r\nx"));
--- a/tests/delivery/delivery_test.cpp
+++ b/tests/delivery/delivery_test.cpp
@@ -12,7 +12,7 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// What a whole dispatcher sends to endpoints, and how it reads their responses.
+// Tests which requests a whole dispatcher sends to endpoints, and how it interprets their responses.
 namespace stonewing::testing {
 namespace {
 
@@ -38,12 +38,12 @@
   EXPECT_EQ(platform.requestsContaining("POST /reports"), 0u);
 }
 
-// By a wrong outcome an effect would happen twice, or a message be lost.
+// With a wrong outcome, a message could take effect twice or be lost.
 TEST(Delivery, DerivesTheOutcomeFromEachKindOfResponse) {
   struct Case {
     std::string response;
     std::size_t requests;
-    const char* notification;  // empty where none is due
+    const char* notification;  // empty if none is expected
   };
   std::string none = "Content-Length: 0\r\n\r\n";
   for (const Case& expected : {Case{"HTTP/1.1 500 Oh\r\n" + none, 1, "dead"},
@@ -83,8 +83,8 @@
   }
 }
 
-// One batch, some messages of it rejected and with a Retry-After: each has its own outcome, and the Retry-
-// After binds.
+// A batch response rejects some of the messages and has a Retry-After: each message gets its own outcome, and
+// the Retry-After is respected.
 TEST(Delivery, ReadsTheOutcomeOfEachMessageOfABatch) {
   std::atomic<int> requestCount{0};
   HttpServerStub endpoint([&](auto&, auto&) -> std::string {
@@ -113,8 +113,8 @@
   EXPECT_EQ(requestCount, 2);
 }
 
-// A connection that is established late: its request counts from its first byte, and by then the endpoint
-// may drain.
+// A connection is established late. A request counts from its first byte, and the endpoint is draining by
+// then.
 TEST(Delivery, SendsNothingOnAConnectionEstablishedAfterItsEndpointDrains) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; }, 0);
   int pending = connectToLoopback(endpoint.port());  // its backlog is full
@@ -136,8 +136,8 @@
   ASSERT_TRUE(eventually(4000, [&] { return platform.requestsContaining("\"late\"") == 1; }));
   EXPECT_EQ(endpoint.requests().size(), 0u);
   ::close(pending);
-  // Meanwhile a client was idle for longer than a half-received command may be: its next one has its own
-  // time.
+  // Meanwhile a client was idle for longer than a partially received command may take. The time limit of its
+  // next command must begin with that command.
   sendBytes(slow, respCommand({"PING"}).substr(0, 6));
   std::this_thread::sleep_for(std::chrono::milliseconds(30));
   sendBytes(slow, respCommand({"PING"}).substr(6));
@@ -147,9 +147,9 @@
   ::close(slow);
 }
 
-// One message of a batch finishes while the connection is being established. A part of the network that was
-// cut off for seconds establishes hundreds of connections at once, and each sent messages that were
-// finished.
+// One message of a batch finishes while the connection is being established. When a part of the network that
+// was cut off for seconds became reachable again, hundreds of connections were established at once, and each
+// sent messages that were already finished.
 TEST(Delivery, LeavesFinishedMessagesOutOfABatchWhoseConnectionIsLate) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; }, 0);
   int pending = connectToLoopback(endpoint.port());  // its backlog is full
@@ -167,7 +167,7 @@
   ::close(pending);
 }
 
-// Responses that never become complete would hold requests until their timeouts.
+// Without a time limit, responses that never become complete would occupy requests until their time-outs.
 TEST(Delivery, StopsWaitingForAResponseThatStaysIncomplete) {
   HttpServerStub endpoint([](auto&, auto&) { return "HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nshort"; });
   HttpServerStub platform(confirmNotifications);
@@ -179,9 +179,10 @@
   EXPECT_TRUE(eventually(1500, [&] { return platform.requestsContaining("\"one\"") == 1; }));
 }
 
-// After a stall a dispatcher has more responses to read than one call of the kernel returns. Deciding on
-// half of them would attempt delivered messages again. It cannot know whether they were in time: each
-// outcome is also reported once to the platform, which does no harm.
+// After a stall, a dispatcher has more responses to read than one call to the kernel returns. A decision
+// after only half of them would attempt delivered messages again. The dispatcher cannot know whether the
+// responses arrived before the deadlines, so each outcome is also reported once to the platform, which does
+// no harm.
 TEST(Delivery, ReadsAllPendingResponsesBeforeItFailsMessagesAfterAStall) {
   constexpr int kMessageCount = 600;
   std::atomic<bool> released{false};
@@ -220,7 +221,7 @@
   }
 }
 
-// Noise must not be taken for a rate limit.
+// A malformed header must not be interpreted as a rate limit.
 TEST(LoadReport, IsIgnoredWhenMalformed) {
   std::vector<std::string> fields{"x0", "x1"};
   EXPECT_EQ(parseLoadReport("x0=0.4,x1=25", fields).rateLimit, 25);
--- a/tests/delivery/hedged_attempt_test.cpp
+++ b/tests/delivery/hedged_attempt_test.cpp
@@ -12,13 +12,13 @@
 namespace stonewing::testing {
 namespace {
 
-// Two endpoints, each with what it has received and not answered. A hedge costs retry budget, which twenty
-// messages that are answered at once have earned.
+// Two endpoints, each with its connections and the request that it has not answered yet. A hedge uses up
+// retry budget; twenty messages that are answered at once earn enough of it.
 struct HedgeHarness : AttemptSenderHarness {
   struct EndpointSide {
     int listener;
     std::vector<int> connections;
-    int requestConnection;  // with a whole request that is not answered; -1 for none
+    int requestConnection;  // the connection with a complete, unanswered request; -1 if none
   };
   std::array<EndpointSide, 2> endpoints{EndpointSide{listener, {}, -1},
                                         EndpointSide{listenOnLoopback(), {}, -1}};
@@ -66,10 +66,10 @@
   }
 };
 
-// A hedge is pending, and both attempts are answered before the loop turns again; or the first is while the
-// hedge is journaled; or the losing attempt's response comes after the winner's. The message is finished
-// once, nobody is notified, nothing is sent after it, and the losing response is not taken for that of a
-// later request.
+// A hedge is pending, and the responses to both attempts arrive before the next turn of the loop, or the
+// first response arrives while the hedge is journaled, or the losing attempt's response arrives after the
+// winner's. The message must finish once, without a notification and without a further attempt, and the
+// losing response must not be read as the response to a later request.
 TEST(HedgedAttempt, FinishesItsMessageOnceWhenBothAttemptsAreAnsweredAtOnce) {
   enum class Order { both, duringCommit, loserLater };
   for (Order order : {Order::both, Order::duringCommit, Order::loserLater}) {
@@ -102,7 +102,7 @@
     EXPECT_TRUE(harness.turnUntil([&] { return harness.store.inFlight().empty(); }));
     if (order == Order::loserLater) {
       harness.sendDecided();
-      char byte;  // the losing attempt's connection was closed with its request
+      char byte;  // the losing attempt's connection was closed
       EXPECT_EQ(::recv(second.requestConnection, &byte, 1, 0), 0);
       HedgeHarness::respond(second);
     }
@@ -112,7 +112,7 @@
     }
     EXPECT_TRUE(harness.store.pendingNotifications().empty());
     EXPECT_EQ(harness.policy.state().requestsInFlight, 0) << static_cast<int>(order);
-    // The next request waits for a response of its own, whichever connection it uses.
+    // The next request waits for its own response, on any connection.
     harness.accept("two", "status", 9000);
     harness.sendDecided();
     for (int count = 0; count < 5; ++count) harness.turn();
