--- a/src/delivery/attempt_sender.h
+++ b/src/delivery/attempt_sender.h
@@ -61,7 +61,7 @@
   void onTick();
   // When onTick() is to be called next.
   Millis due() const { return pool_.nextDueAt(); }
-  // Whether no attempt is on a connection.
+  // Whether no connection carries an attempt.
   bool idle() const { return !pool_.hasAttempts(); }
 
  private:
--- a/src/delivery/connection_pool.cpp
+++ b/src/delivery/connection_pool.cpp
@@ -36,7 +36,7 @@
 }
 
 // The policy knows only the endpoint, and states for how long an idle connection to any endpoint may be
-// reused. If an endpoint has several connections, the less used ones stay idle for long while the others are
+// reused. If an endpoint has several connections, some of them stay idle for long while other connections are
 // busy, so this limit is applied to each connection here.
 Millis ConnectionPool::reusableIdleTime() const {
   return maxIdleTime_ < kNever ? std::min(maxIdleTime_, policy_.state().reusableIdleTime) : maxIdleTime_;
--- a/src/delivery/outcome_notifier.h
+++ b/src/delivery/outcome_notifier.h
@@ -29,8 +29,8 @@
   bool idle() const { return store_.pendingNotifications().empty(); }
 
  private:
-  // oneByOne is used after the platform rejected a request, so that one notification that it cannot parse
-  // does not block the others. This mode lasts until all notifications are confirmed.
+  // oneByOne is used after the platform rejected a request, so that a notification that the platform cannot
+  // parse does not block other notifications. This mode lasts until all notifications are confirmed.
   enum class Mode { batched, oneByOne };
 
   void onResponse(HttpClientConnection& connection) override;
@@ -48,11 +48,11 @@
   sockaddr_in platform_;
   std::string host_;
   std::unique_ptr<HttpClientConnection> connection_;
-  std::vector<MessageId>
-      awaitingConfirmation_;  // the notifications in the current request; empty if there is none
+  // The notifications in the current request; empty if there is none.
+  std::vector<MessageId> awaitingConfirmation_;
   Mode mode_{Mode::batched};
-  std::uint32_t nextSingle_{
-      0};                // counts the requests in mode oneByOne, so that the notifications are sent in turn
+  // Counts the requests in mode oneByOne, so that the notifications are sent in turn.
+  std::uint32_t nextSingle_{0};
   Millis sentAt_{0};     // when the current request was sent
   Millis notBefore_{0};  // when the next request may be sent
   Millis backoff_{0};    // wait after the last failed request; 0 after a confirmed one
--- a/src/storage/live_messages.h
+++ b/src/storage/live_messages.h
@@ -32,8 +32,8 @@
   void add(MessageId id, StoredMessage message);
   // Removes a message in flight. Returns false if there is none with this id.
   bool remove(MessageId id);
-  // Null if no message with this id is in flight. The pointer stays valid until this message is removed,
-  // whatever happens to other messages: the container has stable nodes.
+  // Null if no message with this id is in flight. The pointer stays valid until this message is removed, even
+  // if other messages are added or removed: the container has stable nodes.
   StoredMessage* find(MessageId id);
   const StoredMessage* find(MessageId id) const;
   // Whether a message with this reference is in flight.
--- a/src/storage/message_store.h
+++ b/src/storage/message_store.h
@@ -50,9 +50,9 @@
   // Adds a message. Returns no value if the journal has no space for it. The message counts as accepted only
   // after a commit has written its record.
   std::optional<MessageId> accept(StoredMessage message);
-  // Records that an attempt is to be sent. If it returns false, the attempt could not be recorded and must
-  // not be sent. If it returns true, the next commit writes the record; isLostAttempt() tells afterwards
-  // whether that failed. The attempt has a number in both cases.
+  // Records that an attempt is to be sent. Returns false if the attempt could not be recorded; the attempt
+  // must then not be sent. After true, the next commit writes the record, and isLostAttempt() returns whether
+  // that failed. The attempt has a number in both cases.
   bool recordAttempt(MessageId id, const EndpointRecord& endpoint, Millis sentWall);
   // Records that an attempt was provably not executed. If that cannot be written, the next process assumes
   // that the attempt may have been executed.
--- a/src/storage/record_codec.h
+++ b/src/storage/record_codec.h
@@ -50,7 +50,7 @@
   std::uint32_t journaledAttempt{};
 };
 
-// A message is finished, and the platform has yet to be notified.
+// A message is finished, and the platform must still be notified.
 struct NotificationPendingRecord {
   OutcomeNotification notification;
 };
--- a/tests/delivery/attempt_batch_test.cpp
+++ b/tests/delivery/attempt_batch_test.cpp
@@ -31,9 +31,8 @@
     for (const char* reference : {"one", "two", "three"}) harness.accept(reference, "status", 9000);
     ASSERT_TRUE(harness.sendUpTo("three - 1\r\nx\r\n"));
     harness.cancelAttempt("two");
-    EXPECT_EQ(
-        harness.isPending("two"),
-        hedges == Hedges::forbidden);  // while its request is pending, a further attempt would be a hedge
+    // While the request of this message is pending, a further attempt would be a hedge.
+    EXPECT_EQ(harness.isPending("two"), hedges == Hedges::forbidden);
     harness.cancelAttempt("one");
     EXPECT_TRUE(harness.isPending("one"));  // the first message of the batch
     harness.turn();
