--- a/src/lab/http_server.cpp
+++ b/src/lab/http_server.cpp
@@ -22,11 +22,11 @@
 constexpr int kBacklog = 1024;
 
 sockaddr_in socketAddress(const std::string& host, std::uint16_t port) {
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_port = htons(port);
-  ::inet_pton(AF_INET, host.c_str(), &at.sin_addr);
-  return at;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(port);
+  ::inet_pton(AF_INET, host.c_str(), &address.sin_addr);
+  return address;
 }
 
 }  // namespace
@@ -62,17 +62,17 @@
 }
 
 void HttpServerConnection::read() {
-  ReadResult got = readAvailable(fd_, in_, kMaxRequestBytes);
+  ReadResult result = readAvailable(fd_, in_, kMaxRequestBytes);
   while (!handlingRequest_ && fd_ >= 0) {
     std::size_t end = in_.find("\r\n\r\n");
     if (end == std::string::npos) break;
     HttpRequest request;
-    std::size_t line = in_.find("\r\n");
+    std::size_t lineEnd = in_.find("\r\n");
     std::size_t first = in_.find(' ');
     std::size_t second = in_.find(' ', first + 1);
     request.method = in_.substr(0, first);
     request.target = in_.substr(first + 1, second - first - 1);
-    request.head = in_.substr(std::min(line + 2, end), end - std::min(line + 2, end));
+    request.head = in_.substr(std::min(lineEnd + 2, end), end - std::min(lineEnd + 2, end));
     std::size_t length = parseWholeNumber(request.header("Content-Length")).value_or(0);
     if (in_.size() < end + 4 + length) break;
     request.body = in_.substr(end + 4, length);
@@ -81,8 +81,8 @@
     server_.handler_.requestReceived(server_, *this, std::move(request));
   }
   if (fd_ < 0) return;
-  if (got == ReadResult::endOfStream || got == ReadResult::broken) return close();
-  if (got == ReadResult::more) loop_.reschedule(fd_);
+  if (result == ReadResult::endOfStream || result == ReadResult::broken) return close();
+  if (result == ReadResult::more) loop_.reschedule(fd_);
 }
 
 bool HttpServerConnection::peerClosed() const {
@@ -100,8 +100,8 @@
 
 void HttpServerConnection::reset() {
   if (fd_ < 0) return;
-  linger now{1, 0};
-  ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  linger resetOnClose{1, 0};
+  ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
   close();
 }
 
@@ -122,9 +122,9 @@
 
 void HttpServerConnection::write() {
   if (out_.empty()) return;
-  auto wrote = out_.write(fd_);
-  if (wrote == WriteBuffer::WriteResult::broken) return close();
-  if (wrote == WriteBuffer::WriteResult::all && closing_) close();
+  auto result = out_.write(fd_);
+  if (result == WriteBuffer::WriteResult::broken) return close();
+  if (result == WriteBuffer::WriteResult::all && closing_) close();
 }
 
 HttpServer::HttpServer(EventLoop& loop, Handler& handler, const std::string& host)
@@ -134,7 +134,7 @@
 
 HttpServer::~HttpServer() {
   stop();
-  for (int fd : fillers_) ::close(fd);
+  for (int fd : backlogFillers_) ::close(fd);
 }
 
 std::string HttpServer::address() const { return host_ + ":" + std::to_string(port_); }
@@ -143,14 +143,14 @@
   fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   int on = 1;
   ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in at = socketAddress(host_, port_);
-  if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
+  sockaddr_in bound = socketAddress(host_, port_);
+  if (fd_ < 0 || ::bind(fd_, reinterpret_cast<sockaddr*>(&bound), sizeof bound) != 0 ||
       ::listen(fd_, backlog) != 0 || !loop_.watch(fd_, *this)) {
     throw std::system_error(errno, std::generic_category(), "cannot listen at " + address());
   }
-  socklen_t size = sizeof at;
-  ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-  port_ = ntohs(at.sin_port);
+  socklen_t size = sizeof bound;
+  ::getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &size);
+  port_ = ntohs(bound.sin_port);
 }
 
 void HttpServer::stop() {
@@ -180,7 +180,7 @@
 
 void HttpServer::removeConnection(HttpServerConnection& connection) {
   auto at = std::find_if(connections_.begin(), connections_.end(),
-                         [&](const auto& s) { return s.get() == &connection; });
+                         [&](const auto& open) { return open.get() == &connection; });
   if (at == connections_.end()) return;
   std::unique_ptr<HttpServerConnection> removed = std::move(*at);
   connections_.erase(at);
@@ -210,14 +210,15 @@
   }
 }
 
-// With the queue of new connections full the kernel answers none any more, as if nobody were there.
+// A listening socket with a full accept queue does not answer connection attempts. The server therefore
+// shrinks its backlog to 0 and fills the queue with connections of its own.
 void HttpServer::setUnreachable(bool on) {
   if (unreachable_ == on) return;
   unreachable_ = on;
   for (auto& connection : connections_) connection->setUnresponsive(on);
   if (fd_ < 0) return;
   if (!on) {
-    for (int fd : std::exchange(fillers_, {})) ::close(fd);
+    for (int fd : std::exchange(backlogFillers_, {})) ::close(fd);
     ::listen(fd_, kBacklog);
     loop_.reschedule(fd_);
     return;
@@ -225,10 +226,10 @@
   ::listen(fd_, 0);
   for (int n = 0; n < 3; ++n) {
     int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    sockaddr_in at = socketAddress(host_, port_);
+    sockaddr_in ownAddress = socketAddress(host_, port_);
     if (fd < 0) break;
-    (void)!::connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof at);
-    fillers_.push_back(fd);
+    (void)!::connect(fd, reinterpret_cast<sockaddr*>(&ownAddress), sizeof ownAddress);
+    backlogFillers_.push_back(fd);
   }
 }
 
--- a/src/lab/http_server.h
+++ b/src/lab/http_server.h
@@ -8,7 +8,7 @@
 
 #include "net/event_loop.h"
 
-// The servers' side of HTTP/1.1 for stand-ins: one request at a time on a connection.
+// An HTTP/1.1 server for the emulated endpoints and platform. A connection handles one request at a time.
 namespace stonewing::lab {
 
 struct HttpRequest {
@@ -16,22 +16,25 @@
   std::string target;
   std::string head;  // the header lines
   std::string body;
+  // The value of the first header of that name, in any case; empty if there is none.
   std::string_view header(std::string_view name) const;
 };
 
 class HttpServer;
 
-// One connection. Its server's owner answers when it likes, or never.
+// One accepted connection. The server's handler may respond to a request at any later time, or never.
 class HttpServerConnection : public EventHandler {
  public:
   HttpServerConnection(EventLoop& loop, HttpServer& server, int fd);
   ~HttpServerConnection() override;
+  // Writes a complete HTTP response. closeAfter: closes the connection once all of `bytes` are written.
   void respond(std::string bytes, bool closeAfter = false);
-  void reset();                   // ends at once, and the other side sees a break
-  void setUnresponsive(bool on);  // nothing is read or written, as if the network were gone
+  void reset();                   // closes the connection at once; the client receives a TCP reset
+  void setUnresponsive(bool on);  // while on, nothing is read or written, as in a network outage
   void onEvents(std::uint32_t events) override;
   bool open() const { return fd_ >= 0; }
-  // The other side has ended its part, though we may not have been told yet.
+  // True once the client has closed its side or reset the connection, even if the event loop has not
+  // reported that yet.
   bool peerClosed() const;
 
  private:
@@ -44,7 +47,7 @@
   int fd_;
   bool unresponsive_{false};
   bool closing_{false};
-  bool handlingRequest_{false};  // a request is with the owner
+  bool handlingRequest_{false};  // the handler has a request without a response
   std::string in_;
   WriteBuffer out_;
 };
@@ -53,23 +56,26 @@
  public:
   struct Handler {
     virtual ~Handler() = default;
-    virtual bool connectionOpened(HttpServer&, HttpServerConnection&) {
-      return true;
-    }  // false: it is to be broken at once
+    // False: the server resets the new connection at once.
+    virtual bool connectionOpened(HttpServer&, HttpServerConnection&) { return true; }
     virtual void requestReceived(HttpServer&, HttpServerConnection&, HttpRequest) = 0;
-    virtual void connectionClosed(HttpServer&, HttpServerConnection&) {
-    }  // from the other side, or by a reset of ours
+    // The client or the server has closed or reset the connection, which is deleted after this turn of
+    // the event loop.
+    virtual void connectionClosed(HttpServer&, HttpServerConnection&) {}
   };
-  // address: numbers; port 0 takes any. Throws std::system_error.
+  // Listens at a free port of `host`, an IPv4 address in numbers. `handler` must outlive the server.
+  // Throws std::system_error.
   HttpServer(EventLoop& loop, Handler& handler, const std::string& host);
   ~HttpServer() override;
 
   std::string address() const;  // "127.0.1.1:40123"
-  // Refuses from now on, and breaks what is open; or listens again at the same address.
+  // On: refuses new connections and resets the open ones. Off: listens again at the same address, unless
+  // accepting is paused; throws std::system_error if the address cannot be bound.
   void setRefusing(bool on);
-  // Connections no longer come up, and the open ones fall silent.
+  // While on, connection attempts get no answer and open connections become unresponsive.
   void setUnreachable(bool on);
-  // Takes no more connections for now, and keeps those it has.
+  // On: refuses new connections and keeps the open ones. Off: listens again, unless setRefusing is on; throws
+  // as setRefusing does.
   void setAcceptPaused(bool on);
   void onEvents(std::uint32_t events) override;
 
@@ -88,7 +94,7 @@
   bool unreachable_{false};
   bool acceptPaused_{false};
   std::list<std::unique_ptr<HttpServerConnection>> connections_;
-  std::list<int> fillers_;  // connections of our own that keep the queue full
+  std::list<int> backlogFillers_;  // the server's own connections, which keep its accept queue full
 };
 
 }  // namespace stonewing::lab
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -37,13 +37,13 @@
   return out;
 }
 
-// Reads a line's fields one after the other.
+// Reads the fields of one line in order.
 class CsvFields {
  public:
   CsvFields(std::string_view line, const std::string& file, std::size_t number)
       : rest_(line), file_(file), number_(number) {}
   std::string_view word() {
-    if (done_) fail("a field is missing");
+    if (done_) fail("the line has fewer fields than the table has columns");
     std::size_t comma = rest_.find(',');
     std::string_view field = rest_.substr(0, comma);
     done_ = comma == std::string_view::npos;
@@ -56,12 +56,12 @@
     T value{};
     auto [end, error] = std::from_chars(field.data(), field.data() + field.size(), value);
     if (error != std::errc() || end != field.data() + field.size()) {
-      fail("'" + std::string(field) + "' is not a number");
+      fail("'" + std::string(field) + "' is not a number, or is out of range for its column");
     }
     return value;
   }
   void end() const {
-    if (!done_) fail("there are more fields than columns");
+    if (!done_) fail("the line has more fields than the table has columns");
   }
   [[noreturn]] void fail(const std::string& problem) const {
     throw ConfigError(file_ + ":" + std::to_string(number_) + ": " + problem);
@@ -77,7 +77,10 @@
 template <class Row>
 void forEachRow(const std::string& path, Row row) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw ConfigError("cannot read " + path + "; a folder of `stonewing_lab run` or `model` has it");
+  if (!in)
+    throw ConfigError(
+        "cannot read " + path +
+        "; `stonewing_lab run` and `stonewing_lab model` write this file to their output folder");
   std::string line;
   for (std::size_t number = 1; std::getline(in, line); ++number) {
     if (number == 1) continue;
@@ -107,7 +110,9 @@
                   c.due);
     messages << row;
   }
-  if (!events.flush() || !messages.flush()) throw ConfigError("no room to write the trace in " + folder);
+  if (!events.flush() || !messages.flush())
+    throw ConfigError("writing events.csv or callbacks.csv failed, possibly on a full disk, in folder " +
+                      folder);
 }
 
 Trace loadTrace(const std::string& folder) {
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -6,30 +6,30 @@
 
 #include "lab/experiment.h"
 
-// What was seen at the far side of the dispatchers: by clients, endpoints and the platform. The audit and the
-// reports are made from it alone.
+// The events that clients, endpoints and the platform observed in one experiment, outside of the dispatchers.
+// The audit and the reports use the trace alone.
 namespace stonewing::lab {
 
 enum class TraceEventType : std::uint8_t {
-  submitted,          // a client's command has gone out; span: how long it may still be delivered
-  accepted,           // +OK
-  rejected,           // -BUSY; span: the time to come back, 0 for none
-  failed,             // an error, or a connection that ended
-  unanswered,         // nothing within the client's patience
-  arrived,            // the last byte of an attempt has come to an endpoint; call: its number
-  responded,          // its answer is written; status, span: the wait in it, ran: whether it has run
-  abandoned,          // its connection ended from the dispatcher's side; ran: whether it has run, or may yet
-  effect,             // it took effect (a repeat within its receipt's window takes none)
-  healthChecked,      // a probe has come; status: what it is answered, 0 for nothing
-  connectionRefused,  // a connection was refused or not taken
-  notificationReceived,   // the platform has a notice; status 1: failed, 2: shed with span to come back
-  endpointStateNotified,  // a dispatcher was told of an endpoint; status: 0 gone, 1 in service, 2 terminating
-  dispatcherUp,           // a dispatcher answers PING; status 1: it goes on after SIGSTOP
-  dispatcherDown,         // it was killed, told to end or has ended; status 1: stopped
-  destinationDown,        // a destination fails most of its calls from now on; message: its number
-  destinationUp,          // it is back, and cold
-  destinationOverloaded,  // it was pushed over
-  zoneOverloaded,         // a room was, as it returned; message: its number
+  submitted,      // a client sent its command; duration: time left until the message's deadline
+  accepted,       // the client received +OK
+  rejected,       // the client received -BUSY; duration: the Retry-After in it, 0 for none
+  failed,         // the client received an error, or its connection ended; status 1: the connect was refused
+  unanswered,     // the client received no response within its timeout
+  arrived,        // an endpoint received the last byte of a request; request: its number
+  responded,      // an endpoint responded; status: a ResponseKind, duration: Retry-After, executed: it ran
+  abandoned,      // the dispatcher disconnected before the response; executed: it ran, or may still run
+  effect,         // a message took effect (a repeat within the deduplication window has none)
+  healthChecked,  // an endpoint received a health check; status: of the response, 0 for none
+  connectionRefused,      // an endpoint refused a connection, or its connection table was full
+  notificationReceived,   // the platform was notified; status 1: failed, 2: shed; duration: Retry-After
+  endpointStateNotified,  // discovery sent a dispatcher an endpoint's state; status: an EndpointState
+  dispatcherUp,           // a dispatcher answers PING; status 1: it was continued after SIGSTOP
+  dispatcherDown,         // a dispatcher was killed or exited; status 1: SIGSTOP, 2: SIGTERM
+  destinationDown,        // a destination fails most requests from now on; message: its number
+  destinationUp,          // a destination recovered; message: its number
+  destinationOverloaded,  // a destination failed from overload during slow start; message: its number
+  zoneOverloaded,         // a zone failed from overload during slow start; message: its number
 };
 
 struct TraceEvent {
@@ -46,14 +46,14 @@
   bool operator==(const TraceEvent&) const = default;
 };
 
-// A message as its client hands it in; submitted again it is another one, of the same origin.
+// One submission of a message. A resubmission is an entry of its own with the same origin.
 struct SubmittedMessage {
-  std::uint32_t origin{};
+  std::uint32_t origin{};  // number of the first submission
   std::uint16_t type{};
   std::uint16_t tenant{};
   std::uint16_t destination{};
-  std::uint32_t key{};  // of an ordered type; 0: none
-  Millis due{};         // when the first of its origin was due
+  std::uint32_t key{};  // ordering key, for an ordered type; 0: none
+  Millis due{};         // when the first submission was due
 
   bool operator==(const SubmittedMessage&) const = default;
 };
@@ -65,7 +65,8 @@
 
 const char* nameOf(TraceEventType type);
 
-// Two tables, events.csv and messages.csv, in a folder. Throws ConfigError naming file and line.
+// The trace is stored in `folder` as two CSV tables, one of events and one of messages. Both functions throw
+// ConfigError, which names the file and, for an error in a table, the line.
 void saveTrace(const Trace& trace, const std::string& folder);
 Trace loadTrace(const std::string& folder);
 
