--- a/src/lab/emulated_servers.cpp
+++ b/src/lab/emulated_servers.cpp
@@ -15,12 +15,12 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t kReferencePrefix = 0x5705e000;  // so that a message's name is not a bare number
+constexpr std::uint32_t kReferencePrefix = 0x5705e000;  // so that a bare number is not a valid reference
 constexpr Millis kMaxWatchTimeout = 60000;
 
-std::string responseHead(int status, std::size_t length, const std::string& more = "") {
+std::string responseHead(int status, std::size_t length, const std::string& extraHeaders = "") {
   const char* reason = status == 200 ? "OK" : status == 204 ? "No Content" : "Trouble";
-  std::string head = "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n" + more;
+  std::string head = "HTTP/1.1 " + std::to_string(status) + " " + reason + "\r\n" + extraHeaders;
   if (status != 204) head += "Content-Length: " + std::to_string(length) + "\r\n";
   return head + "\r\n";
 }
@@ -32,10 +32,10 @@
 }
 
 std::string parameter(const std::string& target, const std::string& name) {
-  std::size_t at = target.find(name + "=");
-  if (at == std::string::npos) return "";
-  at += name.size() + 1;
-  return target.substr(at, target.find('&', at) - at);
+  std::size_t start = target.find(name + "=");
+  if (start == std::string::npos) return "";
+  start += name.size() + 1;
+  return target.substr(start, target.find('&', start) - start);
 }
 
 }  // namespace
@@ -101,23 +101,20 @@
   return near ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
 }
 
-// ---- discovery ----
-
 std::string EmulatedServers::entryText(int dispatcher, const DiscoveryEntry& entry) const {
   auto count = static_cast<std::uint32_t>(experiment_.endpointCount());
-  std::uint32_t real = entry.endpoint % count;
-  bool ghost = entry.endpoint >= count;  // named by a wrong list: nobody is there
-  json row{
-      {"id", (ghost ? "ghost-" : "s-") + std::to_string(real)},
-      {"addr",
-       ghost ? "127.0.0.1:1" : endpointServers_[real][static_cast<std::size_t>(dispatcher)]->address()},
-      {"zone",
-       experiment_.environment.zones[static_cast<std::size_t>(experiment_.zoneOf(static_cast<int>(real)))]},
-      {"kind", "partner"},
-      {"cell", experiment_.destinationOf(static_cast<int>(real))},
-      {"state", stateName(entry.state)},
-      {"weight", ghost ? 1e6 : 1.0},
-      {"started_ms", 0}};
+  std::uint32_t endpoint = entry.endpoint % count;
+  bool fictitious = entry.endpoint >= count;  // of a discoveryWrong fault: no server has this address
+  json row{{"id", (fictitious ? "ghost-" : "s-") + std::to_string(endpoint)},
+           {"addr", fictitious ? "127.0.0.1:1"
+                               : endpointServers_[endpoint][static_cast<std::size_t>(dispatcher)]->address()},
+           {"zone", experiment_.environment
+                        .zones[static_cast<std::size_t>(experiment_.zoneOf(static_cast<int>(endpoint)))]},
+           {"kind", "partner"},
+           {"cell", experiment_.destinationOf(static_cast<int>(endpoint))},
+           {"state", stateName(entry.state)},
+           {"weight", fictitious ? 1e6 : 1.0},
+           {"started_ms", 0}};
   return row.dump();
 }
 
@@ -150,7 +147,7 @@
 
 void EmulatedServers::handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
                                       const HttpRequest& request) {
-  if (clock_.now() < discoveryUnresponsiveUntil_) return;  // it is there and says nothing
+  if (clock_.now() < discoveryUnresponsiveUntil_) return;  // the request gets no response
   std::string since = parameter(request.target, "since");
   if (since.empty()) {
     std::string body = endpointList(location.dispatcher);
@@ -165,44 +162,42 @@
   watches_[location.dispatcher] = {&connection, from, serial};
   timers_.schedule(loop_.now() + std::min(timeout, kMaxWatchTimeout),
                    [this, d = location.dispatcher, serial] {
-                     auto at = watches_.find(d);
-                     if (at == watches_.end() || at->second.serial != serial) return;
-                     PendingWatch watch = at->second;
-                     watches_.erase(at);
+                     auto found = watches_.find(d);
+                     if (found == watches_.end() || found->second.serial != serial) return;
+                     PendingWatch watch = found->second;
+                     watches_.erase(found);
                      if (clock_.now() >= discoveryUnresponsiveUntil_)
                        answerWatch(d, watch.since, *watch.connection);
                    });
 }
 
 void EmulatedServers::publish(std::uint32_t endpoint, EndpointState state) {
-  Millis late = std::max(discoveryDelay_, discoveryUnresponsiveUntil_ - clock_.now());
-  timers_.schedule(loop_.now() + std::max(0.0, late), [this, endpoint, state] {
+  Millis delay = std::max(discoveryDelay_, discoveryUnresponsiveUntil_ - clock_.now());
+  timers_.schedule(loop_.now() + std::max(0.0, delay), [this, endpoint, state] {
     ++version_;
-    auto at = std::find_if(entries_.begin(), entries_.end(),
-                           [&](const DiscoveryEntry& e) { return e.endpoint == endpoint; });
-    if (at == entries_.end()) at = entries_.insert(entries_.end(), {endpoint, state, version_});
-    at->state = state;
-    at->version = version_;
+    auto entry = std::find_if(entries_.begin(), entries_.end(),
+                              [&](const DiscoveryEntry& e) { return e.endpoint == endpoint; });
+    if (entry == entries_.end()) entry = entries_.insert(entries_.end(), {endpoint, state, version_});
+    entry->state = state;
+    entry->version = version_;
     for (auto& [d, watch] : std::exchange(watches_, {})) answerWatch(d, watch.since, *watch.connection);
   });
 }
 
-// ---- notices ----
-
 void EmulatedServers::handleNotifications(HttpServerConnection& connection, const HttpRequest& request) {
   std::string_view rest = request.body;
   struct Notification {
     std::uint32_t message;
     int result;
-    Millis wait;
+    Millis retryAfter;
   };
   std::vector<Notification> notifications;
   while (!rest.empty()) {
     std::size_t lineEnd = std::min(rest.find('\n'), rest.size());
-    std::string_view text = rest.substr(0, lineEnd);
+    std::string_view line = rest.substr(0, lineEnd);
     rest.remove_prefix(std::min(rest.size(), lineEnd + 1));
-    if (text.empty()) continue;
-    json row = json::parse(text, nullptr, false);
+    if (line.empty()) continue;
+    json row = json::parse(line, nullptr, false);
     if (!row.is_object() || !row.contains("ref") || !row.contains("result"))
       return connection.respond(responseHead(400, 0));
     auto message = messageOf(row.value("ref", ""));
@@ -216,14 +211,12 @@
                              .type = TraceEventType::notificationReceived,
                              .message = notification.message,
                              .status = static_cast<std::int16_t>(notification.result),
-                             .duration = notification.wait});
-    if (onNotification) onNotification(notification.message, notification.result, notification.wait);
+                             .duration = notification.retryAfter});
+    if (onNotification) onNotification(notification.message, notification.result, notification.retryAfter);
   }
   connection.respond(responseHead(204, 0));
 }
 
-// ---- endpoints ----
-
 bool EmulatedServers::connectionOpened(HttpServer& server, HttpServerConnection&) {
   const ServerLocation& location = locations_.at(&server);
   if (location.endpoint < 0) return true;
@@ -234,7 +227,8 @@
   return result == EndpointModel::ConnectResult::accepted;
 }
 
-// A full table takes no connection: it is refused before any of a call is written.
+// While the connection table is full, the endpoint accepts no connection, so that a dispatcher is refused
+// before it has written any part of a request.
 void EmulatedServers::updateConnectionLimit(std::uint32_t endpoint) {
   bool full = endpointModel_.connectionTableFull(endpoint);
   for (auto& server : endpointServers_[endpoint]) server->setAcceptPaused(full);
@@ -247,12 +241,12 @@
     if (request.method == "POST" && request.target.starts_with("/v1/messages")) {
       return receiveMessages(location, connection, request);
     }
-    bool load = request.target == "/_load";  // the same probe, with the report as its body
-    if (request.method == "GET" && (load || request.target == "/ping")) {
+    bool asksLoad = request.target == "/_load";  // a health check with the load report in its response
+    if (request.method == "GET" && (asksLoad || request.target == "/ping")) {
       auto endpoint = static_cast<std::uint32_t>(location.endpoint);
       int status = endpointModel_.answerHealthCheck(clock_.now(), endpoint,
                                                     static_cast<std::uint16_t>(location.dispatcher));
-      std::string body = load && experiment_.environment.reportsLoad ? loadReportText(endpoint) : "";
+      std::string body = asksLoad && experiment_.environment.reportsLoad ? loadReportText(endpoint) : "";
       if (status != 0) connection.respond(responseHead(status, body.size()) + body);
       return;
     }
@@ -265,9 +259,9 @@
 }
 
 std::string EmulatedServers::loadReportText(std::uint32_t endpoint) const {
-  char limit[64];
-  std::snprintf(limit, sizeof limit, "x1=%.3f", endpointModel_.loadReport(clock_.now(), endpoint).rateLimit);
-  return limit;
+  char text[64];
+  std::snprintf(text, sizeof text, "x1=%.3f", endpointModel_.loadReport(clock_.now(), endpoint).rateLimit);
+  return text;
 }
 
 void EmulatedServers::receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
@@ -284,24 +278,24 @@
     pending.references.emplace_back(ref);
     return true;
   };
-  bool good = true;
+  bool valid = true;
   if (pending.batch) {
     std::string_view rest = request.body;
-    while (good && !rest.empty()) {
+    while (valid && !rest.empty()) {
       std::size_t lineEnd = rest.find("\r\n");
       std::string_view row = rest.substr(0, lineEnd);
       std::size_t first = row.find(' ');
       std::size_t last = row.rfind(' ');
       auto length = last == std::string_view::npos ? std::nullopt : parseWholeNumber(row.substr(last + 1));
-      good = lineEnd != std::string_view::npos && length && rest.size() >= lineEnd + 4 + *length &&
-             add(row.substr(0, first));
-      if (good) rest.remove_prefix(lineEnd + 4 + *length);
+      valid = lineEnd != std::string_view::npos && length && rest.size() >= lineEnd + 4 + *length &&
+              add(row.substr(0, first));
+      if (valid) rest.remove_prefix(lineEnd + 4 + *length);
     }
-    good = good && !pending.messages.empty();
+    valid = valid && !pending.messages.empty();
   } else {
-    good = add(request.header("X-Request-Id"));
+    valid = add(request.header("X-Request-Id"));
   }
-  if (!good) return connection.respond(responseHead(400, 0));
+  if (!valid) return connection.respond(responseHead(400, 0));
   std::uint32_t requestNumber = nextRequest_++;
   requestOf_[&connection] = requestNumber;
   Millis delay = oneWayDelay(location);
@@ -310,10 +304,11 @@
 }
 
 void EmulatedServers::deliverToEndpoint(std::uint32_t request) {
-  auto at = pendingRequests_.find(request);
-  if (at == pendingRequests_.end() || endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher))
+  auto found = pendingRequests_.find(request);
+  if (found == pendingRequests_.end() ||
+      endpointModel_.unreachable(found->second.endpoint, found->second.dispatcher))
     return;
-  PendingRequest& pending = at->second;
+  PendingRequest& pending = found->second;
   auto immediate = endpointModel_.receiveRequest(clock_.now(), request, pending.endpoint, pending.dispatcher,
                                                  pending.messages);
   if (immediate) scheduleResponse(*immediate);
@@ -328,57 +323,63 @@
   scheduledAt = due;
   timers_.schedule(clock_.epoch + due, [this, endpoint, due] {
     if (advanceAt_[endpoint] == due) advanceAt_[endpoint] = -1;
-    for (const EndpointResponse& r : endpointModel_.advance(clock_.now(), endpoint)) scheduleResponse(r);
+    for (const EndpointResponse& response : endpointModel_.advance(clock_.now(), endpoint))
+      scheduleResponse(response);
     scheduleAdvance(endpoint);
   });
 }
 
-void EmulatedServers::scheduleResponse(const EndpointResponse& r) {
-  auto at = pendingRequests_.find(r.request);
-  if (at == pendingRequests_.end() || r.kind == ResponseKind::none) return;
-  timers_.schedule(loop_.now() + oneWayDelay({at->second.dispatcher, static_cast<int>(at->second.endpoint)}),
-                   [this, r] { writeResponse(r.request, r); });
+void EmulatedServers::scheduleResponse(const EndpointResponse& response) {
+  auto found = pendingRequests_.find(response.request);
+  if (found == pendingRequests_.end() || response.kind == ResponseKind::none) return;
+  timers_.schedule(
+      loop_.now() + oneWayDelay({found->second.dispatcher, static_cast<int>(found->second.endpoint)}),
+      [this, response] { writeResponse(response.request, response); });
 }
 
-void EmulatedServers::writeResponse(std::uint32_t request, const EndpointResponse& r) {
-  auto at = pendingRequests_.find(request);
-  if (at == pendingRequests_.end()) return;
-  // Called off while the reply was on its way: nobody hears it, and the end of its connection says so.
-  if (!endpointModel_.unreachable(at->second.endpoint, at->second.dispatcher) &&
-      at->second.connection->peerClosed())
+void EmulatedServers::writeResponse(std::uint32_t request, const EndpointResponse& response) {
+  auto found = pendingRequests_.find(request);
+  if (found == pendingRequests_.end()) return;
+  // The dispatcher cancelled the request while the response was on its way, and does not read it. Without
+  // this check the trace would show a response; connectionClosed records the request as abandoned instead.
+  if (!endpointModel_.unreachable(found->second.endpoint, found->second.dispatcher) &&
+      found->second.connection->peerClosed())
     return;
-  PendingRequest pending = std::move(at->second);
-  pendingRequests_.erase(at);
+  PendingRequest pending = std::move(found->second);
+  pendingRequests_.erase(found);
   requestOf_.erase(pending.connection);
   if (endpointModel_.unreachable(pending.endpoint, pending.dispatcher)) return;
-  for (std::uint32_t c : pending.messages) {
+  for (std::uint32_t message : pending.messages) {
     trace_.events.push_back({.at = clock_.now(),
                              .type = TraceEventType::responded,
-                             .message = c,
+                             .message = message,
                              .request = request,
                              .endpoint = pending.endpoint,
                              .dispatcher = pending.dispatcher,
-                             .status = static_cast<std::int16_t>(r.kind),
-                             .duration = r.retryAfter,
-                             .executed = r.executed});
+                             .status = static_cast<std::int16_t>(response.kind),
+                             .duration = response.retryAfter,
+                             .executed = response.executed});
   }
-  std::string more;
-  if (r.retryAfter > 0)
-    more += "X-Backoff-Ms: " + std::to_string(static_cast<std::int64_t>(std::ceil(r.retryAfter))) + "\r\n";
-  if (experiment_.environment.reportsLoad) more += "X-Load: " + loadReportText(pending.endpoint) + "\r\n";
+  std::string extraHeaders;
+  if (response.retryAfter > 0)
+    extraHeaders +=
+        "X-Backoff-Ms: " + std::to_string(static_cast<std::int64_t>(std::ceil(response.retryAfter))) + "\r\n";
+  if (experiment_.environment.reportsLoad)
+    extraHeaders += "X-Load: " + loadReportText(pending.endpoint) + "\r\n";
   std::string body;
-  if (pending.batch && r.kind == ResponseKind::ok) {
+  if (pending.batch && response.kind == ResponseKind::ok) {
     for (const std::string& ref : pending.references) body += ref + " ok\r\n";
   }
-  switch (r.kind) {
+  switch (response.kind) {
     case ResponseKind::connectionReset:
       return pending.connection->reset();
     case ResponseKind::malformed:
       return pending.connection->respond("HTTP/1.1 2O0 ;;\r\n\x01\x02 noise\r\n\r\n");
     case ResponseKind::truncated:
-      return pending.connection->respond(responseHead(200, body.size() + 100, more) + body, true);
+      return pending.connection->respond(responseHead(200, body.size() + 100, extraHeaders) + body, true);
     default:
-      return pending.connection->respond(responseHead(static_cast<int>(r.kind), body.size(), more) + body);
+      return pending.connection->respond(
+          responseHead(static_cast<int>(response.kind), body.size(), extraHeaders) + body);
   }
 }
 
@@ -389,20 +390,20 @@
     return;
   }
   auto endpoint = static_cast<std::uint32_t>(location.endpoint);
-  if (auto at = requestOf_.find(&connection); at != requestOf_.end()) {
-    std::uint32_t request = at->second;
-    requestOf_.erase(at);
+  if (auto found = requestOf_.find(&connection); found != requestOf_.end()) {
+    std::uint32_t request = found->second;
+    requestOf_.erase(found);
     PendingRequest pending = std::move(pendingRequests_.at(request));
     pendingRequests_.erase(request);
-    bool ran = endpointModel_.abandonRequest(clock_.now(), request, endpoint);
-    for (std::uint32_t c : pending.messages) {
+    bool executed = endpointModel_.abandonRequest(clock_.now(), request, endpoint);
+    for (std::uint32_t message : pending.messages) {
       trace_.events.push_back({.at = clock_.now(),
                                .type = TraceEventType::abandoned,
-                               .message = c,
+                               .message = message,
                                .request = request,
                                .endpoint = endpoint,
                                .dispatcher = pending.dispatcher,
-                               .executed = ran});
+                               .executed = executed});
     }
     scheduleAdvance(endpoint);
   }
@@ -410,24 +411,24 @@
   updateConnectionLimit(endpoint);
 }
 
-void EmulatedServers::applyFault(const Fault& t, bool begins) {
-  switch (t.kind) {
+void EmulatedServers::applyFault(const Fault& fault, bool begins) {
+  switch (fault.kind) {
     case FaultKind::drain:
-      for (int e : experiment_.affectedEndpoints(t))
+      for (int e : experiment_.affectedEndpoints(fault))
         publish(static_cast<std::uint32_t>(e), begins ? EndpointState::draining : EndpointState::ready);
       return;
     case FaultKind::discoveryWrong:
-      for (int e : experiment_.affectedEndpoints(t)) {
+      for (int e : experiment_.affectedEndpoints(fault)) {
         if (e % experiment_.environment.endpoints != 0) continue;
         publish(static_cast<std::uint32_t>(experiment_.endpointCount() + e),
                 begins ? EndpointState::ready : EndpointState::removed);
       }
       return;
     case FaultKind::discoveryDelayed:
-      discoveryDelay_ = begins ? t.factor : 0;
+      discoveryDelay_ = begins ? fault.factor : 0;
       return;
     case FaultKind::discoveryUnresponsive:
-      if (begins) discoveryUnresponsiveUntil_ = t.until;
+      if (begins) discoveryUnresponsiveUntil_ = fault.until;
       return;
     case FaultKind::kill:
     case FaultKind::stop:
@@ -438,13 +439,15 @@
     default:
       break;
   }
-  for (const EndpointResponse& r : endpointModel_.applyFault(clock_.now(), t, begins)) scheduleResponse(r);
-  for (int n : experiment_.affectedEndpoints(t)) {
+  for (const EndpointResponse& response : endpointModel_.applyFault(clock_.now(), fault, begins))
+    scheduleResponse(response);
+  for (int n : experiment_.affectedEndpoints(fault)) {
     auto e = static_cast<std::uint32_t>(n);
     for (std::uint32_t d = 0; d < endpointServers_[e].size(); ++d) {
       HttpServer& server = *endpointServers_[e][d];
-      if (t.kind == FaultKind::refuseConnections) server.setRefusing(endpointModel_.refusesConnections(e));
-      if (t.kind == FaultKind::blackhole || t.kind == FaultKind::networkPartition)
+      if (fault.kind == FaultKind::refuseConnections)
+        server.setRefusing(endpointModel_.refusesConnections(e));
+      if (fault.kind == FaultKind::blackhole || fault.kind == FaultKind::networkPartition)
         server.setUnreachable(endpointModel_.unreachable(e, d));
     }
     updateConnectionLimit(e);
--- a/src/lab/emulated_servers.h
+++ b/src/lab/emulated_servers.h
@@ -16,35 +16,42 @@
 
 namespace stonewing::lab {
 
-// The partners' endpoints and the platform on loopback: each dispatcher reaches them at addresses of its own,
-// 127.0.<dispatcher + 1>.<room + 1>, so that it is known who calls.
+// The emulated endpoints, discovery and platform, on loopback. Each dispatcher reaches the endpoints at
+// addresses of its own, 127.0.<dispatcher + 1>.<zone + 1>, which tell the servers who sent a request.
 class EmulatedServers : public HttpServer::Handler {
  public:
+  // All arguments must outlive the servers. Throws std::system_error if an address cannot be bound.
   EmulatedServers(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
                   const Experiment& experiment, EndpointModel& endpointModel, Trace& trace);
   ~EmulatedServers() override;
 
+  // Where the dispatcher reaches discovery and the platform, as host:port.
   std::string discoveryAddress(int dispatcher) const;
-  // The list that a dispatcher starts from, in discovery's form.
+  // The endpoint list that a dispatcher starts with, as the JSON body of a discovery response.
   std::string endpointList(int dispatcher) const;
-  // A trouble among endpoints or in discovery begins or ends; those of dispatchers are not ours.
+  // A fault of endpoints or of discovery begins or ends. Faults of dispatchers are ignored.
   void applyFault(const Fault& fault, bool begins);
-  // Messages that the platform is told of, with the result (1 failed, 2 shed) and the time to come back.
-  std::function<void(std::uint32_t message, int result, Millis wait)> onNotification;
+  // Called for each message that the platform is notified of, if set. result: 1 failed, 2 shed. retryAfter is
+  // 0 where the notification states none.
+  std::function<void(std::uint32_t message, int result, Millis retryAfter)> onNotification;
+  // The identifier of a message in commands and requests: 16 hexadecimal digits.
   static std::string messageReference(std::uint32_t message);
-  // Takes any message by a name of ours as one of the first type: a load in another process draws its own.
+  // From now on, a well-formed reference that is not in the trace is added to it as a message of the first
+  // traffic type. Without this, requests for messages of a load generator in another process would be
+  // rejected.
   void acceptUnknownMessages() { acceptsUnknownMessages_ = true; }
 
  private:
   struct ServerLocation {
     int dispatcher{};
-    int endpoint{-1};  // the platform where negative
+    int endpoint{-1};  // negative: discovery and the platform
   };
   struct DiscoveryEntry {
     std::uint32_t endpoint{};
     EndpointState state{EndpointState::ready};
     std::int64_t version{1};
   };
+  // A discovery request that is answered once the list changes, or at its timeout.
   struct PendingWatch {
     HttpServerConnection* connection{};
     std::int64_t since{};
@@ -60,7 +67,7 @@
     std::uint32_t endpoint{};
   };
 
-  // No value: nobody handed in anything by that name.
+  // No value if `ref` is malformed or no message in the trace has it.
   std::optional<std::uint32_t> messageOf(std::string_view ref);
   bool connectionOpened(HttpServer&, HttpServerConnection&) override;
   void requestReceived(HttpServer&, HttpServerConnection&, HttpRequest) override;
@@ -69,8 +76,8 @@
   void receiveMessages(const ServerLocation& location, HttpServerConnection& connection,
                        const HttpRequest& request);
   void deliverToEndpoint(std::uint32_t request);
-  void scheduleResponse(const EndpointResponse& reply);
-  void writeResponse(std::uint32_t request, const EndpointResponse& reply);
+  void scheduleResponse(const EndpointResponse& response);
+  void writeResponse(std::uint32_t request, const EndpointResponse& response);
   void scheduleAdvance(std::uint32_t endpoint);
   void updateConnectionLimit(std::uint32_t endpoint);
   void handleDiscovery(const ServerLocation& location, HttpServerConnection& connection,
--- a/src/lab/endpoint_model.cpp
+++ b/src/lab/endpoint_model.cpp
@@ -8,12 +8,13 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr double kDownErrorShare = 0.5;  // of the calls that fail: most of them, so the destination is out
-constexpr Millis kMinServiceTime = 1;    // an error comes at once
-constexpr double kAdditionalMessageWeight = 0.25;  // of a further message in a call, in calls
-constexpr double kOverloadAllowance = 2;           // calls above the budget that are put down to chance
-constexpr Millis kRejectionRetryAfter = 500;       // told by an endpoint that is shut
-constexpr std::size_t kMaxFirstExecutions = 1 << 20;
+constexpr double kDownErrorShare = 0.5;  // an endpoint that fails this share of its requests is down
+constexpr Millis kMinServiceTime = 1;    // raises a shorter service time that was drawn
+constexpr double kAdditionalMessageWeight = 0.25;  // of each further message of a batch, in requests
+// Requests above the overload budget that cause no overload, since random arrivals exceed the mean by chance.
+constexpr double kOverloadAllowance = 2;
+constexpr Millis kRejectionRetryAfter = 500;          // in the response to a request under a rejectAll fault
+constexpr std::size_t kMaxFirstExecutions = 1 << 20;  // beyond this, entries older than 1e6 ms are erased
 
 }  // namespace
 
@@ -29,7 +30,8 @@
     ++zoneSizes_[static_cast<std::size_t>(experiment.zoneOf(e))];
 }
 
-// A room is out while all its endpoints are.
+// A zone is down while all its endpoints are. It returns in slow start if it was down for longer than the
+// overload window.
 void EndpointModel::updateZoneState(Millis now, int number) {
   if (!experiment_.environment.zonesSlowStart) return;
   Zone& zone = zones_[static_cast<std::size_t>(number)];
@@ -56,8 +58,9 @@
          (1 - experiment_.environment.slowStartInitialShare) * progress;
 }
 
-// What reaches a room, probes too. A cold one falls as a whole when it is pushed too hard, and is cold again
-// after.
+// Counts a request or health check that reaches a zone. A zone in slow start that receives more than its
+// budget fails as a whole for slowStartDuration, and is then in slow start again. Returns false while the
+// zone is overloaded.
 bool EndpointModel::recordZoneRequest(Millis now, std::uint32_t endpoint, double weight) {
   if (!experiment_.environment.zonesSlowStart) return true;
   Zone& zone = zoneAt(endpoint);
@@ -84,7 +87,7 @@
   return false;
 }
 
-// What the troubles that are on make of an endpoint together.
+// Combines the active faults of an endpoint into its condition.
 void EndpointModel::updateCondition(Endpoint& e) {
   Condition c;
   for (const Fault& fault : e.activeFaults) {
@@ -137,9 +140,9 @@
   if (fault.kind == FaultKind::networkPartition) {
     for (int n : experiment_.affectedEndpoints(fault)) {
       for (int d : fault.dispatchers) {
-        auto at =
+        auto partition =
             partitions_.try_emplace({static_cast<std::uint32_t>(d), static_cast<std::uint32_t>(n)}).first;
-        if ((at->second += begins ? 1 : -1) == 0) partitions_.erase(at);
+        if ((partition->second += begins ? 1 : -1) == 0) partitions_.erase(partition);
       }
     }
     return responses;
@@ -150,22 +153,23 @@
     if (begins) {
       e.activeFaults.push_back(fault);
     } else {
-      auto same = [&](const Fault& t) { return t.kind == fault.kind && t.from == fault.from; };
-      auto at = std::find_if(e.activeFaults.begin(), e.activeFaults.end(), same);
-      if (at != e.activeFaults.end()) e.activeFaults.erase(at);
+      auto isSameFault = [&](const Fault& f) { return f.kind == fault.kind && f.from == fault.from; };
+      auto found = std::find_if(e.activeFaults.begin(), e.activeFaults.end(), isSameFault);
+      if (found != e.activeFaults.end()) e.activeFaults.erase(found);
     }
-    bool paused = e.condition.paused > 0;
+    bool wasPaused = e.condition.paused > 0;
     updateCondition(e);
-    if (!paused && e.condition.paused > 0) e.pausedAt = now;
-    if (paused && e.condition.paused == 0) {
+    if (!wasPaused && e.condition.paused > 0) e.pausedAt = now;
+    if (wasPaused && e.condition.paused == 0) {
       for (RunningRequest& r : e.running) r.endsAt += now - e.pausedAt;
     }
     if (begins && fault.kind == FaultKind::refuseConnections) {
-      // The process is gone, with all that it had: what had begun may have run.
+      // The endpoint's process has died: its connections are reset, and requests that it had begun to execute
+      // may have taken effect.
       for (const RunningRequest& r : e.running)
         responses.push_back({r.request, id, ResponseKind::connectionReset, 0, true});
-      for (const QueuedRequest& w : e.queued)
-        responses.push_back({w.request, id, ResponseKind::connectionReset, 0, false});
+      for (const QueuedRequest& q : e.queued)
+        responses.push_back({q.request, id, ResponseKind::connectionReset, 0, false});
       e.running.clear();
       e.queued.clear();
       e.connections = 0;
@@ -183,23 +187,24 @@
          c.resetShare >= kDownErrorShare || now < destinationOf(endpoint).overloadedUntil;
 }
 
-// A destination is out while every endpoint of it fails most calls; when the first is back, it is cold.
-void EndpointModel::updateDestinationState(Millis now, int n) {
-  Destination& d = destinations_[static_cast<std::size_t>(n)];
+// A destination is down while each of its endpoints fails most requests. When the first of them recovers, the
+// destination is in slow start, unless the outage lasted no longer than the overload window.
+void EndpointModel::updateDestinationState(Millis now, int destination) {
+  Destination& d = destinations_[static_cast<std::size_t>(destination)];
   bool isDown = true;
   for (int k = 0; k < experiment_.environment.endpoints; ++k) {
     isDown =
-        isDown && isEndpointDown(now, static_cast<std::uint32_t>(n * experiment_.environment.endpoints + k));
+        isDown &&
+        isEndpointDown(now, static_cast<std::uint32_t>(destination * experiment_.environment.endpoints + k));
   }
   if (isDown == d.isDown) return;
   d.isDown = isDown;
-  auto number = static_cast<std::uint32_t>(n);
+  auto number = static_cast<std::uint32_t>(destination);
   if (isDown) {
     d.downSince = now;
     trace_.events.push_back({.at = now, .type = TraceEventType::destinationDown, .message = number});
   } else {
-    if (now - d.downSince > experiment_.environment.overloadWindow)
-      d.slowStartSince = now;  // a blip leaves it warm
+    if (now - d.downSince > experiment_.environment.overloadWindow) d.slowStartSince = now;
     d.recentRequests.clear();
     d.recentWeight = 0;
     trace_.events.push_back({.at = now, .type = TraceEventType::destinationUp, .message = number});
@@ -224,7 +229,9 @@
   return {capacity() * 1000 * capacityShare(now, destinationOf(endpoint)), -1};
 }
 
-// Counts what reaches a destination, what it turns away too. A cold one that is pushed too hard falls over.
+// Counts a request or health check that reaches a destination, including one that is then rejected. A
+// destination in slow start that receives more than its budget fails for slowStartDuration. Returns false for
+// the request that causes this.
 bool EndpointModel::recordRequest(Millis now, std::uint32_t endpoint, double weight) {
   Destination& d = destinationOf(endpoint);
   d.recentRequests.emplace_back(now, weight);
@@ -272,10 +279,10 @@
                                                               std::uint32_t id, std::uint16_t dispatcher,
                                                               const std::vector<std::uint32_t>& messages) {
   Endpoint& e = endpoints_[id];
-  for (std::uint32_t c : messages) {
+  for (std::uint32_t message : messages) {
     trace_.events.push_back({.at = now,
                              .type = TraceEventType::arrived,
-                             .message = c,
+                             .message = message,
                              .request = request,
                              .endpoint = id,
                              .dispatcher = dispatcher});
@@ -302,7 +309,8 @@
     }
   }
   if (uniform(randomEngine_) < e.condition.errorShare) {
-    // It fails at once and holds no place for long; whether it took effect, nobody can tell.
+    // The request fails at once and uses none of the endpoint's concurrency. A dispatcher cannot know whether
+    // it took effect.
     return EndpointResponse{request, id, ResponseKind::serverError, 0, true};
   }
   bool busy = static_cast<int>(e.running.size()) >= experiment_.environment.concurrency;
@@ -334,9 +342,10 @@
     if (type.idempotency == Idempotency::idempotentWithKey) {
       auto zone = static_cast<std::uint64_t>(experiment_.zoneOf(static_cast<int>(id)));
       std::uint64_t scope = type.deduplicationScope == DeduplicationScope::zone ? zone + 1 : 0;
-      auto [at, inserted] = firstExecutions_.try_emplace(std::uint64_t{submitted.origin} << 8 | scope, now);
-      firstExecution = inserted || now - at->second > type.deduplicationWindow;
-      if (firstExecution) at->second = now;
+      auto [entry, inserted] =
+          firstExecutions_.try_emplace(std::uint64_t{submitted.origin} << 8 | scope, now);
+      firstExecution = inserted || now - entry->second > type.deduplicationWindow;
+      if (firstExecution) entry->second = now;
       if (firstExecutions_.size() > kMaxFirstExecutions) {
         std::erase_if(firstExecutions_, [&](const auto& r) { return now - r.second > 1e6; });
       }
@@ -371,22 +380,22 @@
   Endpoint& e = endpoints_[id];
   auto running =
       std::find_if(e.running.begin(), e.running.end(), [&](const auto& r) { return r.request == request; });
-  bool ran = running != e.running.end();
-  if (ran) {
+  bool wasRunning = running != e.running.end();
+  if (wasRunning) {
     e.running.erase(running);
     startQueuedRequests(now, id);
   } else {
-    std::erase_if(e.queued, [&](const QueuedRequest& w) { return w.request == request; });
+    std::erase_if(e.queued, [&](const QueuedRequest& q) { return q.request == request; });
   }
-  return ran;
+  return wasRunning;
 }
 
 std::vector<EndpointResponse> EndpointModel::advance(Millis now, std::uint32_t id) {
   std::vector<EndpointResponse> responses;
   Endpoint& e = endpoints_[id];
   if (e.condition.paused > 0) return responses;
-  for (bool more = true; more;) {
-    more = false;
+  for (bool anyEnded = true; anyEnded;) {
+    anyEnded = false;
     for (std::size_t n = 0; n < e.running.size();) {
       if (e.running[n].endsAt > now) {
         ++n;
@@ -394,9 +403,9 @@
       }
       responses.push_back({e.running[n].request, id, e.running[n].responseKind, 0, true});
       e.running.erase(e.running.begin() + static_cast<std::ptrdiff_t>(n));
-      more = true;
+      anyEnded = true;
     }
-    if (more) startQueuedRequests(now, id);
+    if (anyEnded) startQueuedRequests(now, id);
   }
   return responses;
 }
--- a/src/lab/endpoint_model.h
+++ b/src/lab/endpoint_model.h
@@ -11,10 +11,12 @@
 #include "lab/trace.h"
 #include "policy/decision.h"
 
-// How the partners' endpoints behave, with no sockets and no clock: calls and times in, replies out. The
-// world on sockets and the model in virtual time both ask it, so that they differ in the network alone.
+// The behavior of the emulated endpoints, without sockets or a clock: the caller passes requests and times,
+// and gets responses. The run on sockets and the model in virtual time share it, so that the two differ in
+// the network alone. Times are milliseconds since the start of the experiment.
 namespace stonewing::lab {
 
+// Values from 200 are HTTP status codes; the others are faults that leave no complete response.
 enum class ResponseKind : std::int16_t {
   none = 0,
   connectionReset = 1,
@@ -30,24 +32,26 @@
   std::uint32_t request{};
   std::uint32_t endpoint{};
   ResponseKind kind{ResponseKind::ok};
-  Millis retryAfter{0};
-  bool executed{false};
+  Millis retryAfter{0};  // 0: the response states none
+  bool executed{false};  // the request was executed, or may have been
 };
 
 class EndpointModel {
  public:
   enum class ConnectResult { accepted, refused, unanswered };
 
-  // Events of the far side are added to the trace.
+  // Adds its events to `trace`, whose messages it looks up by number. `experiment` and `trace` must outlive
+  // the model. The same seed and the same calls yield the same responses.
   EndpointModel(const Experiment& experiment, std::uint64_t seed, Trace& trace);
 
-  // A trouble begins or ends. Returns the calls that end by it.
+  // A fault begins or ends. Returns the responses to the requests that it ends.
   std::vector<EndpointResponse> applyFault(Millis now, const Fault& fault, bool begins);
 
-  // A connection is asked for; where it comes up it takes a place in the table until disconnected.
+  // Opens a connection. An accepted one occupies an entry of the endpoint's connection table until
+  // recordDisconnect.
   ConnectResult connect(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
   void recordDisconnect(std::uint32_t endpoint);
-  // Nothing comes through to it, or to it from this dispatcher.
+  // Whether a fault drops all traffic to the endpoint, be it from everywhere or from this dispatcher.
   bool unreachable(std::uint32_t endpoint, std::uint32_t dispatcher) const {
     return at(endpoint).condition.unreachable > 0 || partitions_.contains({dispatcher, endpoint});
   }
@@ -58,22 +62,26 @@
   }
   bool refusesConnections(std::uint32_t endpoint) const { return at(endpoint).condition.refusing > 0; }
 
-  // The last byte of a call has come, with these messages. No reply yet: it runs, or waits for its turn.
+  // The last byte of a request with these messages has arrived. Returns the response if the request fails or
+  // is rejected at once; no value: it executes or is queued, and advance() returns its response.
   std::optional<EndpointResponse> receiveRequest(Millis now, std::uint32_t request, std::uint32_t endpoint,
                                                  std::uint16_t dispatcher,
                                                  const std::vector<std::uint32_t>& messages);
-  // Its connection ended before the reply. Returns whether it has run.
+  // The connection of a request ended before its response. Returns whether the request was being executed,
+  // so that it may have taken effect.
   bool abandonRequest(Millis now, std::uint32_t request, std::uint32_t endpoint);
-  // Replies that are due by now.
+  // Returns the responses that are due by `now`, and starts queued requests in their place.
   std::vector<EndpointResponse> advance(Millis now, std::uint32_t endpoint);
-  Millis due(std::uint32_t endpoint) const;  // of the next; negative for none
-  // 200, 503 or 0 for no answer.
+  // When the next response is due; negative for none.
+  Millis due(std::uint32_t endpoint) const;
+  // The status of the response: 200 or 503, or 0 for no response.
   int answerHealthCheck(Millis now, std::uint32_t endpoint, std::uint16_t dispatcher);
-  // What a load report tells: the destination's limit or capacity, calls a second.
+  // The rate that a load report states: the requests per second that the destination can serve at present.
   LoadReport loadReport(Millis now, std::uint32_t endpoint) const;
 
  private:
-  // Troubles add up: a count of those that are on, or the strongest of them.
+  // The combined effect of an endpoint's active faults: their number for a fault without a factor, and the
+  // highest factor for the others.
   struct Condition {
     int refusing{0};
     int unreachable{0};
@@ -86,7 +94,7 @@
     double resetShare{0};
     double malformedShare{0};
     double truncatedShare{0};
-    int connectionLimit{0};  // of the connection table; 0: the plan's
+    int connectionLimit{0};  // entries of the connection table; 0: the experiment's
   };
   struct RunningRequest {
     std::uint32_t request{};
@@ -109,11 +117,11 @@
   struct Destination {
     bool isDown{false};
     Millis downSince{0};
-    Millis slowStartSince{-1e15};  // warm for long
+    Millis slowStartSince{-1e15};  // long past, so that it starts at full capacity
     Millis overloadedUntil{-1};
-    std::deque<std::pair<Millis, double>> recentRequests;  // within the last fall span, with their weight
+    std::deque<std::pair<Millis, double>> recentRequests;  // within the overload window, with weights
     double recentWeight{0};
-    std::int64_t rateLimitWindow{-1};  // of the limit, and the calls in it
+    std::int64_t rateLimitWindow{-1};  // number of the window that requestsInWindow counts
     double requestsInWindow{0};
   };
 
@@ -141,7 +149,7 @@
   void updateCondition(Endpoint& e);
   void updateDestinationState(Millis now, int destination);
   double capacityShare(Millis now, const Destination& d) const;
-  double capacity() const;  // of a warm destination, calls a millisecond
+  double capacity() const;  // of a destination after slow start, in requests per millisecond
   bool recordRequest(Millis now, std::uint32_t endpoint, double weight);
   void startRequest(Millis now, std::uint32_t endpoint, QueuedRequest request);
   void startQueuedRequests(Millis now, std::uint32_t endpoint);
@@ -153,10 +161,11 @@
   std::vector<Endpoint> endpoints_;
   std::vector<Destination> destinations_;
   std::vector<Zone> zones_;
-  std::map<std::pair<std::uint32_t, std::uint32_t>, int>
-      partitions_;  // dispatcher and endpoint: troubles that part them
-  std::vector<int> zoneSizes_;
-  std::unordered_map<std::uint64_t, Millis> firstExecutions_;  // by key and group: when it first ran
+  // By dispatcher and endpoint: the number of active network partitions between them.
+  std::map<std::pair<std::uint32_t, std::uint32_t>, int> partitions_;
+  std::vector<int> zoneSizes_;  // endpoints by zone
+  // When a message last took effect, by its origin and the scope in which a repeat is recognized.
+  std::unordered_map<std::uint64_t, Millis> firstExecutions_;
 };
 
 }  // namespace stonewing::lab
