--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -45,25 +45,25 @@
     {"disk-hang", FaultKind::diskHang},
 };
 
-// How many letters must change to make one word of the other.
-std::size_t distance(std::string_view a, std::string_view b) {
+// The Levenshtein distance of two words.
+std::size_t editDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
   for (std::size_t i = 1; i <= a.size(); ++i) {
-    std::size_t corner = std::exchange(row[0], i);
+    std::size_t diagonal = std::exchange(row[0], i);
     for (std::size_t j = 1; j <= b.size(); ++j) {
-      std::size_t change = corner + (a[i - 1] == b[j - 1] ? 0 : 1);
-      corner = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, change}));
+      std::size_t substitution = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+      diagonal = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, substitution}));
     }
   }
   return row.back();
 }
 
 std::string nearest(std::string_view word, const std::vector<std::string>& known) {
-  auto at = std::min_element(known.begin(), known.end(), [&](const auto& a, const auto& b) {
-    return distance(word, a) < distance(word, b);
+  auto closest = std::min_element(known.begin(), known.end(), [&](const auto& a, const auto& b) {
+    return editDistance(word, a) < editDistance(word, b);
   });
-  return at == known.end() ? "" : *at;
+  return closest == known.end() ? "" : *closest;
 }
 
 std::string quoted(std::string_view word) {
@@ -78,13 +78,13 @@
   return text;
 }
 
-// Gathers every mistake, so that a file is mended in one go.
+// Collects all errors of a file, so that its author can fix them at once.
 struct ConfigErrors {
   std::string file;
   std::vector<std::pair<toml::source_position, std::string>> errors;
 
-  void add(const toml::source_region& where, const std::string& message) {
-    errors.emplace_back(where.begin, message);
+  void add(const toml::source_region& region, const std::string& message) {
+    errors.emplace_back(region.begin, message);
   }
   void throwIfAny() {
     if (errors.empty()) return;
@@ -92,31 +92,32 @@
       return std::pair(a.first.line, a.first.column) < std::pair(b.first.line, b.first.column);
     });
     std::string text;
-    for (const auto& [at, text_] : errors) {
-      text += (text.empty() ? "" : "\n") + file + ":" + std::to_string(at.line) + ":" +
-              std::to_string(at.column) + ": " + text_;
+    for (const auto& [position, message] : errors) {
+      text += (text.empty() ? "" : "\n") + file + ":" + std::to_string(position.line) + ":" +
+              std::to_string(position.column) + ": " + message;
     }
     throw ConfigError(text);
   }
 };
 
-// One table of the file. Every key that is asked for is known; done() names those that nobody asked for.
+// One table of the file. Reading a key makes it a known key, and rejectUnknownKeys() reports all others.
+// Errors are added to ConfigErrors, and reading continues.
 class Section {
  public:
   Section(const toml::table& table, std::string name, ConfigErrors& errors)
       : table_(table), name_(std::move(name)), errors_(errors) {}
 
   template <class T>
-  void number(const char* key, T& into, double least, double most, double unit = 1) {
+  void number(const char* key, T& into, double lowest, double highest, double unit = 1) {
     const toml::node* node = find(key);
     if (node == nullptr) return;
     auto value = node->value<double>();
     if (node->is_boolean() || !value || !std::isfinite(*value)) {
       return addError(*node, quoted(key) + " must be a number");
     }
-    if (*value < least || *value > most) {
+    if (*value < lowest || *value > highest) {
       std::ostringstream text;
-      text << quoted(key) << " is " << *value << "; it must lie between " << least << " and " << most;
+      text << quoted(key) << " is " << *value << "; it must lie between " << lowest << " and " << highest;
       return addError(*node, text.str());
     }
     if constexpr (std::is_integral_v<T>) {
@@ -132,19 +133,19 @@
     if (!node->is_boolean()) return addError(*node, quoted(key) + " must be true or false");
     into = *node->value<bool>();
   }
-  void text(const char* key, std::string& into, bool needed = false) {
+  void text(const char* key, std::string& into, bool required = false) {
     const toml::node* node = find(key);
     if (node == nullptr) {
-      if (needed) addError(table_, quoted(name_) + " needs " + quoted(key) + ", a name in quotes");
+      if (required) addError(table_, quoted(name_) + " needs " + quoted(key) + ", a string in quotes");
       return;
     }
-    if (!node->is_string()) return addError(*node, quoted(key) + " must be a text in quotes");
+    if (!node->is_string()) return addError(*node, quoted(key) + " must be a string in quotes");
     into = *node->value<std::string>();
   }
   template <class T, std::size_t N>
-  void choice(const char* key, T& into, const std::pair<const char*, T> (&known)[N], bool needed = false) {
+  void choice(const char* key, T& into, const std::pair<const char*, T> (&known)[N], bool required = false) {
     std::string word;
-    text(key, word, needed);
+    text(key, word, required);
     if (word.empty()) return;
     std::vector<std::string> names;
     for (const auto& [name, value] : known) {
@@ -175,11 +176,13 @@
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const toml::array* rows = node->as_array();
-    if (rows == nullptr || rows->empty()) return addError(*node, quoted(key) + " must be a list of names");
+    if (rows == nullptr || rows->empty())
+      return addError(*node, quoted(key) + " must be a list of one or more names");
     into.clear();
     for (const toml::node& row : *rows) {
       auto value = row.value<std::string>();
-      if (!value || value->empty()) return addError(row, quoted(key) + " must hold names in quotes");
+      if (!value || value->empty())
+        return addError(row, quoted(key) + " must hold names in quotes, none of them empty");
       into.push_back(*value);
     }
   }
@@ -199,7 +202,7 @@
     const toml::array* rows = node->as_array();
     if (rows == nullptr ||
         !std::all_of(rows->begin(), rows->end(), [](const auto& r) { return r.is_table(); })) {
-      addError(*node, "write " + quoted(key) + " as [[" + key + "]], once for each");
+      addError(*node, "each entry of " + quoted(key) + " must be a table, with the header [[" + key + "]]");
       return found;
     }
     for (const toml::node& row : *rows) found.emplace_back(*row.as_table(), key, errors_);
@@ -231,7 +234,7 @@
   std::set<std::string> known_;
 };
 
-constexpr double kDay = 86400;
+constexpr double kSecondsPerDay = 86400;
 
 void readDistribution(Section& from, const char* key, DurationDistribution& into) {
   auto table = from.table(key);
@@ -244,7 +247,9 @@
   table->number("median_ms", into.median, 0.001, 1e6);
   table->number("spread", into.spread, 0, 20);
   if (into.shape == DistributionShape::pareto && into.spread <= 1) {
-    table->addError("spread", "a Pareto span needs 'spread' (its exponent) above 1, or it has no mean");
+    table->addError("spread",
+                    "'spread' is the exponent of a Pareto distribution here and must be above 1, or the "
+                    "distribution has no mean");
   }
   table->rejectUnknownKeys();
 }
@@ -263,7 +268,7 @@
   in.number("limit_span_s", settings.rateLimitWindow, 0.01, 60, kMillisPerSecond);
   in.number("connections", settings.maxConnections, 1, 1e6);
   in.number("connect_ms", settings.connectDelay, 0, 10000);
-  in.number("idle_s", settings.connectionIdleTimeout, 0.05, kDay, kMillisPerSecond);
+  in.number("idle_s", settings.connectionIdleTimeout, 0.05, kSecondsPerDay, kMillisPerSecond);
   in.number("cold_from", settings.slowStartInitialShare, 0.01, 1);
   in.number("cold_s", settings.slowStartDuration, 0.01, 3600, kMillisPerSecond);
   in.number("fall_multiple", settings.overloadThreshold, 1, 100);
@@ -283,8 +288,8 @@
   in.number("per_s", settings.perSecond, 0.01, 1e6);
   in.choice("arrivals", settings.arrivals, kShapes);
   in.number("burst_factor", settings.burstFactor, 1, 1000);
-  in.number("burst_on_s", settings.burstOn, 0.01, kDay, kMillisPerSecond);
-  in.number("burst_off_s", settings.burstOff, 0.01, kDay, kMillisPerSecond);
+  in.number("burst_on_s", settings.burstOn, 0.01, kSecondsPerDay, kMillisPerSecond);
+  in.number("burst_off_s", settings.burstOff, 0.01, kSecondsPerDay, kMillisPerSecond);
   in.number("dusk_factor", settings.rampFactor, 1, 1000);
   in.number("clump_share", settings.clumpShare, 0, 1);
   in.number("clump_size", settings.clumpSize, 1, 10000);
@@ -292,12 +297,12 @@
   in.number("quota_per_s", settings.quotaPerSecond, 0.01, 1e9);
   in.number("surge_tenant", settings.surgeTenant, 0, 65534);
   in.number("surge_factor", settings.surgeFactor, 1, 1000);
-  in.number("surge_from_s", settings.surgeFrom, 0, kDay, kMillisPerSecond);
-  in.number("surge_until_s", settings.surgeUntil, 0, kDay, kMillisPerSecond);
+  in.number("surge_from_s", settings.surgeFrom, 0, kSecondsPerDay, kMillisPerSecond);
+  in.number("surge_until_s", settings.surgeUntil, 0, kSecondsPerDay, kMillisPerSecond);
   in.number("retries", settings.retries, 0, 100);
   in.number("retry_pause_s", settings.retryDelay, 0.001, 600, kMillisPerSecond);
   if (settings.surgeTenant >= settings.tenants)
-    in.addError("surge_tenant", "'surge_tenant' must be below 'tenants'");
+    in.addError("surge_tenant", "'surge_tenant' must be below 'tenants', since tenants are numbered from 0");
   in.rejectUnknownKeys();
 }
 
@@ -352,13 +357,15 @@
   in.number("keys", type.orderingKeyCount, 0, 1e9);
   if (type.settings.deadlineAfter < type.settings.latencyObjective) {
     in.addError("outer_ms",
-                "'outer_ms' must be at least 'promised_ms': a callback is promised before it is too late");
+                "'outer_ms', the deadline, must be at least 'promised_ms', the latency objective");
   }
   if (type.settings.idempotency == Idempotency::idempotentWithKey && type.settings.deduplicationWindow <= 0) {
-    in.addError("effect", "a receipted type needs 'window_ms', the time within which a repeat is dropped");
+    in.addError("effect",
+                "a type whose 'effect' is receipted needs 'window_ms', the time within which endpoints drop "
+                "a repeat");
   }
   if (type.settings.ordered && type.orderingKeyCount == 0)
-    in.addError("ordered", "an ordered type needs 'keys', how many there are");
+    in.addError("ordered", "a type that is 'ordered' needs 'keys', the number of its ordering keys, above 0");
   in.rejectUnknownKeys();
   return type;
 }
@@ -366,8 +373,8 @@
 Fault readFault(Section& in, const Experiment& experiment) {
   Fault fault;
   in.choice("kind", fault.kind, kFaultKinds, true);
-  in.number("from_s", fault.from, 0, kDay, kMillisPerSecond);
-  in.number("until_s", fault.until, 0, kDay, kMillisPerSecond);
+  in.number("from_s", fault.from, 0, kSecondsPerDay, kMillisPerSecond);
+  in.number("until_s", fault.until, 0, kSecondsPerDay, kMillisPerSecond);
   in.text("room", fault.zone);
   in.wholeNumbers("destinations", fault.destinations, experiment.environment.destinations);
   in.wholeNumbers("endpoints", fault.endpoints, experiment.endpointCount());
@@ -377,14 +384,15 @@
   if (fault.until <= fault.from) in.addError("until_s", "'until_s' must be later than 'from_s'");
   const auto& zones = experiment.environment.zones;
   if (!fault.zone.empty() && std::find(zones.begin(), zones.end(), fault.zone) == zones.end()) {
-    in.addError("room", "there is no room \"" + fault.zone + "\"; the rooms are " + commaSeparated(zones));
+    in.addError("room",
+                "there is no room \"" + fault.zone + "\"; 'rooms' of [world] has " + commaSeparated(zones));
   }
   bool factorIsShare = fault.kind == FaultKind::errors || fault.kind == FaultKind::lostResponse ||
                        fault.kind == FaultKind::connectionReset ||
                        fault.kind == FaultKind::malformedResponse ||
                        fault.kind == FaultKind::truncatedResponse;
   if (factorIsShare && fault.factor > 1)
-    in.addError("factor", "'factor' is a share of the calls here: between 0 and 1");
+    in.addError("factor", "for this 'kind', 'factor' is a share of the calls and must lie between 0 and 1");
   in.rejectUnknownKeys();
   return fault;
 }
@@ -400,28 +408,28 @@
 
 namespace {
 
-// Puts "table.key=value" in place of what the file says.
-void applyOverride(toml::table& root, const std::string& change) {
-  std::size_t equals = change.find('=');
+// Applies an override of the form "table.key=value" to the parsed file, and creates tables that it lacks.
+void applyOverride(toml::table& root, const std::string& assignment) {
+  std::size_t equals = assignment.find('=');
   if (equals == std::string::npos || equals == 0) {
-    throw ConfigError("--set takes table.key=value, not '" + change + "'");
+    throw ConfigError("--set needs table.key=value, got '" + assignment + "'");
   }
-  std::string path = change.substr(0, equals);
+  std::string path = assignment.substr(0, equals);
   toml::table value;
   try {
-    value = toml::parse("value = " + change.substr(equals + 1));
+    value = toml::parse("value = " + assignment.substr(equals + 1));
   } catch (const toml::parse_error&) {
-    throw ConfigError("--set " + path + ": '" + change.substr(equals + 1) +
-                      "' is no TOML value; texts need quotes");
+    throw ConfigError("--set " + path + ": '" + assignment.substr(equals + 1) +
+                      "' is not a TOML value; a string needs quotes");
   }
-  toml::table* at = &root;
+  toml::table* table = &root;
   for (std::size_t dot; (dot = path.find('.')) != std::string::npos; path.erase(0, dot + 1)) {
     std::string key = path.substr(0, dot);
-    at->insert(key, toml::table{});
-    at = at->get(key)->as_table();
-    if (at == nullptr) throw ConfigError("--set: '" + key + "' is no table");
+    table->insert(key, toml::table{});
+    table = table->get(key)->as_table();
+    if (table == nullptr) throw ConfigError("--set: '" + key + "' is not a table");
   }
-  at->insert_or_assign(path, *value.get("value"));
+  table->insert_or_assign(path, *value.get("value"));
 }
 
 }  // namespace
@@ -433,16 +441,16 @@
   try {
     root = toml::parse(text, file);
   } catch (const toml::parse_error& problem) {
-    errors.add(problem.source(), "not TOML: " + std::string(problem.description()));
+    errors.add(problem.source(), "invalid TOML: " + std::string(problem.description()));
     errors.throwIfAny();
   }
-  for (const std::string& change : overrides) applyOverride(root, change);
+  for (const std::string& assignment : overrides) applyOverride(root, assignment);
   Experiment experiment;
   Section top(root, "the experiment", errors);
   top.text("name", experiment.name, true);
   top.number("seed", experiment.seed, 0, 9e15);
-  top.number("duration_s", experiment.duration, 0.1, kDay, kMillisPerSecond);
-  top.number("drain_s", experiment.drainDuration, 0, kDay, kMillisPerSecond);
+  top.number("duration_s", experiment.duration, 0.1, kSecondsPerDay, kMillisPerSecond);
+  top.number("drain_s", experiment.drainDuration, 0, kSecondsPerDay, kMillisPerSecond);
   if (auto in = top.table("world")) readEnvironment(*in, experiment.environment);
   if (auto in = top.table("load")) readLoad(*in, experiment.load);
   if (auto in = top.table("fleet")) readFleet(*in, experiment.fleet);
@@ -456,34 +464,36 @@
 
 Experiment readExperimentFile(const std::string& path, const std::vector<std::string>& overrides) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw ConfigError("cannot read " + path);
+  if (!in) throw ConfigError("cannot read the experiment file " + path);
   return readExperiment(std::string(std::istreambuf_iterator<char>(in), {}), path, overrides);
 }
 
 Millis Experiment::end() const {
-  Millis longest = drainDuration;
-  if (longest <= 0) {
+  Millis drain = drainDuration;
+  if (drain <= 0) {
     for (const TrafficTypeSettings& t : types)
-      longest = std::max(longest, t.settings.deadlineAfter + 2 * environment.answerSlack);
+      drain = std::max(drain, t.settings.deadlineAfter + 2 * environment.answerSlack);
   }
-  return duration + longest;
+  return duration + drain;
 }
 
 int Experiment::zoneOf(int endpoint) const {
-  // Dealt out so that the first endpoints of all destinations do not share one room.
+  // Each destination begins with another zone, so that the first endpoints of all destinations do not share
+  // one zone.
   int within = endpoint % environment.endpoints;
   return (within + destinationOf(endpoint)) % static_cast<int>(environment.zones.size());
 }
 
 std::vector<int> Experiment::affectedEndpoints(const Fault& fault) const {
   std::vector<int> affected;
-  auto has = [](const std::vector<int>& all, int one) {
-    return std::find(all.begin(), all.end(), one) != all.end();
+  auto contains = [](const std::vector<int>& numbers, int number) {
+    return std::find(numbers.begin(), numbers.end(), number) != numbers.end();
   };
-  bool all = fault.zone.empty() && fault.destinations.empty() && fault.endpoints.empty();
+  bool affectsAll = fault.zone.empty() && fault.destinations.empty() && fault.endpoints.empty();
   for (int e = 0; e < endpointCount(); ++e) {
     bool inZone = !fault.zone.empty() && environment.zones[static_cast<std::size_t>(zoneOf(e))] == fault.zone;
-    if (all || inZone || has(fault.destinations, destinationOf(e)) || has(fault.endpoints, e))
+    if (affectsAll || inZone || contains(fault.destinations, destinationOf(e)) ||
+        contains(fault.endpoints, e))
       affected.push_back(e);
   }
   affected.resize(static_cast<std::size_t>(std::ceil(static_cast<double>(affected.size()) * fault.share)));
@@ -519,8 +529,8 @@
   auto zones = static_cast<int>(environment.zones.size());
   for (int n = 0; n < zones; ++n) {
     ZoneId zone{static_cast<std::uint8_t>((dispatcher + n) % zones)};
-    bool joins = fleet.zonePriorities == ZonePriorityShape::near && n > 1;
-    if (!joins) settings.zoneFailover.priorities.emplace_back();
+    bool equalsPrevious = fleet.zonePriorities == ZonePriorityShape::near && n > 1;
+    if (!equalsPrevious) settings.zoneFailover.priorities.emplace_back();
     settings.zoneFailover.priorities.back().push_back(zone);
   }
   return settings;
--- a/src/lab/experiment.h
+++ b/src/lab/experiment.h
@@ -7,14 +7,14 @@
 #include "base/ids.h"
 #include "settings/deployment_settings.h"
 
-// What an experiment is made of, as its TOML file says (docs/lab.md lists every key). Times are milliseconds,
-// rates are per second, shares lie between 0 and 1.
+// The settings of an experiment, as read from its TOML file; docs/lab.md lists the keys. Times are
+// milliseconds, rates are per second, and shares lie between 0 and 1, unless a field says otherwise.
 namespace stonewing::lab {
 
 enum class DistributionShape { fixed, lognormal, pareto };
 
-// A span that is drawn: lognormal by its median and the deviation of its logarithm, Pareto by its median and
-// its exponent (spread), fixed by its median alone.
+// The distribution of a random duration. `spread` is the standard deviation of the logarithm for a lognormal
+// distribution, and the exponent for a Pareto distribution; a fixed duration is always `median`.
 struct DurationDistribution {
   DistributionShape shape{DistributionShape::lognormal};
   Millis median{20};
@@ -24,97 +24,103 @@
 struct EnvironmentSettings {
   std::vector<std::string> zones{"a"};
   Millis nearOneWay{0.2};
-  Millis farOneWay{2};  // between rooms
+  Millis farOneWay{2};  // network delay between zones; nearOneWay: within a zone
   int destinations{4};
-  int endpoints{2};        // of each destination, dealt out over the rooms
-  double zipfExponent{0};  // exponent of the destinations' popularity; 0: all alike
+  int endpoints{2};        // of each destination, distributed over the zones
+  double zipfExponent{0};  // of the destinations' popularity; 0: all destinations get equal load
   DurationDistribution serviceTime;
-  int concurrency{8};            // calls an endpoint serves at once
-  int queueCapacity{8};          // calls that wait beyond those
-  double rateLimitPerSecond{0};  // of a destination, counted in spans; 0: none
+  int concurrency{8};            // requests that an endpoint executes at once
+  int queueCapacity{8};          // requests that an endpoint queues beyond those
+  double rateLimitPerSecond{0};  // of a destination, counted per rateLimitWindow; 0: no limit
   Millis rateLimitWindow{1000};
-  int maxConnections{64};    // an endpoint's table
-  Millis connectDelay{0.5};  // what a new connection costs its first call
+  int maxConnections{64};    // size of an endpoint's connection table
+  Millis connectDelay{0.5};  // added to the first request on a new connection
   Millis connectionIdleTimeout{10000};
   double slowStartInitialShare{0.2};
   Millis slowStartDuration{10000};
   double overloadThreshold{2.5};
   Millis overloadWindow{1500};
-  Millis drainGrace{500};
-  Millis answerSlack{300};
-  Millis orderingPause{500};
+  Millis drainGrace{500};     // attempts may still arrive for so long after the endpoint list states draining
+  Millis answerSlack{300};    // the outcome of a message may arrive so long after its deadline
+  Millis orderingPause{500};  // as DeploymentSettings::orderingPause
   int maxBatchSize{1};
   bool reportsLoad{false};
-  bool zonesSlowStart{false};  // a room that was out as a whole returns cold, and falls when it is pushed
+  // A zone that was down as a whole returns in slow start, and fails again if it is overloaded then.
+  bool zonesSlowStart{false};
 };
 
-// Tiers of rooms as a dispatcher is told of them: none; its own, then all others; its own, then the others in
-// turn.
-enum class ZonePriorityShape { none, near, ring };
+// The zone priorities in a dispatcher's settings.
+enum class ZonePriorityShape {
+  none,
+  near,  // its own zone, then all others as equals
+  ring   // its own zone, then the others one after the other
+};
 
 enum class ArrivalShape { poisson, bursts, ramp };
 
 struct LoadSettings {
   double perSecond{100};
   ArrivalShape arrivals{ArrivalShape::poisson};
-  double burstFactor{4};  // rate inside a burst, of the mean outside
-  Millis burstOn{500};
-  Millis burstOff{2000};
-  double rampFactor{5};  // the top of the ramp
-  double clumpShare{0};  // of messages that come in clumps for one destination
-  int clumpSize{10};
+  double burstFactor{4};  // rate during a burst, as a multiple of the rate between bursts
+  Millis burstOn{500};    // duration of a burst
+  Millis burstOff{2000};  // time between two bursts
+  double rampFactor{5};   // highest rate of a ramp, as a multiple of perSecond
+  double clumpShare{0};   // of messages that are submitted in clumps: several at once for one destination
+  int clumpSize{10};      // messages of a clump
   int tenants{1};
   double quotaPerSecond{1e6};
-  int surgeTenant{-1};
-  double surgeFactor{1};
+  int surgeTenant{-1};    // -1: no tenant has a surge
+  double surgeFactor{1};  // rate of that tenant during its surge, as a multiple of its usual rate
   Millis surgeFrom{0};
   Millis surgeUntil{0};
-  int retries{2};  // a client comes again after a refusal, so many times at most
-  Millis retryDelay{500};
+  int retries{2};          // a client submits a rejected message again, so many times at most
+  Millis retryDelay{500};  // mean, after a rejection without Retry-After
 };
 
 struct TrafficTypeSettings {
   std::string name;
   double share{1};
   TrafficType settings;
-  int orderingKeyCount{0};  // of an ordered type: so many different ones
+  int orderingKeyCount{0};  // different ordering keys of an ordered type
 };
 
 enum class FaultKind {
-  refuseConnections,      // connections are refused, open ones reset
-  blackhole,              // nothing comes through, in either direction
-  noResponse,             // calls are taken and run, and nothing comes back
-  slow,                   // service takes `factor` times as long
-  errors,                 // a share `factor` of the calls ends as 500 at once
-  rejectAll,              // 503 with a wait to everything
-  lostResponse,           // a share `factor` runs, and its answer is lost in silence
-  connectionReset,        // the same, and the connection breaks
-  malformedResponse,      // a share `factor` runs, and its answer cannot be read
-  truncatedResponse,      // a share `factor` runs, and its answer ends in the middle
-  pause,                  // the endpoint stands still
-  connectionLimit,        // the connection table has `factor` places
-  discoveryDelayed,       // discovery tells changes `factor` ms late
-  discoveryUnresponsive,  // discovery does not answer
-  drain,                  // the list calls the endpoints terminating, then takes them back
-  discoveryWrong,         // the list moves the endpoints' weight and names one that is not there
-  kill,                   // SIGKILL of a dispatcher, started anew at the end
-  stop,                   // SIGSTOP until the end
-  terminate,              // SIGTERM, started anew at the end
-  networkPartition,  // nothing comes through between the dispatchers and the endpoints, in either direction
-  diskFull,          // no room in the dispatcher's folder
-  diskHang,          // a write there takes until the end
+  refuseConnections,      // the endpoint refuses connections and resets the open ones
+  blackhole,              // all traffic of the endpoint is dropped, in both directions
+  noResponse,             // requests execute and get no response
+  slow,                   // requests execute `factor` times as long
+  errors,                 // a share `factor` of the requests gets a 500 at once
+  rejectAll,              // every request gets a 503 with a Retry-After
+  lostResponse,           // a share `factor` of the requests executes and gets no response
+  connectionReset,        // a share `factor` executes, then the connection is reset without a response
+  malformedResponse,      // a share `factor` executes and gets a response that is not valid HTTP
+  truncatedResponse,      // a share `factor` executes and gets a response that is cut short
+  pause,                  // the endpoint is suspended: requests make no progress until the end
+  connectionLimit,        // the endpoint's connection table has `factor` entries
+  discoveryDelayed,       // discovery publishes changes `factor` ms late
+  discoveryUnresponsive,  // discovery sends no responses
+  drain,                  // the endpoint list states the endpoints as draining, and as ready at the end
+  discoveryWrong,         // the endpoint list has an entry of very high weight with no endpoint behind it
+  kill,                   // SIGKILL of a dispatcher, which restarts at the end
+  stop,                   // SIGSTOP of a dispatcher, SIGCONT at the end
+  terminate,              // SIGTERM of a dispatcher, which restarts at the end
+  networkPartition,       // traffic between the dispatchers and the endpoints is dropped, in both directions
+  diskFull,               // the dispatcher's files cannot grow
+  diskHang,               // the dispatcher's writes to its journal block until the end
 };
 
+// A fault, and the endpoints and dispatchers that it affects. It affects all endpoints if it names no zone,
+// destination or endpoint.
 struct Fault {
   FaultKind kind{};
   Millis from{};
   Millis until{};
-  std::string zone{};               // all endpoints of the room, where named
-  std::vector<int> destinations{};  // all endpoints of these
-  std::vector<int> endpoints{};     // and these; with no room, destination and endpoint: all
-  std::vector<int> dispatchers{};   // for the kinds that strike dispatchers; none: the first
-  double share{1};                  // of the endpoints chosen, the first so many
-  double factor{1};
+  std::string zone{};               // all endpoints of this zone; empty: of none
+  std::vector<int> destinations{};  // all endpoints of these destinations
+  std::vector<int> endpoints{};     // and these endpoints
+  std::vector<int> dispatchers{};   // for a fault of dispatchers; empty: the first dispatcher
+  double share{1};                  // the first of the named endpoints, up to this share, are affected
+  double factor{1};                 // as the kind says
 };
 
 struct FleetSettings {
@@ -133,38 +139,40 @@
   int maxSockets{512};
   Millis restartDelay{600};
   ZonePriorityShape zonePriorities{ZonePriorityShape::none};
-  ZoneFailoverSettings zoneFailover;  // but for the tiers, which follow from that
-  bool separateJournalWriter{false};  // a thread of its own writes the journal
+  ZoneFailoverSettings zoneFailover;  // except for its priorities, which are derived from zonePriorities
+  bool separateJournalWriter{false};  // the dispatcher writes its journal in a thread of its own
 };
 
 struct Experiment {
   std::string name;
   std::uint64_t seed{1};
   Millis duration{10000};
-  Millis drainDuration{0};  // time after the last message was due; the longest deadline where 0
+  Millis drainDuration{0};  // after the last message is due; 0: until the longest deadline has passed
   EnvironmentSettings environment;
   LoadSettings load;
   FleetSettings fleet;
   std::vector<TrafficTypeSettings> types;
   std::vector<Fault> faults;
 
+  // When the experiment ends, drain time included.
   Millis end() const;
   int endpointCount() const { return environment.destinations * environment.endpoints; }
   int zoneOf(int endpoint) const;
   int destinationOf(int endpoint) const { return endpoint / environment.endpoints; }
-  // The endpoints that a trouble strikes.
+  // The endpoints that a fault affects, in ascending order.
   std::vector<int> affectedEndpoints(const Fault& fault) const;
-  // What a dispatcher in that room is told at its start.
+  // The settings that a dispatcher, by its number from 0, starts with.
   DeploymentSettings deploymentSettings(int dispatcher) const;
 };
 
 const char* nameOf(FaultKind kind);
 
-// Reads a plan. Throws ConfigError with every mistake of the text, a line each: file, line, column, what is
-// wrong and what would be right.
-// overrides: "load.per_s=4000", as if the file had said so.
+// Reads an experiment. Throws ConfigError with all errors of the text, one per line: file, line, column, the
+// key, and the values that are allowed. `file` is used in errors alone. Each override has the form
+// "load.per_s=4000" and replaces the value in the text; the error for a malformed one names --set.
 Experiment readExperiment(const std::string& text, const std::string& file,
                           const std::vector<std::string>& overrides = {});
+// As readExperiment, and throws ConfigError if the file cannot be read.
 Experiment readExperimentFile(const std::string& path, const std::vector<std::string>& overrides = {});
 
 }  // namespace stonewing::lab
