--- a/src/lab/endpoint_model.cpp
+++ b/src/lab/endpoint_model.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kDownErrorShare = 0.5;  // an endpoint that fails this share of its requests is down
-constexpr Millis kMinServiceTime = 1;    // raises a shorter service time that was drawn
+constexpr Millis kMinServiceTime = 1;    // a shorter drawn service time is raised to this
 constexpr double kAdditionalMessageWeight = 0.25;  // of each further message of a batch, in requests
 // Requests above the overload budget that cause no overload, since random arrivals exceed the mean by chance.
 constexpr double kOverloadAllowance = 2;
--- a/src/lab/slow_disk_preload.cpp
+++ b/src/lab/slow_disk_preload.cpp
@@ -8,7 +8,7 @@
 
 extern "C" ssize_t write(int fd, const void* bytes, size_t size) {
   using Write = ssize_t (*)(int, const void*, size_t);
-  static const auto real = reinterpret_cast<Write>(::dlsym(RTLD_NEXT, "write"));
+  static const auto kRealWrite = reinterpret_cast<Write>(::dlsym(RTLD_NEXT, "write"));
   char descriptorLink[64];
   char path[4096];
   std::snprintf(descriptorLink, sizeof descriptorLink, "/proc/self/fd/%d", fd);
@@ -17,5 +17,5 @@
     std::memcpy(path + length - 7, "hang", 5);
     while (::access(path, F_OK) == 0) ::usleep(1000);
   }
-  return real(fd, bytes, size);
+  return kRealWrite(fd, bytes, size);
 }
