--- a/tests/check_terms_test.py
+++ b/tests/check_terms_test.py
@@ -1,4 +1,4 @@
-"""scripts/check-terms on small trees of its own, and on this one."""
+"""Tests of scripts/check-terms, on small generated trees and on this repository."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         )
 
     def words_in(self, path: str) -> list[str]:
-        """What is found in a file, as 'LINE: WORD'."""
+        """The findings in a file, each as 'LINE: WORD'."""
         result = self.run_on_tree(path)
         self.assertEqual(result.returncode, 0, result.stderr)
         return [line.split(":", 1)[1] for line in result.stdout.splitlines()]
--- a/tests/deploy_file_test.py
+++ b/tests/deploy_file_test.py
@@ -1,4 +1,4 @@
-"""deploy/balancer.toml names files that are there, and all that hold the policy."""
+"""Tests that deploy/balancer.toml names existing files and every source and header of the policy."""
 
 from __future__ import annotations
 
--- a/tests/outward_names_test.py
+++ b/tests/outward_names_test.py
@@ -1,4 +1,4 @@
-"""scripts/check-outward-names on small trees of its own, and on this one."""
+"""Tests of scripts/check-outward-names, on small generated trees and on this repository."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(root: pathlib.Path) -> subprocess.CompletedProcess[str]:
-    """The check of a whole tree."""
+    """Check a whole tree."""
     return subprocess.run(
         [sys.executable, CHECK_OUTWARD_NAMES, "--root", root], capture_output=True, text=True, check=False
     )
@@ -31,7 +31,7 @@
         file.write_text(text, encoding="utf-8")
 
     def missing(self, name_list: str) -> list[str]:
-        """What is missing of a list, without the count in the last line."""
+        """The lines of the names that are missing, without the count in the last line."""
         self.write("docs/outward-names.txt", name_list)
         result = run(self.root)
         lines = result.stdout.splitlines()[:-1]
--- a/tests/trace_message_test.py
+++ b/tests/trace_message_test.py
@@ -1,4 +1,4 @@
-"""scripts/trace-message on the logs of dispatchers, in both formats and both vocabularies."""
+"""Tests of scripts/trace-message: logs in both formats, with the current and the old event names."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def text_line(time: str, level: str, event: str) -> str:
-    """A line as spdlog writes it for the text format."""
+    """A line in the text format, as spdlog writes it."""
     return f"[2026-12-02 {time}] [stonewing] [{level}] {event}\n"
 
 
-# As programs before the renaming of the events logged.
+# Logs with the names of events and fields before their renaming.
 OLD_TEXT = (
     text_line("05:00:00.000", "info", "phase name=n1 phase=serving held=0 owed=0")
     + text_line(
@@ -92,7 +92,7 @@
                     ["n1", "message.accepted"],
                     ["n1", "attempt.sent"],
                     ["n2", "message.recovered"],
-                    ["n1", "lifecycle.changed"],  # only changes of its dispatcher, once that had the message
+                    ["n1", "lifecycle.changed"],  # only n1's changes since its first event
                 ],
             )
 
@@ -133,15 +133,15 @@
         self.write_logs(n1=NEW_TEXT)
         cases: tuple[tuple[tuple[str, ...], int, str], ...] = (
             ((), 2, "scripts/trace-message [-h] FOLDER REFERENCE"),
-            ((self.folder.name, "two words"), 2, "'two words' is no reference"),
+            ((self.folder.name, "two words"), 2, "'two words' is not a message reference"),
             ((self.folder.name + "/nowhere", "00ab12"), 1, "no *.log below"),
-            ((self.folder.name, "77"), 1, "no line of message '77'"),
+            ((self.folder.name, "77"), 1, "no log line of message '77'"),
         )
-        for arguments, code, says in cases:
-            with self.subTest(says):
+        for arguments, code, expected_error in cases:
+            with self.subTest(expected_error):
                 result = self.trace(*arguments)
                 self.assertEqual(result.returncode, code)
-                self.assertIn(says, result.stderr)
+                self.assertIn(expected_error, result.stderr)
 
 
 if __name__ == "__main__":
