--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The tasks of this repository; README.md tells what each needs.
+# The tasks of this repository; README.md lists their requirements.
 .PHONY: build test lint format run toy submit lab demo
 
 build:
@@ -8,15 +8,16 @@
 	bash scripts/needs
 	bash scripts/test
 
-# All linters, warnings as errors; `scripts/lint STEP` runs one of them.
+# Runs all linters, with warnings as errors; `scripts/lint STEP` runs one of them.
 lint:
 	bash scripts/lint
 
-# Rewrites what the formatters would complain of.
+# Formats the C++ and Python files in place.
 format:
 	bash scripts/lint format
 
-# A dispatcher of the example configuration; `make toy` in another terminal starts what it talks to.
+# Runs a dispatcher with the example configuration; `make toy` in another terminal starts the discovery, the platform
+# and the two endpoints that it talks to.
 run: build
 	mkdir -p example/state
 	build/stonewing serve --config example/config.json
@@ -27,11 +28,11 @@
 submit:
 	python3 example/toy.py submit
 
-# The testbed (docs/lab.md).
+# Builds the testbed (docs/lab.md).
 lab:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DSTONEWING_LAB=ON && cmake --build build -j4
 
-# From a bare machine: installs what is needed, builds, plays a short day of faults, says where the report is.
+# Installs the needed packages, builds the testbed, runs a short experiment and prints where its report is.
 demo:
 	bash scripts/needs
 	$(MAKE) --no-print-directory lab
--- a/example/toy.py
+++ b/example/toy.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""What one dispatcher talks to, as a toy on loopback: discovery, the platform and two endpoints.
+"""Toy servers on loopback for one dispatcher: discovery, the platform and two endpoints.
 
 `toy.py serve` runs them until it is interrupted; `toy.py submit [COUNT]` submits messages to the dispatcher
 of example/config.json and prints its replies.
@@ -21,11 +21,11 @@
 ENDPOINTS = [("127.0.0.1", 8001), ("127.0.0.1", 8002)]
 DESTINATION = 7
 
-# How long discovery keeps a watch open for which nothing changes.
+# Discovery ends a watch after this time, since its list never changes.
 WATCH_S = 2
-# Endpoints answer after an exponentially distributed time with this mean.
+# Endpoints respond after an exponentially distributed time with this mean.
 MEAN_RESPONSE_S = 0.125
-# The share of requests that an endpoint rejects, and the time after which it asks to be tried again.
+# The share of requests that an endpoint rejects, and the wait before a retry that it asks for.
 REJECTED_SHARE = 0.1
 RETRY_AFTER_MS = 200
 
@@ -54,12 +54,12 @@
 
 
 class RequestHandler(http.server.BaseHTTPRequestHandler):
-    """Requests and responses with a length, on connections that are kept; logs nothing."""
+    """Bodies with a Content-Length on persistent connections, without a log line per request."""
 
     protocol_version = "HTTP/1.1"
 
     def respond(self, status: int, body: bytes = b"", headers: Sequence[tuple[str, str]] = ()) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         self.send_response(status)
         for name, value in headers:
             self.send_header(name, value)
@@ -73,7 +73,7 @@
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def log_message(self, *_: object) -> None:
-        """Nothing: the handlers print what matters."""
+        """Log nothing; the handlers print each delivery, rejection and notification."""
 
 
 class DiscoveryHandler(RequestHandler):
@@ -126,12 +126,12 @@
 
 
 def resp_command(words: Sequence[bytes]) -> bytes:
-    """A command as RESP2 has it: an array of bulk strings."""
+    """Encode a RESP2 command, which is an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
 def submit(count: int) -> None:
-    """Submit so many messages of either kind and print the reply to each."""
+    """Submit this many messages, each of a random kind, and print the reply to each."""
     with socket.create_connection(DISPATCHER) as connection:
         replies = connection.makefile("rb")
         for number in range(count):
@@ -146,8 +146,8 @@
 
 
 def main() -> None:
-    """The command line."""
-    parser = argparse.ArgumentParser(description="What one dispatcher talks to, as a toy on loopback.")
+    """Parse the command line and run its command."""
+    parser = argparse.ArgumentParser(description="Toy servers on loopback for one dispatcher.")
     commands = parser.add_subparsers(dest="command", required=True)
     commands.add_parser("serve", help="run discovery, the platform and two endpoints until interrupted")
     submits = commands.add_parser("submit", help="submit messages to the dispatcher and print its replies")
