--- a/tests/outward_names_test.py
+++ b/tests/outward_names_test.py
@@ -65,6 +65,13 @@
             self.missing("alarm=18\t1\tsrc/wire_codes.h\n"), ["'alarm=18' stands in 0 places; the list has 1"]
         )
 
+    def test_finds_a_wire_code_that_is_gone_while_another_has_its_number(self) -> None:
+        self.write("src/wire_codes.h", "enum class Code {\n  timerFired = 1,\n};\n")
+        self.assertEqual(
+            self.missing("timerFired=1\t1\tsrc/wire_codes.h\naccepted=1\t1\tsrc/wire_codes.h\n"),
+            ["'accepted=1' stands in 0 places; the list has 1"],
+        )
+
     def test_finds_a_text_as_it_stands(self) -> None:
         self.write("src/a.cpp", 'f("GET /ping HTTP/1.1");\n')
         self.assertEqual(self.missing("# remark\nGET /ping HTTP/1.1\n"), [])
