--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -16,45 +16,51 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr Millis kTerminationDuration = 3500;     // a dispatcher told to end is gone by then
-constexpr Millis kAcceptsWhileTerminating = 500;  // and takes messages for so long
+constexpr Millis kTerminationDuration = 3500;     // from SIGTERM until the dispatcher has exited
+constexpr Millis kAcceptsWhileTerminating = 500;  // after SIGTERM, time in which it still accepts messages
 constexpr Millis kStartTime = 0;
 
+// Each comment names the contents of Step::subject, argument, code and value, in this order, as far as the
+// kind of step uses them.
 enum class StepKind : std::uint8_t {
   arrivalsDue,
-  commandArrives,
-  responseReachesClient,
-  clientTimeout,
-  timerFires,
-  connected,
-  connectFailed,
-  requestArrives,
-  endpointResponseDue,
-  responseArrives,
-  timeout,
-  connectionClosed,
-  notificationArrives,
-  healthCheckArrives,
-  healthCheckEnds,
-  endpointStateArrives,
-  faultBegins,
-  faultEnds,
-  dispatcherStarts,
-  dispatcherExits,
-  idleConnectionsExpire,
+  commandArrives,         // dispatcher, message
+  responseReachesClient,  // message, TraceEventType (accepted or rejected); value: Retry-After, 0 for none
+  clientTimeout,          // message
+  timerFires,             // dispatcher; value: the time for which the timer was set
+  connected,              // request
+  connectFailed,          // request
+  requestArrives,         // request
+  endpointResponseDue,    // endpoint
+  responseArrives,        // request; code: ResponseKind; value: Retry-After, 0 for none
+  timeout,                // request, index of the member
+  connectionClosed,       // request
+  notificationArrives,    // message; code: 1 failed, 2 shed; value: Retry-After, 0 for none
+  healthCheckArrives,     // dispatcher, endpoint; code: process number
+  healthCheckEnds,        // dispatcher, endpoint; code: status, 0 refused, -1 timeout; value: process number
+  endpointStateArrives,   // dispatcher, endpoint; code: EndpointState
+  faultBegins,            // index of the fault
+  faultEnds,              // index of the fault
+  dispatcherStarts,       // dispatcher
+  dispatcherExits,        // dispatcher, process number
+  idleConnectionsExpire,  // dispatcher, endpoint
 };
 
+// Steps of the same time are executed in the order in which they were scheduled.
 struct Step {
   Millis at{};
   std::uint64_t sequence{};
   StepKind kind{};
-  std::uint32_t a{};
-  std::uint32_t b{};
-  std::int32_t c{};
-  Millis x{};
-  bool operator>(const Step& o) const { return std::tie(at, sequence) > std::tie(o.at, o.sequence); }
+  std::uint32_t subject{};
+  std::uint32_t argument{};
+  std::int32_t code{};
+  Millis value{};
+  bool operator>(const Step& other) const {
+    return std::tie(at, sequence) > std::tie(other.at, other.sequence);
+  }
 };
 
+// One attempt of a request; a batch has several.
 struct RequestMember {
   std::uint32_t message{};
   int attempt{};
@@ -67,8 +73,8 @@
   std::uint32_t processNumber{};
   std::vector<RequestMember> members;
   Millis sent{};
-  bool started{false};  // its bytes are on their way, or there
-  bool closed{false};   // from the dispatcher's side
+  bool started{false};  // its bytes have been sent
+  bool closed{false};   // the dispatcher has closed its connection
   bool arrived{false};
   bool responded{false};
 };
@@ -79,7 +85,7 @@
   bool provablyNotExecuted{false};
 };
 
-// What the journal of a dispatcher holds of a message.
+// The journal's record of a message that has no outcome yet. It survives a restart of the dispatcher.
 struct JournalEntry {
   Millis deadline{};
   std::vector<EarlierAttempt> attempts;
@@ -88,16 +94,16 @@
 struct Dispatcher {
   std::unique_ptr<LabPolicy> policy;
   bool up{false};
-  bool stopped{false};
-  bool terminating{false};
+  bool stopped{false};      // by SIGSTOP, or stalled by its disk
+  bool terminating{false};  // it has received SIGTERM
   Millis terminatingSince{0};
   bool diskFull{false};
-  bool diskHangs{false};  // and its journal is written aside, so that it goes on without it
-  std::uint32_t processNumber{0};
-  Millis timerAt{-1};
-  std::vector<Step> deferredSteps;
+  bool diskHangs{false};            // the journal's own thread hangs; a dispatcher without one is stopped
+  std::uint32_t processNumber{0};   // counts its starts
+  Millis timerAt{-1};               // negative: no timer is set
+  std::vector<Step> deferredSteps;  // due while stopped
   std::map<std::uint32_t, JournalEntry> journal;
-  std::unordered_map<std::uint32_t, std::vector<Millis>> idleConnections;  // connections: since when
+  std::unordered_map<std::uint32_t, std::vector<Millis>> idleConnections;  // by endpoint: idle since when
 };
 
 MessageId idOf(std::uint32_t message) { return MessageId{message + 1}; }
@@ -135,19 +141,19 @@
   }
 
  private:
-  void schedule(Millis when, StepKind kind, std::uint32_t a = 0, std::uint32_t b = 0, std::int32_t c = 0,
-                Millis x = 0) {
-    steps_.push({when, sequence_++, kind, a, b, c, x});
+  void schedule(Millis at, StepKind kind, std::uint32_t subject = 0, std::uint32_t argument = 0,
+                std::int32_t code = 0, Millis value = 0) {
+    steps_.push({at, sequence_++, kind, subject, argument, code, value});
   }
-  void record(TraceEvent e) {
-    e.at = now_;
-    trace_.events.push_back(e);
+  void record(TraceEvent event) {
+    event.at = now_;
+    trace_.events.push_back(event);
   }
 
   Millis oneWayDelay(std::uint32_t d, std::uint32_t endpoint) const {
     int zones = static_cast<int>(experiment_.environment.zones.size());
-    bool near = static_cast<int>(d) % zones == experiment_.zoneOf(static_cast<int>(endpoint));
-    return near ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
+    bool sameZone = static_cast<int>(d) % zones == experiment_.zoneOf(static_cast<int>(endpoint));
+    return sameZone ? experiment_.environment.nearOneWay : experiment_.environment.farOneWay;
   }
 
   void scheduleArrivals() {
@@ -156,20 +162,20 @@
       schedule(arrivalsAt_ = std::max(*due, now_), StepKind::arrivalsDue);
   }
 
-  // The dispatcher a step belongs to; none for the others.
-  std::optional<std::uint32_t> dispatcherOf(const Step& s) const {
-    switch (s.kind) {
+  // The dispatcher that executes a step; none for steps of clients, network, endpoints and platform.
+  std::optional<std::uint32_t> dispatcherOf(const Step& step) const {
+    switch (step.kind) {
       case StepKind::commandArrives:
       case StepKind::healthCheckEnds:
       case StepKind::timerFires:
       case StepKind::endpointStateArrives:
       case StepKind::idleConnectionsExpire:
-        return s.a;
+        return step.subject;
       case StepKind::connected:
       case StepKind::connectFailed:
       case StepKind::responseArrives:
       case StepKind::timeout: {
-        auto request = requests_.find(s.a);
+        auto request = requests_.find(step.subject);
         if (request == requests_.end()) return std::nullopt;
         return request->second.dispatcher;
       }
@@ -190,58 +196,60 @@
           submit(*message, nextDispatcher_++ % dispatchers_.size());
         return scheduleArrivals();
       case StepKind::commandArrives:
-        return commandArrived(step.a, step.b);
+        return commandArrived(step.subject, step.argument);
       case StepKind::responseReachesClient:
-        return clientReceives(step.a, static_cast<TraceEventType>(step.b), step.x);
+        return clientReceives(step.subject, static_cast<TraceEventType>(step.argument), step.value);
       case StepKind::clientTimeout:
-        return clientTimedOut(step.a);
+        return clientTimedOut(step.subject);
       case StepKind::timerFires:
-        return timerFired(step.a, step.x);
+        return timerFired(step.subject, step.value);
       case StepKind::connected:
-        return connected(step.a);
+        return connected(step.subject);
       case StepKind::connectFailed:
-        return requestEnded(step.a, AttemptOutcome::connectFailed, 0, false);
+        return requestEnded(step.subject, AttemptOutcome::connectFailed, 0, false);
       case StepKind::requestArrives:
-        return requestArrived(step.a);
+        return requestArrived(step.subject);
       case StepKind::endpointResponseDue:
-        endpointResponseAt_[step.a] = -1;
-        for (const EndpointResponse& r : endpointModel_.advance(now_, step.a)) endpointResponded(r);
-        return scheduleEndpointResponse(step.a);
+        endpointResponseAt_[step.subject] = -1;
+        for (const EndpointResponse& response : endpointModel_.advance(now_, step.subject))
+          endpointResponded(response);
+        return scheduleEndpointResponse(step.subject);
       case StepKind::responseArrives:
-        return responseArrived(step.a, static_cast<ResponseKind>(step.c), step.x);
+        return responseArrived(step.subject, static_cast<ResponseKind>(step.code), step.value);
       case StepKind::timeout:
-        return timedOut(step.a, step.b);
+        return timedOut(step.subject, step.argument);
       case StepKind::connectionClosed:
-        return connectionClosed(step.a);
+        return connectionClosed(step.subject);
       case StepKind::notificationArrives:
-        return notificationArrived(step.a, step.c, step.x);
+        return notificationArrived(step.subject, step.code, step.value);
       case StepKind::healthCheckArrives:
-        return healthCheckArrived(step.a, step.b, static_cast<std::uint32_t>(step.c));
+        return healthCheckArrived(step.subject, step.argument, static_cast<std::uint32_t>(step.code));
       case StepKind::healthCheckEnds:
-        return healthCheckEnded(step.a, step.b, step.c, step.x);
+        return healthCheckEnded(step.subject, step.argument, step.code, step.value);
       case StepKind::endpointStateArrives:
-        return endpointStateArrived(step.a, step.b, static_cast<EndpointState>(step.c));
+        return endpointStateArrived(step.subject, step.argument, static_cast<EndpointState>(step.code));
       case StepKind::faultBegins:
-        return applyFault(experiment_.faults[step.a], true);
+        return applyFault(experiment_.faults[step.subject], true);
       case StepKind::faultEnds:
-        return applyFault(experiment_.faults[step.a], false);
+        return applyFault(experiment_.faults[step.subject], false);
       case StepKind::dispatcherStarts:
-        return startDispatcher(step.a);
+        return startDispatcher(step.subject);
       case StepKind::dispatcherExits:
-        return dispatcherExited(step.a, step.b);
+        return dispatcherExited(step.subject, step.argument);
       case StepKind::idleConnectionsExpire:
-        return idleCheck(step.a, step.b);
+        return closeExpiredConnections(step.subject, step.argument);
     }
   }
 
-  // ---- clients ----
-
-  // A front deals the connections out; one that refuses is passed over.
+  // Submits a message as through a load balancer: to the first dispatcher from `first` on that accepts
+  // connections. If none does, the client is rejected at once.
   void submit(std::uint32_t message, std::size_t first) {
     for (std::size_t n = 0; n < dispatchers_.size(); ++n) {
       auto d = static_cast<std::uint32_t>((first + n) % dispatchers_.size());
-      const Dispatcher& to = dispatchers_[d];
-      if (!to.up || (to.terminating && now_ - to.terminatingSince > kAcceptsWhileTerminating)) continue;
+      const Dispatcher& dispatcher = dispatchers_[d];
+      if (!dispatcher.up ||
+          (dispatcher.terminating && now_ - dispatcher.terminatingSince > kAcceptsWhileTerminating))
+        continue;
       if (awaitingResponse_.size() <= message) awaitingResponse_.resize(message + 1);
       awaitingResponse_[message] = true;
       record({.type = TraceEventType::submitted,
@@ -264,67 +272,70 @@
     scheduleArrivals();
   }
 
-  void clientReceives(std::uint32_t message, TraceEventType type, Millis wait) {
+  void clientReceives(std::uint32_t message, TraceEventType type, Millis retryAfter) {
     if (!awaitingResponse_[message]) return;
     awaitingResponse_[message] = false;
-    record({.type = type, .message = message, .duration = wait});
-    if (type == TraceEventType::rejected) arrivalModel_.recordRejection(now_, message, wait);
+    record({.type = type, .message = message, .duration = retryAfter});
+    if (type == TraceEventType::rejected) arrivalModel_.recordRejection(now_, message, retryAfter);
     scheduleArrivals();
   }
 
   void commandArrived(std::uint32_t d, std::uint32_t message) {
-    Dispatcher& to = dispatchers_[d];
-    if (!to.up) return;  // the client's patience ends it
+    Dispatcher& dispatcher = dispatchers_[d];
+    if (!dispatcher.up) return;  // the client's timeout ends its wait
     bool clientLeft = !awaitingResponse_[message];
-    bool rejects = to.diskFull || to.diskHangs || clientLeft ||
-                   to.policy->messagesInFlight() >= experiment_.fleet.maxInFlight;
+    bool rejects = dispatcher.diskFull || dispatcher.diskHangs || clientLeft ||
+                   dispatcher.policy->messagesInFlight() >= experiment_.fleet.maxInFlight;
     schedule(now_ + experiment_.environment.nearOneWay, StepKind::responseReachesClient, message,
              static_cast<std::uint32_t>(rejects ? TraceEventType::rejected : TraceEventType::accepted));
     if (rejects) return;
-    const SubmittedMessage& c = trace_.messages[message];
-    Millis deadline = c.due + experiment_.types[c.type].settings.deadlineAfter;
-    to.journal[message] = {deadline, {}};
+    const SubmittedMessage& submitted = trace_.messages[message];
+    Millis deadline = submitted.due + experiment_.types[submitted.type].settings.deadlineAfter;
+    dispatcher.journal[message] = {deadline, {}};
     if (defects_.losesMessages && message % 20 == 0) return;
     runRound(d, [&](LabPolicy& p) {
-      p.acceptMessage(idOf(message), TrafficTypeId{c.type}, TenantId{c.tenant}, OrderingKey{c.key},
-                      DestinationId{c.destination}, deadline);
+      p.acceptMessage(idOf(message), TrafficTypeId{submitted.type}, TenantId{submitted.tenant},
+                      OrderingKey{submitted.key}, DestinationId{submitted.destination}, deadline);
     });
   }
 
-  // ---- dispatchers ----
-
+  // One round of a dispatcher's policy: `input` reports to the policy what happened, then the policy's
+  // decisions are executed. The attempts of a batch are sent as one request.
   template <class Input>
   void runRound(std::uint32_t d, Input input) {
     LabPolicy& policy = *dispatchers_[d].policy;
     policy.beginRound(now_);
     input(policy);
-    if (dispatchers_[d].diskHangs) return;  // nothing could be noted
-    std::map<int, std::vector<SendAttempt>> gathered;
+    if (dispatchers_[d].diskHangs) return;  // no decision is executed that cannot be journaled
+    std::map<int, std::vector<SendAttempt>> attemptsByRequest;
     while (auto decision = policy.nextDecision()) {
       if (const auto* attempt = std::get_if<SendAttempt>(&*decision)) {
-        gathered[policy.requestOf(attempt->message, attempt->attempt)].push_back(*attempt);
+        attemptsByRequest[policy.requestOf(attempt->message, attempt->attempt)].push_back(*attempt);
       } else {
         executeDecision(d, *decision);
       }
     }
-    for (auto& [number, attempts] : gathered) sendRequest(d, attempts);
+    for (auto& [request, attempts] : attemptsByRequest) sendRequest(d, attempts);
   }
 
   void executeDecision(std::uint32_t d, const Decision& decision) {
-    Dispatcher& from = dispatchers_[d];
-    std::visit(Overloaded{
-                   [](const SendAttempt&) {},  // gathered by request in round()
-                   [&](const CancelAttempt& c) { cancelAttempt(numberOf(c.message), c.attempt); },
-                   [&](const ShedMessage& c) { notifyPlatform(from, c.message, 2, c.retryAfter); },
-                   [&](const FailMessage& c) { notifyPlatform(from, c.message, 1, 0); },
-                   [&](const SendHealthCheck& c) { sendHealthCheck(d, numberOf(c.endpoint)); },
-                   [&](const CloseIdleConnection& c) { closeIdle(from, numberOf(c.endpoint)); },
-                   [&](const SetTimer& c) {
-                     from.timerAt = c.at;
-                     schedule(std::max(now_, c.at), StepKind::timerFires, d, 0, 0, c.at);
-                   },
-               },
-               decision);
+    Dispatcher& dispatcher = dispatchers_[d];
+    std::visit(
+        Overloaded{
+            [](const SendAttempt&) {},  // runRound() sends it with the others of its request
+            [&](const CancelAttempt& cancel) { cancelAttempt(numberOf(cancel.message), cancel.attempt); },
+            [&](const ShedMessage& shed) { notifyPlatform(dispatcher, shed.message, 2, shed.retryAfter); },
+            [&](const FailMessage& failed) { notifyPlatform(dispatcher, failed.message, 1, 0); },
+            [&](const SendHealthCheck& check) { sendHealthCheck(d, numberOf(check.endpoint)); },
+            [&](const CloseIdleConnection& idle) {
+              closeIdleConnections(dispatcher, numberOf(idle.endpoint));
+            },
+            [&](const SetTimer& timer) {
+              dispatcher.timerAt = timer.at;
+              schedule(std::max(now_, timer.at), StepKind::timerFires, d, 0, 0, timer.at);
+            },
+        },
+        decision);
   }
 
   static std::uint32_t numberOf(MessageId message) { return message.value - 1; }
@@ -332,10 +343,11 @@
     return static_cast<std::uint32_t>(endpoint.value - 1);
   }
 
-  void notifyPlatform(Dispatcher& from, MessageId message, std::int32_t result, Millis wait) {
-    from.journal.erase(numberOf(message));
+  // result: 1 failed, 2 shed.
+  void notifyPlatform(Dispatcher& dispatcher, MessageId message, std::int32_t result, Millis retryAfter) {
+    dispatcher.journal.erase(numberOf(message));
     schedule(now_ + experiment_.environment.nearOneWay, StepKind::notificationArrives, numberOf(message), 0,
-             result, wait);
+             result, retryAfter);
   }
 
   void sendHealthCheck(std::uint32_t d, std::uint32_t endpoint) {
@@ -345,64 +357,68 @@
     }
   }
 
+  // An endpoint that only a faulty endpoint list names has no place in the network; the delays to the last
+  // endpoint of the experiment apply to it.
   std::uint32_t knownEndpoint(std::uint32_t endpoint) const {
     return std::min(endpoint, static_cast<std::uint32_t>(experiment_.endpointCount() - 1));
   }
 
   void timerFired(std::uint32_t d, Millis timerAt) {
-    Dispatcher& to = dispatchers_[d];
-    if (!to.up || to.diskHangs || to.timerAt != timerAt) return;
-    to.timerAt = -1;
+    Dispatcher& dispatcher = dispatchers_[d];
+    if (!dispatcher.up || dispatcher.diskHangs || dispatcher.timerAt != timerAt) return;
+    dispatcher.timerAt = -1;
     runRound(d, [](LabPolicy& p) { p.recordTimerFired(); });
   }
 
+  // How long a dispatcher reuses an idle connection: it closes the connection by connectTimeout before the
+  // endpoint would.
   Millis maxIdleTime() const {
     return std::max(
         0.0, experiment_.environment.connectionIdleTimeout -
                  std::min(experiment_.environment.connectionIdleTimeout, experiment_.fleet.connectTimeout));
   }
 
-  void closeIdle(Dispatcher& from, std::uint32_t endpoint) {
-    auto pool = from.idleConnections.find(endpoint);
-    if (pool == from.idleConnections.end()) return;
+  void closeIdleConnections(Dispatcher& dispatcher, std::uint32_t endpoint) {
+    auto pool = dispatcher.idleConnections.find(endpoint);
+    if (pool == dispatcher.idleConnections.end()) return;
     for (std::size_t n = 0; n < pool->second.size(); ++n) endpointModel_.recordDisconnect(endpoint);
-    from.idleConnections.erase(pool);
+    dispatcher.idleConnections.erase(pool);
   }
 
-  void idleCheck(std::uint32_t d, std::uint32_t endpoint) {
+  void closeExpiredConnections(std::uint32_t d, std::uint32_t endpoint) {
     auto pool = dispatchers_[d].idleConnections.find(endpoint);
     if (pool == dispatchers_[d].idleConnections.end()) return;
     std::erase_if(pool->second, [&](Millis since) {
-      bool old = now_ >= since + maxIdleTime();
-      if (old) endpointModel_.recordDisconnect(endpoint);
-      return old;
+      bool expired = now_ >= since + maxIdleTime();
+      if (expired) endpointModel_.recordDisconnect(endpoint);
+      return expired;
     });
     if (pool->second.empty()) dispatchers_[d].idleConnections.erase(pool);
   }
 
   void sendRequest(std::uint32_t d, const std::vector<SendAttempt>& attempts) {
-    Dispatcher& from = dispatchers_[d];
+    Dispatcher& dispatcher = dispatchers_[d];
     std::uint32_t number = nextRequest_++;
     SentRequest& request = requests_[number];
     request.dispatcher = static_cast<std::uint16_t>(d);
     request.endpoint = static_cast<std::uint32_t>(attempts.front().endpoint.value - 1);
-    request.processNumber = from.processNumber;
+    request.processNumber = dispatcher.processNumber;
     request.sent = now_;
     Millis idle = 0;
     bool reused = false;
-    if (auto pool = from.idleConnections.find(request.endpoint);
-        pool != from.idleConnections.end() && !pool->second.empty()) {
+    if (auto pool = dispatcher.idleConnections.find(request.endpoint);
+        pool != dispatcher.idleConnections.end() && !pool->second.empty()) {
       idle = std::max(0.001, now_ - pool->second.back());
       pool->second.pop_back();
       reused = true;
     }
-    for (const SendAttempt& l : attempts) {
-      std::uint32_t message = l.message.value - 1;
-      request.members.push_back({message, l.attempt});
-      from.journal[message].attempts.push_back({request.endpoint, now_, false});
-      from.policy->recordConnectionIdleTime(l.message, l.attempt, idle);
-      requestOfAttempt_[attemptKey(message, l.attempt)] = number;
-      schedule(now_ + l.timeout, StepKind::timeout, number,
+    for (const SendAttempt& sent : attempts) {
+      std::uint32_t message = sent.message.value - 1;
+      request.members.push_back({message, sent.attempt});
+      dispatcher.journal[message].attempts.push_back({request.endpoint, now_, false});
+      dispatcher.policy->recordConnectionIdleTime(sent.message, sent.attempt, idle);
+      requestOfAttempt_[attemptKey(message, sent.attempt)] = number;
+      schedule(now_ + sent.timeout, StepKind::timeout, number,
                static_cast<std::uint32_t>(request.members.size() - 1));
       ++cost_.attempts;
     }
@@ -414,11 +430,11 @@
     auto connect = request.endpoint < static_cast<std::uint32_t>(experiment_.endpointCount())
                        ? endpointModel_.connect(now_, request.endpoint, request.dispatcher)
                        : EndpointModel::ConnectResult::refused;
-    Millis there = 2 * oneWayDelay(d, knownEndpoint(request.endpoint));
+    Millis roundTrip = 2 * oneWayDelay(d, knownEndpoint(request.endpoint));
     if (connect == EndpointModel::ConnectResult::accepted)
-      schedule(now_ + there + experiment_.environment.connectDelay, StepKind::connected, number);
+      schedule(now_ + roundTrip + experiment_.environment.connectDelay, StepKind::connected, number);
     if (connect == EndpointModel::ConnectResult::refused)
-      schedule(now_ + there, StepKind::connectFailed, number);
+      schedule(now_ + roundTrip, StepKind::connectFailed, number);
     if (connect == EndpointModel::ConnectResult::unanswered)
       schedule(now_ + experiment_.fleet.connectTimeout, StepKind::connectFailed, number);
   }
@@ -436,10 +452,10 @@
     if (endpointModel_.refusesConnections(request.endpoint))
       return requestEnded(number, AttemptOutcome::connectFailed, 0, false);
     const LabPolicy& policy = *dispatchers_[request.dispatcher].policy;
-    bool may = std::any_of(request.members.begin(), request.members.end(), [&](const RequestMember& m) {
+    bool mayStart = std::any_of(request.members.begin(), request.members.end(), [&](const RequestMember& m) {
       return !m.outcomeReported && policy.mayStartAttempt(idOf(m.message), m.attempt);
     });
-    if (!may) {
+    if (!mayStart) {
       endpointModel_.recordDisconnect(request.endpoint);
       return requestEnded(number, AttemptOutcome::notSent, 0, false);
     }
@@ -452,8 +468,9 @@
     auto at = requests_.find(number);
     if (at == requests_.end()) return;
     SentRequest& request = at->second;
-    if (endpointModel_.unreachable(request.endpoint, request.dispatcher)) return;  // nothing comes through
-    if (endpointModel_.refusesConnections(request.endpoint)) {  // it ended under the bytes on their way
+    if (endpointModel_.unreachable(request.endpoint, request.dispatcher)) return;  // the request is lost
+    if (endpointModel_.refusesConnections(request.endpoint)) {
+      // The endpoint reset the connection while the request was on its way.
       this->schedule(now_ + oneWayDelay(request.dispatcher, request.endpoint), StepKind::responseArrives,
                      number, 0, static_cast<std::int32_t>(ResponseKind::connectionReset));
       return;
@@ -469,43 +486,44 @@
 
   void scheduleEndpointResponse(std::uint32_t endpoint) {
     Millis due = endpointModel_.due(endpoint);
-    auto [scheduled, fresh] = endpointResponseAt_.try_emplace(endpoint, -1);
+    auto [scheduled, inserted] = endpointResponseAt_.try_emplace(endpoint, -1);
     if (due < 0 || (scheduled->second >= 0 && scheduled->second <= due)) return;
     scheduled->second = due;
     schedule(std::max(due, now_), StepKind::endpointResponseDue, endpoint);
   }
 
-  void endpointResponded(const EndpointResponse& r) {
-    auto at = requests_.find(r.request);
+  void endpointResponded(const EndpointResponse& response) {
+    auto at = requests_.find(response.request);
     if (at == requests_.end()) return;
     SentRequest& request = at->second;
     request.responded = true;
-    if (r.kind == ResponseKind::none || endpointModel_.unreachable(request.endpoint, request.dispatcher))
+    if (response.kind == ResponseKind::none ||
+        endpointModel_.unreachable(request.endpoint, request.dispatcher))
       return;
     for (const RequestMember& m : request.members) {
       record({.type = TraceEventType::responded,
               .message = m.message,
-              .request = r.request,
+              .request = response.request,
               .endpoint = request.endpoint,
               .dispatcher = request.dispatcher,
-              .status = static_cast<std::int16_t>(r.kind),
-              .duration = r.retryAfter,
-              .executed = r.executed});
+              .status = static_cast<std::int16_t>(response.kind),
+              .duration = response.retryAfter,
+              .executed = response.executed});
     }
     this->schedule(now_ + oneWayDelay(request.dispatcher, request.endpoint), StepKind::responseArrives,
-                   r.request, 0, static_cast<std::int32_t>(r.kind), r.retryAfter);
+                   response.request, 0, static_cast<std::int32_t>(response.kind), response.retryAfter);
   }
 
-  void responseArrived(std::uint32_t number, ResponseKind kind, Millis wait) {
+  void responseArrived(std::uint32_t number, ResponseKind kind, Millis retryAfter) {
     auto at = requests_.find(number);
     if (at == requests_.end() || at->second.closed) return;
     SentRequest& request = at->second;
-    Dispatcher& to = dispatchers_[request.dispatcher];
-    bool whole = kind == ResponseKind::ok || kind == ResponseKind::serverError ||
-                 kind == ResponseKind::tooManyRequests || kind == ResponseKind::unavailable;
-    if (to.processNumber == request.processNumber) {
-      if (whole) {
-        to.idleConnections[request.endpoint].push_back(now_);
+    Dispatcher& dispatcher = dispatchers_[request.dispatcher];
+    bool isComplete = kind == ResponseKind::ok || kind == ResponseKind::serverError ||
+                      kind == ResponseKind::tooManyRequests || kind == ResponseKind::unavailable;
+    if (dispatcher.processNumber == request.processNumber) {
+      if (isComplete) {
+        dispatcher.idleConnections[request.endpoint].push_back(now_);
         this->schedule(now_ + maxIdleTime(), StepKind::idleConnectionsExpire, request.dispatcher,
                        request.endpoint);
       } else {
@@ -518,34 +536,36 @@
     if (kind == ResponseKind::tooManyRequests || kind == ResponseKind::unavailable)
       outcome = AttemptOutcome::rejected;
     if (kind == ResponseKind::truncated && request.members.size() == 1)
-      outcome = AttemptOutcome::completed;  // its first line was true
-    requestEnded(number, outcome, wait, true);
+      outcome = AttemptOutcome::completed;  // its status line, which arrived, says 200
+    requestEnded(number, outcome, retryAfter, true);
   }
 
-  // Tells the policy how a call ended, for all in it that were not told yet.
-  void requestEnded(std::uint32_t number, AttemptOutcome outcome, Millis wait, bool withReport) {
+  // Removes a request and reports its outcome for each of its attempts.
+  void requestEnded(std::uint32_t number, AttemptOutcome outcome, Millis retryAfter, bool withReport) {
     auto at = requests_.find(number);
     if (at == requests_.end()) return;
     SentRequest request = std::move(at->second);
     requests_.erase(at);
-    Dispatcher& to = dispatchers_[request.dispatcher];
-    bool alive = to.up && to.processNumber == request.processNumber;
+    Dispatcher& dispatcher = dispatchers_[request.dispatcher];
+    bool alive = dispatcher.up && dispatcher.processNumber == request.processNumber;
     if (!alive) return;
     runRound(request.dispatcher, [&](LabPolicy& p) {
-      for (const RequestMember& m : request.members) reportOutcome(p, request, m, outcome, wait, withReport);
+      for (const RequestMember& m : request.members)
+        reportOutcome(p, request, m, outcome, retryAfter, withReport);
     });
   }
 
   void reportOutcome(LabPolicy& p, const SentRequest& request, const RequestMember& m, AttemptOutcome outcome,
-                     Millis wait, bool withReport) {
-    Dispatcher& to = dispatchers_[request.dispatcher];
+                     Millis retryAfter, bool withReport) {
+    Dispatcher& dispatcher = dispatchers_[request.dispatcher];
     requestOfAttempt_.erase(attemptKey(m.message, m.attempt));
-    auto entry = to.journal.find(m.message);
+    auto entry = dispatcher.journal.find(m.message);
     if (m.outcomeReported) {
-      // Given up on, and now it was delivered after all.
-      if (outcome == AttemptOutcome::completed && entry != to.journal.end()) {
+      // Reported as timed out or cancelled before, but its batch completed after all: a further attempt would
+      // deliver the message twice.
+      if (outcome == AttemptOutcome::completed && entry != dispatcher.journal.end()) {
         p.cancelMessage(idOf(m.message));
-        to.journal.erase(entry);
+        dispatcher.journal.erase(entry);
       }
       return;
     }
@@ -553,24 +573,24 @@
                       outcome != AttemptOutcome::notSent;
     if (defects_.repeatsExecuted && mayHaveRun && outcome != AttemptOutcome::completed)
       outcome = AttemptOutcome::connectFailed;
-    if (entry != to.journal.end() && !mayHaveRun) {
+    if (entry != dispatcher.journal.end() && !mayHaveRun) {
       entry->second.attempts.at(static_cast<std::size_t>(m.attempt)).provablyNotExecuted = true;
     }
-    bool isOver = outcome == AttemptOutcome::completed || entry == to.journal.end();
+    bool isOver = outcome == AttemptOutcome::completed || entry == dispatcher.journal.end();
     LoadReport report;
     if (withReport && experiment_.environment.reportsLoad)
       report = endpointModel_.loadReport(now_, request.endpoint);
     p.recordAttemptOutcome(idOf(m.message), m.attempt, outcome, now_ - request.sent, isOver,
-                           defects_.ignoresRetryAfter ? 0 : wait, report);
-    if (outcome == AttemptOutcome::completed) to.journal.erase(m.message);
+                           defects_.ignoresRetryAfter ? 0 : retryAfter, report);
+    if (outcome == AttemptOutcome::completed) dispatcher.journal.erase(m.message);
   }
 
   void timedOut(std::uint32_t number, std::uint32_t member) {
     auto at = requests_.find(number);
     if (at == requests_.end() || at->second.closed || at->second.members[member].outcomeReported) return;
     SentRequest& request = at->second;
-    Dispatcher& to = dispatchers_[request.dispatcher];
-    if (to.processNumber != request.processNumber) return;
+    Dispatcher& dispatcher = dispatchers_[request.dispatcher];
+    if (dispatcher.processNumber != request.processNumber) return;
     endAttempt(number, member, request.started ? AttemptOutcome::timeout : AttemptOutcome::notSent);
   }
 
@@ -583,7 +603,8 @@
     for (std::uint32_t n = 0; n < members.size(); ++n) {
       if (members[n].message != message || members[n].attempt != attempt || members[n].outcomeReported)
         continue;
-      // Told in a step of its own: a policy is not called back inside its own decisions.
+      // Its outcome is reported in a step of its own: the policy must not be called while its decisions are
+      // being read.
       cancelled_.push_back({request->first, n});
       this->schedule(now_, StepKind::timeout, request->first, n);
       return;
@@ -600,13 +621,13 @@
     RequestMember m = request.members[member];
     request.members[member].outcomeReported = true;
     SentRequest ended = request;
-    bool all = std::all_of(request.members.begin(), request.members.end(),
-                           [](const RequestMember& x) { return x.outcomeReported; });
-    if (all) closeConnection(number);
+    bool allReported = std::all_of(request.members.begin(), request.members.end(),
+                                   [](const RequestMember& other) { return other.outcomeReported; });
+    if (allReported) closeConnection(number);
     runRound(ended.dispatcher, [&](LabPolicy& p) { reportOutcome(p, ended, m, outcome, 0, false); });
   }
 
-  // The dispatcher closes the call's connection.
+  // The dispatcher closes the connection of a request; the endpoint learns of it a network delay later.
   void closeConnection(std::uint32_t number) {
     SentRequest& request = requests_.at(number);
     request.closed = true;
@@ -623,7 +644,7 @@
     if (request.endpoint >= static_cast<std::uint32_t>(experiment_.endpointCount())) return;
     endpointModel_.recordDisconnect(request.endpoint);
     if (!request.arrived || endpointModel_.unreachable(request.endpoint, request.dispatcher)) return;
-    bool ran = request.responded || endpointModel_.abandonRequest(now_, number, request.endpoint);
+    bool executed = request.responded || endpointModel_.abandonRequest(now_, number, request.endpoint);
     scheduleEndpointResponse(request.endpoint);
     for (const RequestMember& m : request.members) {
       record({.type = TraceEventType::abandoned,
@@ -631,40 +652,42 @@
               .request = number,
               .endpoint = request.endpoint,
               .dispatcher = request.dispatcher,
-              .executed = ran});
+              .executed = executed});
     }
   }
 
-  void notificationArrived(std::uint32_t message, int result, Millis wait) {
+  void notificationArrived(std::uint32_t message, int result, Millis retryAfter) {
     record({.type = TraceEventType::notificationReceived,
             .message = message,
             .status = static_cast<std::int16_t>(result),
-            .duration = wait});
+            .duration = retryAfter});
     if (result == 2) {
-      arrivalModel_.recordRejection(now_, message, wait);
+      arrivalModel_.recordRejection(now_, message, retryAfter);
       scheduleArrivals();
     }
   }
 
-  void healthCheckArrived(std::uint32_t d, std::uint32_t endpoint, std::uint32_t life) {
-    bool there = endpoint < static_cast<std::uint32_t>(experiment_.endpointCount()) &&
-                 !endpointModel_.refusesConnections(endpoint);
-    Millis back = oneWayDelay(d, knownEndpoint(endpoint));
-    if (there && !endpointModel_.unreachable(endpoint, d)) {
+  void healthCheckArrived(std::uint32_t d, std::uint32_t endpoint, std::uint32_t processNumber) {
+    bool accepts = endpoint < static_cast<std::uint32_t>(experiment_.endpointCount()) &&
+                   !endpointModel_.refusesConnections(endpoint);
+    Millis returnDelay = oneWayDelay(d, knownEndpoint(endpoint));
+    if (accepts && !endpointModel_.unreachable(endpoint, d)) {
       int status = endpointModel_.answerHealthCheck(now_, endpoint, static_cast<std::uint16_t>(d));
-      if (status != 0) return schedule(now_ + back, StepKind::healthCheckEnds, d, endpoint, status, life);
-    } else if (!there) {
+      if (status != 0)
+        return schedule(now_ + returnDelay, StepKind::healthCheckEnds, d, endpoint, status, processNumber);
+    } else if (!accepts) {
       record({.type = TraceEventType::connectionRefused,
               .endpoint = endpoint,
               .dispatcher = static_cast<std::uint16_t>(d)});
-      return schedule(now_ + back, StepKind::healthCheckEnds, d, endpoint, 0, life);
+      return schedule(now_ + returnDelay, StepKind::healthCheckEnds, d, endpoint, 0, processNumber);
     }
-    schedule(now_ + experiment_.fleet.connectTimeout, StepKind::healthCheckEnds, d, endpoint, -1, life);
+    schedule(now_ + experiment_.fleet.connectTimeout, StepKind::healthCheckEnds, d, endpoint, -1,
+             processNumber);
   }
 
-  void healthCheckEnded(std::uint32_t d, std::uint32_t endpoint, int status, Millis life) {
-    Dispatcher& to = dispatchers_[d];
-    if (!to.up || to.processNumber != static_cast<std::uint32_t>(life)) return;
+  void healthCheckEnded(std::uint32_t d, std::uint32_t endpoint, int status, Millis processNumber) {
+    Dispatcher& dispatcher = dispatchers_[d];
+    if (!dispatcher.up || dispatcher.processNumber != static_cast<std::uint32_t>(processNumber)) return;
     AttemptOutcome outcome = status == 200   ? AttemptOutcome::completed
                              : status == 503 ? AttemptOutcome::rejected
                              : status == 0   ? AttemptOutcome::connectFailed
@@ -675,8 +698,6 @@
     runRound(d, [&](LabPolicy& p) { p.recordHealthCheckOutcome(endpointIdOf(endpoint), outcome, report); });
   }
 
-  // ---- troubles, lists, lives ----
-
   EndpointListEntry listEntry(std::uint32_t endpoint) const {
     return {endpointIdOf(endpoint),
             DestinationId{static_cast<std::uint16_t>(experiment_.destinationOf(static_cast<int>(endpoint)))},
@@ -685,24 +706,25 @@
   }
 
   void startDispatcher(std::uint32_t d) {
-    Dispatcher& to = dispatchers_[d];
-    ++to.processNumber;
-    to.up = true;
-    to.stopped = to.terminating = false;
-    to.timerAt = -1;
-    to.policy = makePolicy(policyName_, experiment_.deploymentSettings(static_cast<int>(d)),
-                           seed_ * 1000003 + d * 7919 + to.processNumber);
+    Dispatcher& dispatcher = dispatchers_[d];
+    ++dispatcher.processNumber;
+    dispatcher.up = true;
+    dispatcher.stopped = dispatcher.terminating = false;
+    dispatcher.timerAt = -1;
+    dispatcher.policy = makePolicy(policyName_, experiment_.deploymentSettings(static_cast<int>(d)),
+                                   seed_ * 1000003 + d * 7919 + dispatcher.processNumber);
     record({.type = TraceEventType::dispatcherUp, .dispatcher = static_cast<std::uint16_t>(d)});
-    std::vector<EndpointListEntry> rows;
-    for (std::uint32_t e = 0; e < states_.size(); ++e) rows.push_back(listEntry(e));
+    std::vector<EndpointListEntry> entries;
+    for (std::uint32_t e = 0; e < states_.size(); ++e) entries.push_back(listEntry(e));
     runRound(d, [&](LabPolicy& p) {
-      p.updateEndpointList(rows, true);
-      for (const auto& [message, entry] : to.journal) {
-        const SubmittedMessage& c = trace_.messages[message];
-        p.acceptMessage(idOf(message), TrafficTypeId{c.type}, TenantId{c.tenant}, OrderingKey{c.key},
-                        DestinationId{c.destination}, entry.deadline);
-        for (const EarlierAttempt& l : entry.attempts) {
-          p.recordEarlierAttempt(idOf(message), endpointIdOf(l.endpoint), l.at, l.provablyNotExecuted);
+      p.updateEndpointList(entries, true);
+      for (const auto& [message, entry] : dispatcher.journal) {
+        const SubmittedMessage& submitted = trace_.messages[message];
+        p.acceptMessage(idOf(message), TrafficTypeId{submitted.type}, TenantId{submitted.tenant},
+                        OrderingKey{submitted.key}, DestinationId{submitted.destination}, entry.deadline);
+        for (const EarlierAttempt& earlier : entry.attempts) {
+          p.recordEarlierAttempt(idOf(message), endpointIdOf(earlier.endpoint), earlier.at,
+                                 earlier.provablyNotExecuted);
         }
       }
     });
@@ -720,65 +742,66 @@
   }
 
   void endpointStateArrived(std::uint32_t d, std::uint32_t endpoint, EndpointState state) {
-    Dispatcher& to = dispatchers_[d];
-    if (!to.up) return;
+    Dispatcher& dispatcher = dispatchers_[d];
+    if (!dispatcher.up) return;
     recordStateNotified(d, endpoint, state);
     if (defects_.ignoresDraining) return;
-    bool ghost = endpoint >= states_.size();
-    EndpointListEntry r = listEntry(ghost ? endpoint - static_cast<std::uint32_t>(states_.size()) : endpoint);
-    r.id = endpointIdOf(endpoint);
-    r.state = state;
-    if (ghost) r.weight = 1e6;
-    runRound(d, [&](LabPolicy& p) { p.updateEndpointList({r}, false); });
+    bool nonexistent = endpoint >= states_.size();
+    EndpointListEntry entry =
+        listEntry(nonexistent ? endpoint - static_cast<std::uint32_t>(states_.size()) : endpoint);
+    entry.id = endpointIdOf(endpoint);
+    entry.state = state;
+    if (nonexistent) entry.weight = 1e6;
+    runRound(d, [&](LabPolicy& p) { p.updateEndpointList({entry}, false); });
   }
 
-  // Discovery tells all dispatchers, now or late.
+  // Discovery sends a state to all dispatchers; faults of discovery delay it.
   void notifyDispatchers(std::uint32_t endpoint, EndpointState state) {
-    Millis when =
+    Millis arrivesAt =
         std::max(now_ + experiment_.environment.nearOneWay + discoveryDelay_, discoveryUnresponsiveUntil_);
     for (std::uint32_t d = 0; d < dispatchers_.size(); ++d) {
-      schedule(when, StepKind::endpointStateArrives, d, endpoint, static_cast<std::int32_t>(state));
+      schedule(arrivesAt, StepKind::endpointStateArrives, d, endpoint, static_cast<std::int32_t>(state));
     }
   }
 
-  std::vector<std::uint32_t> affectedDispatchers(const Fault& t) const {
-    std::vector<std::uint32_t> found;
-    for (int d : t.dispatchers) found.push_back(static_cast<std::uint32_t>(d));
-    if (found.empty()) found.push_back(0);
-    return found;
+  std::vector<std::uint32_t> affectedDispatchers(const Fault& fault) const {
+    std::vector<std::uint32_t> affected;
+    for (int d : fault.dispatchers) affected.push_back(static_cast<std::uint32_t>(d));
+    if (affected.empty()) affected.push_back(0);
+    return affected;
   }
 
-  void applyFault(const Fault& t, bool begins) {
-    switch (t.kind) {
+  void applyFault(const Fault& fault, bool begins) {
+    switch (fault.kind) {
       case FaultKind::drain:
-        for (int e : experiment_.affectedEndpoints(t)) {
+        for (int e : experiment_.affectedEndpoints(fault)) {
           states_[static_cast<std::size_t>(e)] = begins ? EndpointState::draining : EndpointState::ready;
           notifyDispatchers(static_cast<std::uint32_t>(e), states_[static_cast<std::size_t>(e)]);
         }
         return;
       case FaultKind::discoveryDelayed:
-        discoveryDelay_ = begins ? t.factor : 0;
+        discoveryDelay_ = begins ? fault.factor : 0;
         return;
       case FaultKind::discoveryUnresponsive:
-        if (begins) discoveryUnresponsiveUntil_ = t.until;
+        if (begins) discoveryUnresponsiveUntil_ = fault.until;
         return;
       case FaultKind::discoveryWrong:
-        // One more endpoint for each destination struck, that nobody is at.
-        for (int e : experiment_.affectedEndpoints(t)) {
+        // Adds to the list of each affected destination an endpoint that does not exist.
+        for (int e : experiment_.affectedEndpoints(fault)) {
           if (e % experiment_.environment.endpoints != 0) continue;
           notifyDispatchers(static_cast<std::uint32_t>(experiment_.endpointCount() + e),
                             begins ? EndpointState::ready : EndpointState::removed);
         }
         return;
       case FaultKind::kill:
-        for (std::uint32_t d : affectedDispatchers(t)) {
+        for (std::uint32_t d : affectedDispatchers(fault)) {
           if (begins) dispatcherExited(d, dispatchers_[d].processNumber);
           if (!begins && !dispatchers_[d].up)
             schedule(now_ + experiment_.fleet.restartDelay, StepKind::dispatcherStarts, d);
         }
         return;
       case FaultKind::terminate:
-        for (std::uint32_t d : affectedDispatchers(t)) {
+        for (std::uint32_t d : affectedDispatchers(fault)) {
           if (begins) {
             record({.type = TraceEventType::dispatcherDown,
                     .dispatcher = static_cast<std::uint16_t>(d),
@@ -796,50 +819,53 @@
         return;
       case FaultKind::diskHang:
         if (experiment_.fleet.separateJournalWriter) {
-          for (std::uint32_t d : affectedDispatchers(t)) {
+          for (std::uint32_t d : affectedDispatchers(fault)) {
             dispatchers_[d].diskHangs = begins;
             if (!begins && dispatchers_[d].up) runRound(d, [](LabPolicy& p) { p.recordTimerFired(); });
           }
           return;
         }
-        [[fallthrough]];  // else it stands still with its folder
+        [[fallthrough]];  // without a separate journal writer, the dispatcher stops as long as its disk hangs
       case FaultKind::stop:
-        for (std::uint32_t d : affectedDispatchers(t)) {
+        for (std::uint32_t d : affectedDispatchers(fault)) {
           if (!dispatchers_[d].up) continue;
           dispatchers_[d].stopped = begins;
           record({.type = begins ? TraceEventType::dispatcherDown : TraceEventType::dispatcherUp,
                   .dispatcher = static_cast<std::uint16_t>(d),
                   .status = 1});
           if (begins) continue;
-          for (Step s : std::exchange(dispatchers_[d].deferredSteps, {})) {
-            s.at = now_;
-            s.sequence = sequence_++;
-            steps_.push(s);
+          for (Step deferred : std::exchange(dispatchers_[d].deferredSteps, {})) {
+            deferred.at = now_;
+            deferred.sequence = sequence_++;
+            steps_.push(deferred);
           }
         }
         return;
       case FaultKind::diskFull:
-        for (std::uint32_t d : affectedDispatchers(t)) dispatchers_[d].diskFull = begins;
+        for (std::uint32_t d : affectedDispatchers(fault)) dispatchers_[d].diskFull = begins;
         return;
       default:
         break;
     }
-    if (begins && t.kind == FaultKind::refuseConnections) {
-      // All connections there are reset, the idle ones too.
-      for (Dispatcher& d : dispatchers_) {
-        for (int e : experiment_.affectedEndpoints(t)) d.idleConnections.erase(static_cast<std::uint32_t>(e));
+    if (begins && fault.kind == FaultKind::refuseConnections) {
+      // All connections to these endpoints are reset, the idle ones too.
+      for (Dispatcher& dispatcher : dispatchers_) {
+        for (int e : experiment_.affectedEndpoints(fault))
+          dispatcher.idleConnections.erase(static_cast<std::uint32_t>(e));
       }
     }
-    for (const EndpointResponse& r : endpointModel_.applyFault(now_, t, begins)) endpointResponded(r);
-    for (int e : experiment_.affectedEndpoints(t)) scheduleEndpointResponse(static_cast<std::uint32_t>(e));
+    for (const EndpointResponse& response : endpointModel_.applyFault(now_, fault, begins))
+      endpointResponded(response);
+    for (int e : experiment_.affectedEndpoints(fault))
+      scheduleEndpointResponse(static_cast<std::uint32_t>(e));
   }
 
-  void dispatcherExited(std::uint32_t d, std::uint32_t life) {
-    Dispatcher& to = dispatchers_[d];
-    if (!to.up || to.processNumber != life) return;
-    to.up = to.terminating = false;
+  void dispatcherExited(std::uint32_t d, std::uint32_t processNumber) {
+    Dispatcher& dispatcher = dispatchers_[d];
+    if (!dispatcher.up || dispatcher.processNumber != processNumber) return;
+    dispatcher.up = dispatcher.terminating = false;
     record({.type = TraceEventType::dispatcherDown, .dispatcher = static_cast<std::uint16_t>(d)});
-    for (auto& [endpoint, pool] : std::exchange(to.idleConnections, {})) {
+    for (auto& [endpoint, pool] : std::exchange(dispatcher.idleConnections, {})) {
       for (std::size_t n = 0; n < pool.size(); ++n) endpointModel_.recordDisconnect(endpoint);
     }
     std::vector<std::uint32_t> open;
@@ -862,14 +888,15 @@
   std::priority_queue<Step, std::vector<Step>, std::greater<>> steps_;
   std::vector<Dispatcher> dispatchers_;
   std::vector<EndpointState> states_;
-  std::vector<bool> awaitingResponse_;  // of each message: its client waits for an answer
+  std::vector<bool> awaitingResponse_;  // by message: its client waits for the response to its command
   std::unordered_map<std::uint32_t, SentRequest> requests_;
-  std::unordered_map<std::uint64_t, std::uint32_t> requestOfAttempt_;  // of an attempt: its call
+  std::unordered_map<std::uint64_t, std::uint32_t> requestOfAttempt_;  // by attemptKey()
+  // Request and member of attempts that the policy cancelled and whose outcome it does not know yet.
   std::vector<std::pair<std::uint32_t, std::uint32_t>> cancelled_;
-  std::unordered_map<std::uint32_t, Millis> endpointResponseAt_;
+  std::unordered_map<std::uint32_t, Millis> endpointResponseAt_;  // by endpoint: when it is due, -1 for none
   std::uint32_t nextRequest_{1};
   std::size_t nextDispatcher_{0};
-  Millis arrivalsAt_{-1};
+  Millis arrivalsAt_{-1};  // of the scheduled step arrivalsDue, negative for none
   Millis discoveryDelay_{0};
   Millis discoveryUnresponsiveUntil_{0};
   ModelCost cost_;
