--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -1,5 +1,6 @@
-// The plain policies that ours is compared with, as textbooks have them. They keep the rules on effects and
-// on waits, since none could be let near a partner otherwise, and know nothing of cold returns or windows.
+// The baselines: simple policies of the textbook kind, with which DispatchPolicy is compared. They respect
+// idempotency and Retry-After, since no policy that breaks these could be used with real endpoints, but they
+// know neither slow start nor rate limits.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -15,18 +16,18 @@
 namespace stonewing::lab {
 namespace {
 
-enum class EndpointChoice { first, roundRobin, twoRandom };
+enum class EndpointChoice { random, roundRobin, twoRandom };
 
 struct BaselineSettings {
   const char* name;
   EndpointChoice choice;
-  int attempts;  // of a message, hedges not counted
+  int attempts;  // at most for each message, not counting hedges
   bool hasCircuitBreaker;
   bool mayHedge;
 };
 
 constexpr BaselineSettings kBaselines[] = {
-    {"one-try", EndpointChoice::first, 1, false, false},
+    {"one-try", EndpointChoice::random, 1, false, false},
     {"round-robin", EndpointChoice::roundRobin, 3, true, false},
     {"two-choices", EndpointChoice::twoRandom, 3, true, false},
     {"free-hedge", EndpointChoice::roundRobin, 3, false, true},
@@ -34,19 +35,20 @@
 
 constexpr int kBreakerFailures = 5;
 constexpr Millis kBreakerOpenDuration = 5000;
-constexpr double kTimeoutShare = 0.5;  // of the time left, for one attempt
+constexpr double kTimeoutShare = 0.5;  // of the time to the deadline, as the timeout of one attempt
 constexpr Millis kBackoff = 50;
 constexpr std::size_t kMaxSamples = 200;
-constexpr double kQuantile = 0.95;
+constexpr double kHedgeQuantile = 0.95;  // of the latency; a hedge is sent after it
 
+// The policy of the real dispatcher.
 class ProductPolicy final : public LabPolicy {
  public:
   ProductPolicy(const DeploymentSettings& settings, std::uint64_t seed) : policy_(settings, seed) {}
   void beginRound(Millis now) override { policy_.beginRound(now); }
   void updateEndpointList(const std::vector<EndpointListEntry>& entries, bool isWhole) override {
     policy_.beginEndpointList();
-    for (const EndpointListEntry& r : entries)
-      policy_.addEndpoint(r.id, r.destination, KindId{0}, r.zone, r.weight, r.state);
+    for (const EndpointListEntry& entry : entries)
+      policy_.addEndpoint(entry.id, entry.destination, KindId{0}, entry.zone, entry.weight, entry.state);
     policy_.commitEndpointList(isWhole);
   }
   void acceptMessage(MessageId id, TrafficTypeId type, TenantId tenant, OrderingKey key,
@@ -95,7 +97,7 @@
     if (isWhole) {
       for (auto& [id, e] : endpoints_) e.entry.state = EndpointState::removed;
     }
-    for (const EndpointListEntry& r : entries) endpoints_[r.id].entry = r;
+    for (const EndpointListEntry& entry : entries) endpoints_[entry.id].entry = entry;
     for (auto& [id, d] : destinations_) d.endpoints.clear();
     for (auto& [id, e] : endpoints_) {
       if (e.entry.state == EndpointState::ready) destinations_[e.entry.destination].endpoints.push_back(id);
@@ -104,12 +106,12 @@
 
   void acceptMessage(MessageId id, TrafficTypeId type, TenantId, OrderingKey key, DestinationId destination,
                      Millis deadline) override {
-    PendingMessage& h = messages_[id];
-    h.type = &settings_.types.at(type.value);
-    h.destination = destination;
-    h.deadline = deadline;
-    h.key = h.type->ordered ? key : OrderingKey{};
-    if (h.key.value != 0) orderingQueues_[h.key].push_back(id);
+    PendingMessage& message = messages_[id];
+    message.type = &settings_.types.at(type.value);
+    message.destination = destination;
+    message.deadline = deadline;
+    message.key = message.type->ordered ? key : OrderingKey{};
+    if (message.key.value != 0) orderingQueues_[message.key].push_back(id);
     toConsider_.insert(id);
     deadlines_.insert({deadline, id});
   }
@@ -125,8 +127,8 @@
                             Millis retryAfter, LoadReport) override {
     auto at = messages_.find(id);
     if (at == messages_.end() || !at->second.attempts.at(static_cast<std::size_t>(attempt)).isOpen) return;
-    PendingMessage& h = at->second;
-    SentAttempt& s = h.attempts[static_cast<std::size_t>(attempt)];
+    PendingMessage& message = at->second;
+    SentAttempt& s = message.attempts[static_cast<std::size_t>(attempt)];
     s.isOpen = false;
     s.provablyNotExecuted = outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connectFailed ||
                             outcome == AttemptOutcome::notSent;
@@ -134,18 +136,19 @@
     Endpoint& e = endpoints_[s.endpoint];
     --e.openRequests;
     if (retryAfter > 0) {
-      Millis& until = destinations_[h.destination].retryAfterUntil;
+      Millis& until = destinations_[message.destination].retryAfterUntil;
       until = std::max(until, now_ + retryAfter);
     }
     if (outcome == AttemptOutcome::completed) {
       e.failures = 0;
-      sample(latency);
+      addSample(latency);
     } else if (outcome != AttemptOutcome::cancelled && ++e.failures >= kBreakerFailures &&
                baseline_.hasCircuitBreaker) {
       e.breakerOpenUntil = now_ + kBreakerOpenDuration;
       e.failures = 0;
     }
-    h.notBefore = now_ + kBackoff * std::exp2(static_cast<double>(h.attempts.size()) - 1) * (0.5 + draw());
+    message.notBefore =
+        now_ + kBackoff * std::exp2(static_cast<double>(message.attempts.size()) - 1) * (0.5 + draw());
     if (isFinal || outcome == AttemptOutcome::completed) return finish(id);
     toConsider_.insert(id);
     capacityFreed_ = true;
@@ -211,7 +214,7 @@
   struct Destination {
     std::vector<EndpointId> endpoints;
     Millis retryAfterUntil{0};
-    std::size_t turn{0};
+    std::size_t nextEndpoint{0};  // for roundRobin
   };
   struct SentAttempt {
     EndpointId endpoint{};
@@ -232,7 +235,7 @@
 
   double draw() { return static_cast<double>(randomEngine_()) / 4294967296.0; }
 
-  void sample(Millis latency) {
+  void addSample(Millis latency) {
     if (samples_.size() < kMaxSamples) {
       samples_.push_back(latency);
     } else {
@@ -240,7 +243,8 @@
     }
     if (samples_.size() % 16 != 0) return;
     std::vector<Millis> sorted = samples_;
-    auto place = sorted.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(sorted.size()) * kQuantile);
+    auto place =
+        sorted.begin() + static_cast<std::ptrdiff_t>(static_cast<double>(sorted.size()) * kHedgeQuantile);
     std::nth_element(sorted.begin(), place, sorted.end());
     p95_ = *place;
   }
@@ -270,40 +274,41 @@
     return FailMessage{id};
   }
 
-  bool repeatAllowed(const PendingMessage& h, EndpointId to) {
-    for (const SentAttempt& s : h.attempts) {
-      if (s.provablyNotExecuted || h.type->idempotency == Idempotency::idempotent) continue;
-      if (h.type->idempotency == Idempotency::nonIdempotent ||
-          now_ >= s.at + 0.9 * h.type->deduplicationWindow)
+  bool repeatAllowed(const PendingMessage& message, EndpointId to) {
+    for (const SentAttempt& s : message.attempts) {
+      if (s.provablyNotExecuted || message.type->idempotency == Idempotency::idempotent) continue;
+      if (message.type->idempotency == Idempotency::nonIdempotent ||
+          now_ >= s.at + 0.9 * message.type->deduplicationWindow)
         return false;
-      if (h.type->deduplicationScope == DeduplicationScope::zone &&
+      if (message.type->deduplicationScope == DeduplicationScope::zone &&
           endpoints_[s.endpoint].entry.zone != endpoints_[to].entry.zone)
         return false;
     }
     return true;
   }
 
-  std::optional<Decision> consider(MessageId id, PendingMessage& h) {
-    bool hasOpenAttempt =
-        std::any_of(h.attempts.begin(), h.attempts.end(), [](const SentAttempt& s) { return s.isOpen; });
+  std::optional<Decision> consider(MessageId id, PendingMessage& message) {
+    bool hasOpenAttempt = std::any_of(message.attempts.begin(), message.attempts.end(),
+                                      [](const SentAttempt& s) { return s.isOpen; });
     if (hasOpenAttempt && !baseline_.mayHedge) return std::nullopt;
-    if (hasOpenAttempt && (h.hedged || h.type->idempotency == Idempotency::nonIdempotent))
+    if (hasOpenAttempt && (message.hedged || message.type->idempotency == Idempotency::nonIdempotent))
       return std::nullopt;
     if (hasOpenAttempt) {
-      Millis due = h.attempts.back().at + (p95_ > 0 ? p95_ : 0.6 * h.type->latencyObjective);
-      if (due > now_) {
-        retryTimes_.insert({due, id});
+      Millis hedgeAt = message.attempts.back().at + (p95_ > 0 ? p95_ : 0.6 * message.type->latencyObjective);
+      if (hedgeAt > now_) {
+        retryTimes_.insert({hedgeAt, id});
         return std::nullopt;
       }
     }
-    if (h.key.value != 0 && orderingQueues_[h.key].front() != id) return std::nullopt;
-    int repeats = static_cast<int>(h.attempts.size()) - (h.hedged ? 1 : 0);
-    if (!hasOpenAttempt && repeats >= std::min(baseline_.attempts, settings_.maxAttempts)) return fail(id);
-    if (h.notBefore > now_) {
-      retryTimes_.insert({h.notBefore, id});
+    if (message.key.value != 0 && orderingQueues_[message.key].front() != id) return std::nullopt;
+    int attemptsMade = static_cast<int>(message.attempts.size()) - (message.hedged ? 1 : 0);
+    if (!hasOpenAttempt && attemptsMade >= std::min(baseline_.attempts, settings_.maxAttempts))
+      return fail(id);
+    if (message.notBefore > now_) {
+      retryTimes_.insert({message.notBefore, id});
       return std::nullopt;
     }
-    Destination& d = destinations_[h.destination];
+    Destination& d = destinations_[message.destination];
     if (d.retryAfterUntil > now_) {
       retryTimes_.insert({d.retryAfterUntil, id});
       return std::nullopt;
@@ -312,41 +317,43 @@
       waitingForCapacity_.insert(id);
       return std::nullopt;
     }
-    auto to = choose(h, d, hasOpenAttempt);
+    auto to = choose(message, d, hasOpenAttempt);
     if (!to) {
       bool anyAllowed = std::any_of(d.endpoints.begin(), d.endpoints.end(),
-                                    [&](EndpointId e) { return repeatAllowed(h, e); });
+                                    [&](EndpointId e) { return repeatAllowed(message, e); });
       if (hasOpenAttempt) return std::nullopt;
-      if (!anyAllowed && !h.attempts.empty()) return fail(id);
+      if (!anyAllowed && !message.attempts.empty()) return fail(id);
       retryTimes_.insert({now_ + kBackoff, id});
       return std::nullopt;
     }
-    h.hedged = h.hedged || hasOpenAttempt;
+    message.hedged = message.hedged || hasOpenAttempt;
     ++openRequests_;
     ++endpoints_[*to].openRequests;
-    h.attempts.push_back({*to, now_, true, false, nextRequest_++});
-    if (baseline_.mayHedge && !h.hedged) retryTimes_.insert({now_ + std::max(p95_, 1.0), id});
-    bool last = static_cast<int>(h.attempts.size()) >= baseline_.attempts;
-    Millis left = h.deadline - now_;
-    return SendAttempt{
-        id, *to, static_cast<int>(h.attempts.size()) - 1,
-        last ? left : std::min(left, std::max(h.type->latencyObjective, kTimeoutShare * left))};
+    message.attempts.push_back({*to, now_, true, false, nextRequest_++});
+    if (baseline_.mayHedge && !message.hedged) retryTimes_.insert({now_ + std::max(p95_, 1.0), id});
+    bool isLastAttempt = static_cast<int>(message.attempts.size()) >= baseline_.attempts;
+    Millis timeLeft = message.deadline - now_;
+    return SendAttempt{id, *to, static_cast<int>(message.attempts.size()) - 1,
+                       isLastAttempt ? timeLeft
+                                     : std::min(timeLeft, std::max(message.type->latencyObjective,
+                                                                   kTimeoutShare * timeLeft))};
   }
 
-  std::optional<EndpointId> choose(const PendingMessage& h, Destination& d, bool isHedge) {
+  std::optional<EndpointId> choose(const PendingMessage& message, Destination& d, bool isHedge) {
     std::vector<EndpointId> candidates;
     for (EndpointId id : d.endpoints) {
-      bool used = std::any_of(h.attempts.begin(), h.attempts.end(),
+      bool used = std::any_of(message.attempts.begin(), message.attempts.end(),
                               [&](const SentAttempt& s) { return s.endpoint == id; });
-      if ((isHedge && used) || endpoints_[id].breakerOpenUntil > now_ || !repeatAllowed(h, id)) continue;
+      if ((isHedge && used) || endpoints_[id].breakerOpenUntil > now_ || !repeatAllowed(message, id))
+        continue;
       candidates.push_back(id);
     }
     if (candidates.empty()) return std::nullopt;
     switch (baseline_.choice) {
-      case EndpointChoice::first:
+      case EndpointChoice::random:
         return candidates[randomEngine_() % candidates.size()];
       case EndpointChoice::roundRobin:
-        return candidates[d.turn++ % candidates.size()];
+        return candidates[d.nextEndpoint++ % candidates.size()];
       case EndpointChoice::twoRandom: {
         EndpointId a = candidates[randomEngine_() % candidates.size()];
         EndpointId b = candidates[randomEngine_() % candidates.size()];
@@ -371,7 +378,7 @@
   std::map<MessageId, PendingMessage> messages_;
   std::map<OrderingKey, std::deque<MessageId>> orderingQueues_;
   std::set<MessageId> toConsider_;
-  std::set<MessageId> waitingForCapacity_;  // for a slot
+  std::set<MessageId> waitingForCapacity_;  // at the limit of concurrent requests
   std::set<std::pair<Millis, MessageId>> retryTimes_;
   std::set<std::pair<Millis, MessageId>> deadlines_;
   std::deque<std::pair<MessageId, int>> toCancel_;
@@ -382,21 +389,21 @@
 std::unique_ptr<LabPolicy> makePolicy(const std::string& name, const DeploymentSettings& settings,
                                       std::uint64_t seed) {
   if (name == "ours") return std::make_unique<ProductPolicy>(settings, seed);
-  for (const BaselineSettings& r : kBaselines) {
-    if (name == r.name) return std::make_unique<BaselinePolicy>(r, settings, seed);
+  for (const BaselineSettings& baseline : kBaselines) {
+    if (name == baseline.name) return std::make_unique<BaselinePolicy>(baseline, settings, seed);
   }
-  std::string known;
-  for (const std::string& n : policyNames()) known += (known.empty() ? "" : ", ") + n;
-  throw ConfigError("there is no policy '" + name + "'; there are " + known);
+  std::string allowed;
+  for (const std::string& n : policyNames()) allowed += (allowed.empty() ? "" : ", ") + n;
+  throw ConfigError("policy '" + name + "' is unknown; allowed are " + allowed);
 }
 
 const std::vector<std::string>& policyNames() {
-  static const std::vector<std::string> names = [] {
+  static const std::vector<std::string> kNames = [] {
     std::vector<std::string> all{"ours"};
-    for (const BaselineSettings& r : kBaselines) all.emplace_back(r.name);
+    for (const BaselineSettings& baseline : kBaselines) all.emplace_back(baseline.name);
     return all;
   }();
-  return names;
+  return kNames;
 }
 
 }  // namespace stonewing::lab
--- a/src/lab/lab_policy.h
+++ b/src/lab/lab_policy.h
@@ -9,8 +9,9 @@
 #include "policy/decision.h"
 #include "settings/deployment_settings.h"
 
-// What decides for one dispatcher of the model: the product's own module, or one of the plain policies that
-// it is compared with. Those are baselines of the laboratory; the dispatcher has none of them.
+// The policy of one dispatcher in the model: either DispatchPolicy, as the real dispatcher uses it, or a
+// simple baseline that it is compared with. The baselines belong to the testbed; the real dispatcher has none
+// of them.
 namespace stonewing::lab {
 
 struct EndpointListEntry {
@@ -21,6 +22,8 @@
   EndpointState state{EndpointState::ready};
 };
 
+// The calls that the model makes; they mean the same as those of DispatchPolicy. Times are milliseconds of
+// the model's virtual clock.
 class LabPolicy {
  public:
   virtual ~LabPolicy() = default;
@@ -38,13 +41,15 @@
   virtual void recordTimerFired() = 0;
   virtual std::optional<Decision> nextDecision() = 0;
   virtual bool mayStartAttempt(MessageId id, int attempt) const = 0;
-  virtual int requestOf(MessageId id, int attempt) const = 0;  // attempts of one call share its number
+  virtual int requestOf(MessageId id, int attempt) const = 0;  // attempts of one batch have the same
   virtual int messagesInFlight() const = 0;
 };
 
-// "ours", or a baseline by its name. Throws ConfigError with the names there are.
+// Makes the policy of that name: "ours" is DispatchPolicy, the others are baselines. Throws ConfigError,
+// which lists the names of policyNames(), if there is no such policy.
 std::unique_ptr<LabPolicy> makePolicy(const std::string& name, const DeploymentSettings& settings,
                                       std::uint64_t seed);
+// All names that makePolicy() accepts, "ours" first.
 const std::vector<std::string>& policyNames();
 
 }  // namespace stonewing::lab
