--- a/src/lab/compare.h
+++ b/src/lab/compare.h
@@ -6,18 +6,20 @@
 
 namespace stonewing::lab {
 
-// The mean of paired differences with a bootstrap interval.
+// The mean of paired differences, with its bootstrap confidence interval of 95%.
 struct Difference {
   double mean{0};
-  double low{0};  // of the middle 95 of 100
-  double high{0};
+  double low{0};   // lower end of the interval
+  double high{0};  // upper end of the interval
   std::size_t pairs{0};
 
-  // "better", "worse" or "cannot tell", where more is better, or less.
+  // "better" or "worse", by whether a larger value is better; "cannot tell" if the interval holds zero or
+  // there are fewer than three pairs.
   const char* verdict(bool moreIsBetter) const;
 };
 
-// Chance is fixed: the same pairs give the same interval.
+// Compares run n of `a` with run n of `b`; the differences are b - a. The bootstrap has a fixed seed, so that
+// the same values give the same interval. Throws std::invalid_argument if `a` and `b` differ in size.
 Difference paired(const std::vector<double>& a, const std::vector<double>& b);
 
 }  // namespace stonewing::lab
--- a/src/lab/random_draws.h
+++ b/src/lab/random_draws.h
@@ -8,9 +8,11 @@
 
 #include "lab/experiment.h"
 
-// Chance in the laboratory. Everything is drawn from std::mt19937, so that a seed reproduces a whole day.
+// Random draws of the testbed. All of them come from std::mt19937 and are computed here, so that a seed
+// reproduces a whole run.
 namespace stonewing::lab {
 
+// Uniform between 0 and 1, and never 0 or 1.
 inline double uniform(std::mt19937& randomEngine) {
   return (static_cast<double>(randomEngine()) + 0.5) / 4294967296.0;
 }
@@ -20,19 +22,21 @@
     case DistributionShape::fixed:
       return distribution.median;
     case DistributionShape::lognormal: {
-      // Box and Muller; the library's own distribution keeps a second value between calls.
+      // Box-Muller transform. std::normal_distribution keeps a second value between calls, so that a draw
+      // would depend on more than the state of the engine.
       double radius = std::sqrt(-2 * std::log(uniform(randomEngine)));
       double normal = radius * std::cos(2 * std::numbers::pi * uniform(randomEngine));
       return distribution.median * std::exp(distribution.spread * normal);
     }
     case DistributionShape::pareto: {
-      Millis least = distribution.median / std::pow(2, 1 / distribution.spread);
-      return least / std::pow(uniform(randomEngine), 1 / distribution.spread);
+      Millis minimum = distribution.median / std::pow(2, 1 / distribution.spread);
+      return minimum / std::pow(uniform(randomEngine), 1 / distribution.spread);
     }
   }
   return distribution.median;
 }
 
+// The mean of a distribution; for Pareto its exponent (spread) must be larger than 1.
 inline Millis meanOf(const DurationDistribution& distribution) {
   switch (distribution.shape) {
     case DistributionShape::lognormal:
@@ -45,7 +49,7 @@
   }
 }
 
-// Picks places 0 .. n-1, the one of rank r with a weight of r to the power of minus the exponent.
+// Picks an index from 0 to n-1; index i has the weight (i + 1) to the power of -exponent.
 class ZipfDistribution {
  public:
   ZipfDistribution(int n, double exponent) {
@@ -53,48 +57,51 @@
     for (int rank = 1; rank <= n; ++rank) cumulativeWeights_.push_back(sum += std::pow(rank, -exponent));
   }
   int pick(std::mt19937& randomEngine) const {
-    auto at = std::upper_bound(cumulativeWeights_.begin(), cumulativeWeights_.end(),
-                               uniform(randomEngine) * cumulativeWeights_.back());
+    auto picked = std::upper_bound(cumulativeWeights_.begin(), cumulativeWeights_.end(),
+                                   uniform(randomEngine) * cumulativeWeights_.back());
     return static_cast<int>(
-        std::min<std::ptrdiff_t>(at - cumulativeWeights_.begin(), std::ssize(cumulativeWeights_) - 1));
+        std::min<std::ptrdiff_t>(picked - cumulativeWeights_.begin(), std::ssize(cumulativeWeights_) - 1));
   }
 
  private:
   std::vector<double> cumulativeWeights_;
 };
 
-// When messages are due: a Poisson process whose rate follows the plan, by thinning one of the top rate.
+// The times at which messages are due: a Poisson process with the rate that the experiment demands at that
+// time, drawn by thinning a process of the highest rate.
 class ArrivalProcess {
  public:
   explicit ArrivalProcess(const Experiment& experiment) : experiment_(experiment) {}
+  // The rate of messages at that time.
   double perSecond(Millis at) const {
-    const LoadSettings& l = experiment_.load;
-    double rate = l.perSecond;
-    if (l.arrivals == ArrivalShape::bursts) {
-      bool on = std::fmod(at, l.burstOn + l.burstOff) >= l.burstOff;
-      rate *= on ? l.burstFactor : 1;
-    } else if (l.arrivals == ArrivalShape::ramp) {
+    const LoadSettings& load = experiment_.load;
+    double rate = load.perSecond;
+    if (load.arrivals == ArrivalShape::bursts) {
+      bool on = std::fmod(at, load.burstOn + load.burstOff) >= load.burstOff;
+      rate *= on ? load.burstFactor : 1;
+    } else if (load.arrivals == ArrivalShape::ramp) {
       double progress = std::clamp(at / std::max(1.0, experiment_.duration), 0.0, 1.0);
-      double up = std::clamp((progress - 0.3) / 0.2, 0.0, 1.0);  // level, a ramp, the top, and back
+      double up = std::clamp((progress - 0.3) / 0.2, 0.0, 1.0);  // top from 50% to 70% of the run
       double down = std::clamp((progress - 0.7) / 0.2, 0.0, 1.0);
-      rate *= 1 + (l.rampFactor - 1) * (up - down);
+      rate *= 1 + (load.rampFactor - 1) * (up - down);
     }
     return rate * (1 + surgeShare(at));
   }
-  // What the surging tenant adds, of the whole rate.
+  // The additional messages of the surging tenant at that time, as a share of the rate without the surge.
   double surgeShare(Millis at) const {
-    const LoadSettings& l = experiment_.load;
-    bool on = l.surgeTenant >= 0 && at >= l.surgeFrom && at < l.surgeUntil;
-    return on ? (l.surgeFactor - 1) / l.tenants : 0;
+    const LoadSettings& load = experiment_.load;
+    bool on = load.surgeTenant >= 0 && at >= load.surgeFrom && at < load.surgeUntil;
+    return on ? (load.surgeFactor - 1) / load.tenants : 0;
   }
-  // A clump counts as many times as it is large, so that the rate is that of messages.
+  // The next arrival after a time. A clump is one arrival of many messages, so arrivals are rarer than
+  // messages: without this correction, clumps would raise the rate of messages.
   Millis next(Millis after, std::mt19937& randomEngine) const {
-    const LoadSettings& l = experiment_.load;
-    double arrivalsPerMessage = 1 - l.clumpShare + l.clumpShare / std::max(1, l.clumpSize);
-    double maxRate = l.perSecond *
-                     std::max(l.arrivals == ArrivalShape::bursts ? l.burstFactor : 1.0,
-                              l.arrivals == ArrivalShape::ramp ? l.rampFactor : 1.0) *
-                     (l.surgeTenant >= 0 ? 1 + (l.surgeFactor - 1) / l.tenants : 1);
+    const LoadSettings& load = experiment_.load;
+    double arrivalsPerMessage = 1 - load.clumpShare + load.clumpShare / std::max(1, load.clumpSize);
+    double maxRate = load.perSecond *
+                     std::max(load.arrivals == ArrivalShape::bursts ? load.burstFactor : 1.0,
+                              load.arrivals == ArrivalShape::ramp ? load.rampFactor : 1.0) *
+                     (load.surgeTenant >= 0 ? 1 + (load.surgeFactor - 1) / load.tenants : 1);
     for (;;) {
       after += -std::log(uniform(randomEngine)) / (maxRate * arrivalsPerMessage) * 1000;
       if (uniform(randomEngine) * maxRate <= perSecond(after)) return after;
--- a/src/lab/run_summary.cpp
+++ b/src/lab/run_summary.cpp
@@ -18,7 +18,7 @@
 }
 using LogHistogram = decltype(logHistogram());
 
-// Spans from a microsecond to a day, two percent apart.
+// Durations from a microsecond to a day, in bins that are two percent wide.
 class DurationHistogram {
  public:
   void add(Millis duration) {
@@ -27,17 +27,18 @@
     ++count_;
   }
   Quantiles quantiles() const { return {count_, at(0.5), at(0.95), at(0.99), at(0.999), max_}; }
+  // The quantile of this share, interpolated within its bin.
   Millis at(double share) const {
     if (count_ == 0) return 0;
     double below = 0;
     double wanted = share * static_cast<double>(count_);
     for (auto&& bin : bh::indexed(histogram_)) {
-      double here = *bin;
-      if (here > 0 && below + here >= wanted) {
-        double progress = (wanted - below) / here;
+      double inBin = *bin;
+      if (inBin > 0 && below + inBin >= wanted) {
+        double progress = (wanted - below) / inBin;
         return std::min(max_, bin.bin().lower() + progress * (bin.bin().upper() - bin.bin().lower()));
       }
-      below += here;
+      below += inBin;
     }
     return max_;
   }
@@ -51,17 +52,17 @@
 }  // namespace
 
 RunSummary summarize(const Experiment& experiment, const Trace& trace, Millis slice) {
-  RunSummary t;
+  RunSummary summary;
   auto slices = static_cast<std::size_t>(std::ceil(experiment.end() / slice)) + 1;
-  t.series.resize(slices);
-  for (std::size_t n = 0; n < slices; ++n) t.series[n].startsAt = static_cast<double>(n) * slice;
+  summary.series.resize(slices);
+  for (std::size_t n = 0; n < slices; ++n) summary.series[n].startsAt = static_cast<double>(n) * slice;
   auto sliceOf = [&](Millis at) -> RunSummary::Slice& {
     auto n = static_cast<std::size_t>(std::clamp(at / slice, 0.0, static_cast<double>(slices - 1)));
-    return t.series[n];
+    return summary.series[n];
   };
   constexpr Millis kNever = 1e300;
   std::size_t messageCount = trace.messages.size();
-  std::vector<Millis> delivered(messageCount, kNever);  // by origin
+  std::vector<Millis> delivered(messageCount, kNever);  // by origin: when it was first delivered
   std::vector<Millis> submittedAt(messageCount, kNever);
   std::vector<bool> attempted(messageCount, false);
   std::vector<bool> accepted(messageCount, false);
@@ -76,15 +77,15 @@
       case TraceEventType::rejected:
         if (known && submittedAt[e.message] < kNever) responseLatency.add(e.at - submittedAt[e.message]);
         if (known && e.type == TraceEventType::accepted) accepted[e.message] = true;
-        if (e.type == TraceEventType::rejected) ++t.rejected, ++sliceOf(e.at).rejected;
+        if (e.type == TraceEventType::rejected) ++summary.rejected, ++sliceOf(e.at).rejected;
         break;
       case TraceEventType::unanswered:
-        ++t.unanswered;
+        ++summary.unanswered;
         break;
       case TraceEventType::arrived:
-        ++t.attempts;
+        ++summary.attempts;
         ++sliceOf(e.at).attempts;
-        if (known && attempted[e.message]) ++t.repeatedAttempts;
+        if (known && attempted[e.message]) ++summary.repeatedAttempts;
         if (known) attempted[e.message] = true;
         break;
       case TraceEventType::responded:
@@ -94,53 +95,53 @@
         }
         break;
       case TraceEventType::healthChecked:
-        ++t.healthChecks;
+        ++summary.healthChecks;
         break;
       case TraceEventType::notificationReceived:
-        ++(e.status == 2 ? t.shed : t.failed);
+        ++(e.status == 2 ? summary.shed : summary.failed);
         ++sliceOf(e.at).ended;
         break;
       default:
         break;
     }
   }
-  t.responseLatency = responseLatency.quantiles();
-  DurationHistogram all;
+  summary.responseLatency = responseLatency.quantiles();
+  DurationHistogram deliveryLatency;
   std::vector<DurationHistogram> each(0);
-  std::vector<std::vector<Millis>> bySlice(slices);
+  std::vector<std::vector<Millis>> latenciesBySlice(slices);
   for (std::uint32_t c = 0; c < messageCount; ++c) {
     const SubmittedMessage& message = trace.messages[c];
     if (message.origin != c) continue;
     const TrafficType& type = experiment.types[message.type].settings;
-    ++t.due;
-    t.dueWeight += type.priorityWeight;
+    ++summary.due;
+    summary.dueWeight += type.priorityWeight;
     RunSummary::Slice& s = sliceOf(message.due);
     ++s.due;
     s.dueWeight += type.priorityWeight;
     Millis latency = delivered[c] - message.due;
     if (latency > type.deadlineAfter) continue;
-    ++t.completed;
+    ++summary.completed;
     ++s.completed;
     double weight =
         type.priorityWeight * type.weightShareAt(latency - type.latencyObjective, WeightDecay::linear);
-    t.deliveredWeight += weight;
+    summary.deliveredWeight += weight;
     s.deliveredWeight += weight;
-    if (latency <= type.latencyObjective) ++t.withinObjective;
-    all.add(std::max(0.0, latency));
-    bySlice[static_cast<std::size_t>(&s - t.series.data())].push_back(latency);
+    if (latency <= type.latencyObjective) ++summary.withinObjective;
+    deliveryLatency.add(std::max(0.0, latency));
+    latenciesBySlice[static_cast<std::size_t>(&s - summary.series.data())].push_back(latency);
   }
   for (std::size_t n = 0; n < slices; ++n) {
-    auto& latencies = bySlice[n];
+    auto& latencies = latenciesBySlice[n];
     if (latencies.empty()) continue;
     std::sort(latencies.begin(), latencies.end());
-    auto place = [&](double share) {
+    auto quantile = [&](double share) {
       return latencies[static_cast<std::size_t>(share * static_cast<double>(latencies.size() - 1))];
     };
-    t.series[n].p50 = place(0.5);
-    t.series[n].p99 = place(0.99);
+    summary.series[n].p50 = quantile(0.5);
+    summary.series[n].p99 = quantile(0.99);
   }
-  t.deliveryLatency = all.quantiles();
-  return t;
+  summary.deliveryLatency = deliveryLatency.quantiles();
+  return summary;
 }
 
 std::vector<std::uint64_t> arrivalsPerSlice(const Experiment& experiment, const Trace& trace,
