--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,5 +1,5 @@
-// The laboratory: its audit must be able to fail, its model must be the same twice, its files must be told
-// apart from what is nearly one, and its world must be the one that real dispatchers meet.
+// The testbed: the audit finds each kind of violation, the model is deterministic, the readers of experiments
+// and traces report malformed files, and a short run on sockets shows that real dispatchers keep the rules.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -105,9 +105,8 @@
   EXPECT_THROW(readExperiment(kExperiment, "plan.toml", {"load.pers=90"}), ConfigError);
 }
 
-// ---- the audit ----
-
-// A trace by hand: one message of each type of the plan, handed to dispatcher 0 and taken.
+// Builds a trace by hand. It begins with messages of one type of the experiment, 10 ms apart, that are
+// submitted to dispatcher 0 and accepted 1 ms later.
 struct TraceBuilder {
   Experiment experiment = experimentWith("");
   Trace trace;
@@ -131,14 +130,14 @@
     return requests;
   }
   void respond(Millis at, std::uint32_t request, int status, std::uint32_t endpoint = 0,
-               std::uint32_t message = 0, Millis wait = 0) {
+               std::uint32_t message = 0, Millis retryAfter = 0) {
     add({.at = at,
          .type = TraceEventType::responded,
          .message = message,
          .request = request,
          .endpoint = endpoint,
          .status = static_cast<std::int16_t>(status),
-         .duration = wait,
+         .duration = retryAfter,
          .executed = status != 503 && status != 429});
   }
   void notify(Millis at, int result, std::uint32_t message = 0) {
@@ -147,14 +146,15 @@
          .message = message,
          .status = static_cast<std::int16_t>(result)});
   }
+  // An event long after the deadlines; without it the trace ends too early to call an outcome missing.
   void addLateEvent() {
     add({.at = 60000, .type = TraceEventType::endpointStateNotified, .endpoint = 5, .status = 1});
   }
-  std::vector<Rule> broken() {
+  std::vector<Rule> violatedRules() {
     std::vector<Rule> rules;
-    for (const RuleViolation& b : audit(experiment, trace)) {
-      rules.push_back(b.rule);
-      EXPECT_NE(describe(b, trace).find(b.text), std::string::npos);
+    for (const RuleViolation& violation : audit(experiment, trace)) {
+      rules.push_back(violation.rule);
+      EXPECT_NE(describe(violation, trace).find(violation.text), std::string::npos);
     }
     return rules;
   }
@@ -162,133 +162,134 @@
 using RuleList = std::vector<Rule>;
 
 TEST(Audit, FindsAMessageWithoutAnOutcomeOrWithALateOne) {
-  TraceBuilder none(2);
-  none.addLateEvent();
-  EXPECT_EQ(none.broken(), RuleList{Rule::exactlyOneOutcome});
-  TraceBuilder late(2);
-  late.notify(3500, 1);
-  late.addLateEvent();
-  EXPECT_EQ(late.broken(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder noOutcome(2);
+  noOutcome.addLateEvent();
+  EXPECT_EQ(noOutcome.violatedRules(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder lateOutcome(2);
+  lateOutcome.notify(3500, 1);
+  lateOutcome.addLateEvent();
+  EXPECT_EQ(lateOutcome.violatedRules(), RuleList{Rule::exactlyOneOutcome});
   TraceBuilder inTime(2);
   inTime.notify(3290, 1);
   inTime.addLateEvent();
-  EXPECT_EQ(inTime.broken(), RuleList{});
-  TraceBuilder afterIts(2);
-  afterIts.notify(500, 1);
-  afterIts.arrive(900);
-  EXPECT_EQ(afterIts.broken(), RuleList{Rule::exactlyOneOutcome});
-  TraceBuilder two(2);
-  two.notify(500, 1);
-  two.notify(600, 2);
-  EXPECT_EQ(two.broken(), RuleList{Rule::exactlyOneOutcome});
-  TraceBuilder refused(2);
-  refused.trace.events[1].type = TraceEventType::rejected;
-  refused.addLateEvent();
-  EXPECT_EQ(refused.broken(), RuleList{});
+  EXPECT_EQ(inTime.violatedRules(), RuleList{});
+  TraceBuilder attemptAfterOutcome(2);
+  attemptAfterOutcome.notify(500, 1);
+  attemptAfterOutcome.arrive(900);
+  EXPECT_EQ(attemptAfterOutcome.violatedRules(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder twoOutcomes(2);
+  twoOutcomes.notify(500, 1);
+  twoOutcomes.notify(600, 2);
+  EXPECT_EQ(twoOutcomes.violatedRules(), RuleList{Rule::exactlyOneOutcome});
+  TraceBuilder rejected(2);
+  rejected.trace.events[1].type = TraceEventType::rejected;
+  rejected.addLateEvent();
+  EXPECT_EQ(rejected.violatedRules(), RuleList{});
 }
 
 TEST(Audit, FindsARepeatOfAnAttemptThatMayHaveExecuted) {
-  for (auto [type, status, repeatAt, broken] : {std::tuple{0, 500, 300.0, true},
-                                                {0, 503, 300.0, false},
-                                                {1, 500, 300.0, false},
-                                                {1, 500, 2300.0, true},
-                                                {1, 503, 2300.0, false},
-                                                {2, 500, 2300.0, false}}) {
+  for (auto [type, status, repeatAt, isViolation] : {std::tuple{0, 500, 300.0, true},
+                                                     {0, 503, 300.0, false},
+                                                     {1, 500, 300.0, false},
+                                                     {1, 500, 2300.0, true},
+                                                     {1, 503, 2300.0, false},
+                                                     {2, 500, 2300.0, false}}) {
     TraceBuilder builder(static_cast<std::uint16_t>(type));
     std::uint32_t first = builder.arrive(100);
     builder.respond(150, first, status);
     builder.respond(repeatAt + 50, builder.arrive(repeatAt), 200);
-    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::noDuplicateEffect} : RuleList{})
+    EXPECT_EQ(builder.violatedRules(), isViolation ? RuleList{Rule::noDuplicateEffect} : RuleList{})
         << type << " " << status << " " << repeatAt;
   }
   TraceBuilder builder(1);
   builder.experiment.types[1].settings.deduplicationScope = DeduplicationScope::zone;
   builder.respond(150, builder.arrive(100, 0), 500);
-  builder.respond(350, builder.arrive(300, 1), 200, 1);  // the other room
-  EXPECT_EQ(builder.broken(), RuleList{Rule::noDuplicateEffect});
+  builder.respond(350, builder.arrive(300, 1), 200, 1);  // endpoint 1 is in another zone
+  EXPECT_EQ(builder.violatedRules(), RuleList{Rule::noDuplicateEffect});
   TraceBuilder shed(0);
   shed.respond(150, shed.arrive(100), 500);
   shed.notify(300, 2);
-  EXPECT_EQ(shed.broken(), RuleList{Rule::noDuplicateEffect});
+  EXPECT_EQ(shed.violatedRules(), RuleList{Rule::noDuplicateEffect});
   TraceBuilder twice(1);
   for (std::uint32_t request : {1u, 2u})
     twice.add({.at = 100.0 * request, .type = TraceEventType::effect, .request = request});
   twice.notify(400, 1);
-  EXPECT_EQ(twice.broken(), RuleList{Rule::noDuplicateEffect});
+  EXPECT_EQ(twice.violatedRules(), RuleList{Rule::noDuplicateEffect});
 }
 
 TEST(Audit, FindsAnAttemptAtADrainingEndpoint) {
-  for (auto [at, broken] : {std::pair{560.0, false}, {700.0, true}}) {
+  for (auto [at, isViolation] : {std::pair{560.0, false}, {700.0, true}}) {
     TraceBuilder builder(2);
     builder.add({.at = 100, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 2});
     builder.respond(at + 20, builder.arrive(at), 200);
-    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::noAttemptsWhileDraining} : RuleList{});
+    EXPECT_EQ(builder.violatedRules(), isViolation ? RuleList{Rule::noAttemptsWhileDraining} : RuleList{});
   }
   TraceBuilder back(2);
   back.add({.at = 100, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 2});
   back.add({.at = 600, .type = TraceEventType::endpointStateNotified, .endpoint = 0, .status = 1});
   back.respond(720, back.arrive(700), 200);
-  EXPECT_EQ(back.broken(), RuleList{});
+  EXPECT_EQ(back.violatedRules(), RuleList{});
 }
 
 TEST(Audit, FindsAnOverloadByDispatchersThatKnewOfTheOutage) {
-  for (bool knew : {true, false}) {
+  for (bool isInformed : {true, false}) {
     TraceBuilder builder(2, 6);
     builder.add({.at = 100, .type = TraceEventType::destinationDown});
-    if (knew) builder.add({.at = 150, .type = TraceEventType::healthChecked, .endpoint = 0, .status = 503});
+    if (isInformed)
+      builder.add({.at = 150, .type = TraceEventType::healthChecked, .endpoint = 0, .status = 503});
     builder.add({.at = 400, .type = TraceEventType::destinationUp});
     for (std::uint32_t c = 0; c < 6; ++c) builder.respond(420, builder.arrive(410 + c, 0, c), 200, 0, c);
     builder.add({.at = 420, .type = TraceEventType::destinationOverloaded});
-    EXPECT_EQ(builder.broken(), knew ? RuleList{Rule::noOverloadInSlowStart} : RuleList{});
+    EXPECT_EQ(builder.violatedRules(), isInformed ? RuleList{Rule::noOverloadInSlowStart} : RuleList{});
   }
 }
 
 TEST(Audit, FindsMessagesOfAKeyOutOfOrderOrWithoutThePause) {
-  for (auto [firstEnds, status, secondAt, broken] :
+  for (auto [firstEndsAt, status, secondAt, isViolation] :
        {std::tuple{200.0, 200, 150.0, true}, {200.0, 200, 250.0, false}, {200.0, 1, 300.0, true}}) {
     TraceBuilder builder(0, 2, 7);
     builder.experiment.types[0].settings.ordered = true;
     std::uint32_t first = builder.arrive(100, 0, 0);
     std::uint32_t second = builder.arrive(secondAt, 0, 1);
-    builder.respond(firstEnds, first, status, 0, 0);
-    if (status != 200) builder.notify(firstEnds + 10, 1, 0);
+    builder.respond(firstEndsAt, first, status, 0, 0);
+    if (status != 200) builder.notify(firstEndsAt + 10, 1, 0);
     builder.respond(secondAt + 60, second, 200, 0, 1);
     std::sort(builder.trace.events.begin(), builder.trace.events.end(),
               [](const auto& a, const auto& b) { return a.at < b.at; });
-    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::orderPerKey} : RuleList{}) << secondAt;
+    EXPECT_EQ(builder.violatedRules(), isViolation ? RuleList{Rule::orderPerKey} : RuleList{}) << secondAt;
   }
 }
 
 TEST(Audit, FindsAnAttemptBeforeRetryAfterOfTheDestination) {
-  for (auto [at, broken] : {std::pair{240.0, false}, {400.0, true}, {720.0, false}}) {
+  for (auto [at, isViolation] : {std::pair{240.0, false}, {400.0, true}, {720.0, false}}) {
     TraceBuilder builder(2, 2);
     builder.respond(200, builder.arrive(150, 0, 0), 429, 0, 0, 500);
     builder.respond(at + 20, builder.arrive(at, 1, 1), 200, 1, 1);  // another endpoint, the same destination
     builder.notify(900, 1, 0);
-    EXPECT_EQ(builder.broken(), broken ? RuleList{Rule::retryAfterRespected} : RuleList{}) << at;
+    EXPECT_EQ(builder.violatedRules(), isViolation ? RuleList{Rule::retryAfterRespected} : RuleList{}) << at;
   }
 }
 
-// A dispatcher that was deliberately made wrong is caught, for each way of being so; the same days with
-// nothing made wrong are clean.
+// An audit that finds nothing proves nothing unless it can fail: each deliberate defect of the dispatchers
+// must be found as a violation of its rule, and the same run without the defect must have no violation.
 TEST(Audit, CatchesEachDeliberateMistakeInTheModel) {
   struct Case {
     const char* fault;
     PolicyDefects defects;
     Rule rule;
   };
-  PolicyDefects forgets, waits, effects, drains, overloads;
-  forgets.losesMessages = waits.ignoresRetryAfter = effects.repeatsExecuted = drains.ignoresDraining =
-      overloads.overloadsInSlowStart = true;
-  for (const Case& c : {Case{"", forgets, Rule::exactlyOneOutcome},
-                        Case{"[[trouble]]\nkind=\"shut\"\ndestinations=[0]\nfrom_s=1\nuntil_s=3\n", waits,
-                             Rule::retryAfterRespected},
-                        Case{"[[trouble]]\nkind=\"reset\"\nfactor=0.4\nfrom_s=1\nuntil_s=5\n", effects,
+  PolicyDefects loss, earlyRetry, duplicate, draining, overload;
+  loss.losesMessages = earlyRetry.ignoresRetryAfter = duplicate.repeatsExecuted = draining.ignoresDraining =
+      overload.overloadsInSlowStart = true;
+  for (const Case& c : {Case{"", loss, Rule::exactlyOneOutcome},
+                        Case{"[[trouble]]\nkind=\"shut\"\ndestinations=[0]\nfrom_s=1\nuntil_s=3\n",
+                             earlyRetry, Rule::retryAfterRespected},
+                        Case{"[[trouble]]\nkind=\"reset\"\nfactor=0.4\nfrom_s=1\nuntil_s=5\n", duplicate,
                              Rule::noDuplicateEffect},
-                        Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", drains,
+                        Case{"[[trouble]]\nkind=\"drain\"\nendpoints=[0,2]\nfrom_s=1\nuntil_s=4\n", draining,
                              Rule::noAttemptsWhileDraining},
                         Case{"[[trouble]]\nkind=\"errors\"\ndestinations=[0]\nfrom_s=1\nuntil_s=4\n",
-                             overloads, Rule::noOverloadInSlowStart}}) {
+                             overload, Rule::noOverloadInSlowStart}}) {
     Experiment experiment = experimentWith(c.fault);
     if (c.defects.overloadsInSlowStart) {
       experiment.environment.concurrency = 1;
@@ -297,38 +298,39 @@
     }
     auto clean = audit(experiment, runModel(experiment, 3, "ours"));
     EXPECT_TRUE(clean.empty()) << nameOf(c.rule) << clean.size();
-    Trace wrong = runModel(experiment, 3, "ours", nullptr, c.defects);
-    auto found = audit(experiment, wrong);
+    Trace withDefect = runModel(experiment, 3, "ours", nullptr, c.defects);
+    auto found = audit(experiment, withDefect);
     ASSERT_FALSE(found.empty()) << nameOf(c.rule);
-    EXPECT_EQ(found.front().rule, c.rule) << describe(found.front(), wrong);
+    EXPECT_EQ(found.front().rule, c.rule) << describe(found.front(), withDefect);
   }
 }
 
-// ---- model, clients, town ----
-
 TEST(Model, IsTheSameByteForByteFromTheSameSeedAndAnotherFromAnother) {
   Experiment experiment = experimentWith(
       "[[trouble]]\nkind=\"blackhole\"\nroom=\"b\"\nfrom_s=1\nuntil_s=3\n"
       "[[trouble]]\nkind=\"kill\"\nfrom_s=2\nuntil_s=3\n");
   for (const std::string& policy : policyNames()) {
-    Trace one = runModel(experiment, 5, policy);
-    Trace two = runModel(experiment, 5, policy);
-    EXPECT_EQ(one.events, two.events) << policy;
-    EXPECT_EQ(one.messages, two.messages);
-    EXPECT_NE(one.events, runModel(experiment, 6, policy).events);
-    RunSummary t = summarize(experiment, one);
-    EXPECT_GT(t.completed, t.due / 3) << policy;
-    EXPECT_EQ(t.deliveryLatency.count, t.completed);
-    EXPECT_EQ(t.due, static_cast<std::uint64_t>(std::count_if(
-                         one.messages.begin(), one.messages.end(),
-                         [&](const SubmittedMessage& h) { return &one.messages[h.origin] == &h; })));
+    Trace trace = runModel(experiment, 5, policy);
+    Trace repeated = runModel(experiment, 5, policy);
+    EXPECT_EQ(trace.events, repeated.events) << policy;
+    EXPECT_EQ(trace.messages, repeated.messages);
+    EXPECT_NE(trace.events, runModel(experiment, 6, policy).events);
+    RunSummary summary = summarize(experiment, trace);
+    EXPECT_GT(summary.completed, summary.due / 3) << policy;
+    EXPECT_EQ(summary.deliveryLatency.count, summary.completed);
+    EXPECT_EQ(summary.due,
+              static_cast<std::uint64_t>(std::count_if(trace.messages.begin(), trace.messages.end(),
+                                                       [&](const SubmittedMessage& message) {
+                                                         return &trace.messages[message.origin] == &message;
+                                                       })));
   }
 }
 
-// The day that is due is the clients' own, whatever the dispatchers do with it.
+// Policies can only be compared if the times at which messages are due do not depend on the dispatchers'
+// decisions.
 TEST(Model, GivesEveryPolicyTheSameArrivals) {
   Experiment experiment = experimentWith("[[trouble]]\nkind=\"shut\"\nfrom_s=1\nuntil_s=4\n");
-  auto days = [&](const std::string& policy) {
+  auto dueTimes = [&](const std::string& policy) {
     Trace trace = runModel(experiment, 9, policy);
     std::vector<Millis> due;
     for (std::size_t n = 0; n < trace.messages.size(); ++n) {
@@ -336,7 +338,7 @@
     }
     return due;
   };
-  EXPECT_EQ(days("ours"), days("one-try"));
+  EXPECT_EQ(dueTimes("ours"), dueTimes("one-try"));
 }
 
 TEST(Model, RestoresTheMessagesOfAKilledDispatcher) {
@@ -376,8 +378,8 @@
   Trace trace;
   trace.messages.resize(200, {0, 2, 0, 0, 0, 0});
   EndpointModel endpointModel(experiment, 1, trace);
-  auto push = [&](Millis from, int many) {
-    for (int n = 0; n < many; ++n) {
+  auto countOverloads = [&](Millis from, int requests) {
+    for (int n = 0; n < requests; ++n) {
       auto request = static_cast<std::uint32_t>(from) + static_cast<std::uint32_t>(n);
       endpointModel.receiveRequest(from + n, request, 0, 0, {static_cast<std::uint32_t>(n)});
       endpointModel.abandonRequest(from + n, request, 0);
@@ -385,14 +387,14 @@
     return std::count_if(trace.events.begin(), trace.events.end(),
                          [](const TraceEvent& e) { return e.type == TraceEventType::destinationOverloaded; });
   };
-  EXPECT_EQ(push(100, 150), 0);
+  EXPECT_EQ(countOverloads(100, 150), 0);
   Fault rejectAll{.kind = FaultKind::rejectAll, .from = 1000, .until = 4000, .destinations = {0}};
   endpointModel.applyFault(1000, rejectAll, true);
   EXPECT_EQ(endpointModel.receiveRequest(1500, 9000, 0, 0, {1})->kind, ResponseKind::unavailable);
   endpointModel.applyFault(4000, rejectAll, false);
-  EXPECT_EQ(push(4100, 150), 1);
+  EXPECT_EQ(countOverloads(4100, 150), 1);
   EXPECT_EQ(endpointModel.receiveRequest(4400, 9001, 1, 0, {1})->kind,
-            ResponseKind::unavailable);  // it stays down, all of it
+            ResponseKind::unavailable);  // all endpoints of the destination stay down
 }
 
 TEST(EndpointModel, DropsARepeatWithinTheDeduplicationWindow) {
@@ -401,8 +403,8 @@
   trace.messages = {{0, 1, 0, 0, 0, 0}, {0, 1, 0, 0, 0, 0}, {2, 0, 0, 0, 0, 0}};
   EndpointModel endpointModel(experiment, 1, trace);
   endpointModel.receiveRequest(0, 1, 0, 0, {0});
-  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // the same origin, submitted again
-  endpointModel.receiveRequest(5000, 3, 0, 0, {1});  // past the window
+  endpointModel.receiveRequest(100, 2, 1, 0, {1});   // a resubmission, with the same origin
+  endpointModel.receiveRequest(5000, 3, 0, 0, {1});  // after the deduplication window
   endpointModel.receiveRequest(5000, 4, 1, 0, {2});
   EXPECT_EQ(std::count_if(trace.events.begin(), trace.events.end(),
                           [](const TraceEvent& e) { return e.type == TraceEventType::effect; }),
@@ -472,8 +474,7 @@
   EXPECT_EQ(paired(a, b).low, paired(a, b).low);
 }
 
-// ---- on sockets, with the real dispatcher ----
-
+// Runs the experiment with these faults on sockets, with the real dispatcher.
 RunResult runShort(const std::string& faults, const std::string& folder, Experiment& experiment) {
   experiment = experimentWith(faults);
   RunOptions options;
@@ -482,7 +483,8 @@
   return runOnSockets(experiment, experiment.seed, options);
 }
 
-// The dispatcher keeps the rules through troubles that strike together, and most of the gain.
+// A defect may show only while several faults are active together: no rule may be violated then, and most of
+// the weight must still be delivered.
 TEST(OnSockets, TheRulesHoldWhileAKillABlackholeAndLostAnswersStrikeTogether) {
   Folder folder;
   Experiment experiment;
@@ -492,11 +494,12 @@
       "[[trouble]]\nkind=\"kill\"\ndispatchers=[1]\nfrom_s=2\nuntil_s=2.3\n"
       "[[trouble]]\nkind=\"drain\"\nendpoints=[4]\nfrom_s=3\nuntil_s=5\n",
       folder.path, experiment);
-  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
+  for (const RuleViolation& violation : audit(experiment, result.trace))
+    ADD_FAILURE() << describe(violation, result.trace);
   EXPECT_TRUE(result.crashes.empty());
-  RunSummary t = summarize(experiment, result.trace);
-  EXPECT_GT(t.deliveredWeightShare(), 0.7);
-  EXPECT_GT(t.due, 250u);
+  RunSummary summary = summarize(experiment, result.trace);
+  EXPECT_GT(summary.deliveredWeightShare(), 0.7);
+  EXPECT_GT(summary.due, 250u);
 }
 
 TEST(OnSockets, FaultsOfEndpointsReachTheDispatcherAsSuch) {
@@ -509,30 +512,33 @@
       "[[trouble]]\nkind=\"shut\"\ndestinations=[2]\nfrom_s=1\nuntil_s=2.5\n"
       "[[trouble]]\nkind=\"table\"\nfactor=1\nendpoints=[1]\nfrom_s=1\nuntil_s=4\n",
       folder.path, experiment);
-  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
-  auto saw = [&](TraceEventType what, int status) {
+  for (const RuleViolation& violation : audit(experiment, result.trace))
+    ADD_FAILURE() << describe(violation, result.trace);
+  auto isInTrace = [&](TraceEventType type, int status) {
     return std::any_of(result.trace.events.begin(), result.trace.events.end(),
-                       [&](const TraceEvent& e) { return e.type == what && e.status == status; });
+                       [&](const TraceEvent& e) { return e.type == type && e.status == status; });
   };
-  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::malformed)));
-  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::truncated)));
-  EXPECT_TRUE(saw(TraceEventType::responded, static_cast<int>(ResponseKind::unavailable)));
+  EXPECT_TRUE(isInTrace(TraceEventType::responded, static_cast<int>(ResponseKind::malformed)));
+  EXPECT_TRUE(isInTrace(TraceEventType::responded, static_cast<int>(ResponseKind::truncated)));
+  EXPECT_TRUE(isInTrace(TraceEventType::responded, static_cast<int>(ResponseKind::unavailable)));
   EXPECT_GT(summarize(experiment, result.trace).deliveredWeightShare(), 0.6);
 }
 
-// Danger: a dispatcher that dies of a full disk, or of a file limit's signal, loses what it took on.
+// A dispatcher that exits because its disk is full, or because SIGXFSZ kills it at a limit on file size,
+// would lose messages that it has accepted.
 TEST(OnSockets, AFullDiskRejectsMessagesAndLosesNone) {
   Folder folder;
   Experiment experiment;
   RunResult result = runShort("[[trouble]]\nkind=\"disk-full\"\ndispatchers=[0]\nfrom_s=1.5\nuntil_s=3.5\n",
                               folder.path, experiment);
-  for (const RuleViolation& b : audit(experiment, result.trace)) ADD_FAILURE() << describe(b, result.trace);
+  for (const RuleViolation& violation : audit(experiment, result.trace))
+    ADD_FAILURE() << describe(violation, result.trace);
   EXPECT_TRUE(result.crashes.empty()) << result.crashes.front();
   EXPECT_GT(summarize(experiment, result.trace).rejected, 0u);
 }
 
-// Danger: a loop that is behind answers clients that have left, they hand in again, and it stays behind for
-// ever.
+// Without admission control, an event loop that is behind answers clients that have already timed out; these
+// submit again, so that the loop never catches up.
 TEST(AdmissionScenario, DispatcherRecoversFromAStallAndAnswersASurgeWhereOthersDoNot) {
   AdmissionScenario stall;
   stall.perSecond = 8000;
