--- a/src/lab/compare.cpp
+++ b/src/lab/compare.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kResamples = 4000;
 constexpr double kTail = 0.025;  // share of the means below the interval, and above it
-// With fewer pairs the interval says nothing, and the verdict is "cannot tell".
+// With fewer pairs the interval is not meaningful, and the verdict is "cannot tell".
 constexpr std::size_t kMinPairs = 3;
 
 }  // namespace
--- a/src/lab/model.cpp
+++ b/src/lab/model.cpp
@@ -370,7 +370,7 @@
     runRound(d, [](LabPolicy& p) { p.recordTimerFired(); });
   }
 
-  // How long a dispatcher reuses an idle connection: it closes the connection by connectTimeout before the
+  // How long a dispatcher keeps an idle connection: it closes the connection connectTimeout earlier than the
   // endpoint would.
   Millis maxIdleTime() const {
     return std::max(
@@ -536,7 +536,7 @@
     if (kind == ResponseKind::tooManyRequests || kind == ResponseKind::unavailable)
       outcome = AttemptOutcome::rejected;
     if (kind == ResponseKind::truncated && request.members.size() == 1)
-      outcome = AttemptOutcome::completed;  // its status line, which arrived, says 200
+      outcome = AttemptOutcome::completed;  // its status line arrived and was 200
     requestEnded(number, outcome, retryAfter, true);
   }
 
@@ -576,11 +576,11 @@
     if (entry != dispatcher.journal.end() && !mayHaveRun) {
       entry->second.attempts.at(static_cast<std::size_t>(m.attempt)).provablyNotExecuted = true;
     }
-    bool isOver = outcome == AttemptOutcome::completed || entry == dispatcher.journal.end();
+    bool isFinal = outcome == AttemptOutcome::completed || entry == dispatcher.journal.end();
     LoadReport report;
     if (withReport && experiment_.environment.reportsLoad)
       report = endpointModel_.loadReport(now_, request.endpoint);
-    p.recordAttemptOutcome(idOf(m.message), m.attempt, outcome, now_ - request.sent, isOver,
+    p.recordAttemptOutcome(idOf(m.message), m.attempt, outcome, now_ - request.sent, isFinal,
                            defects_.ignoresRetryAfter ? 0 : retryAfter, report);
     if (outcome == AttemptOutcome::completed) dispatcher.journal.erase(m.message);
   }
--- a/src/lab/model.h
+++ b/src/lab/model.h
@@ -15,7 +15,7 @@
   std::uint64_t attempts{0};  // attempts that the dispatchers sent
 };
 
-// Deliberate defects, for tests of the audit: each makes every dispatcher break one rule.
+// Deliberate defects, for tests of the audit: each makes every dispatcher violate one rule.
 struct PolicyDefects {
   bool losesMessages{false};         // every twentieth accepted message is never passed to the policy
   bool ignoresRetryAfter{false};     // the policy never learns the Retry-After of a response
--- a/src/lab/run_summary.cpp
+++ b/src/lab/run_summary.cpp
@@ -68,15 +68,15 @@
   std::vector<bool> accepted(messageCount, false);
   DurationHistogram responseLatency;
   for (const TraceEvent& e : trace.events) {
-    bool known = e.message < messageCount;
+    bool hasMessage = e.message < messageCount;
     switch (e.type) {
       case TraceEventType::submitted:
-        if (known) submittedAt[e.message] = e.at;
+        if (hasMessage) submittedAt[e.message] = e.at;
         break;
       case TraceEventType::accepted:
       case TraceEventType::rejected:
-        if (known && submittedAt[e.message] < kNever) responseLatency.add(e.at - submittedAt[e.message]);
-        if (known && e.type == TraceEventType::accepted) accepted[e.message] = true;
+        if (hasMessage && submittedAt[e.message] < kNever) responseLatency.add(e.at - submittedAt[e.message]);
+        if (hasMessage && e.type == TraceEventType::accepted) accepted[e.message] = true;
         if (e.type == TraceEventType::rejected) ++summary.rejected, ++sliceOf(e.at).rejected;
         break;
       case TraceEventType::unanswered:
@@ -85,11 +85,11 @@
       case TraceEventType::arrived:
         ++summary.attempts;
         ++sliceOf(e.at).attempts;
-        if (known && attempted[e.message]) ++summary.repeatedAttempts;
-        if (known) attempted[e.message] = true;
+        if (hasMessage && attempted[e.message]) ++summary.repeatedAttempts;
+        if (hasMessage) attempted[e.message] = true;
         break;
       case TraceEventType::responded:
-        if (known && (e.status == 200 || e.status == 3)) {
+        if (hasMessage && (e.status == 200 || e.status == 3)) {
           Millis& first = delivered[trace.messages[e.message].origin];
           first = std::min(first, e.at);
         }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -22,7 +22,7 @@
 
 using Folder = stonewing::testing::TemporaryDirectory;
 
-const bool seeded = setenv("RC_PARAMS", "seed=4711 max_success=60", 1) == 0;
+const bool kSeeded = setenv("RC_PARAMS", "seed=4711 max_success=60", 1) == 0;
 
 const char* kExperiment = R"(name = "small"
 seed = 3
@@ -146,7 +146,8 @@
          .message = message,
          .status = static_cast<std::int16_t>(result)});
   }
-  // An event long after the deadlines; without it the trace ends too early to call an outcome missing.
+  // An event long after the deadlines; without it the trace ends before the audit can call an outcome
+  // missing.
   void addLateEvent() {
     add({.at = 60000, .type = TraceEventType::endpointStateNotified, .endpoint = 5, .status = 1});
   }
