--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -1,6 +1,6 @@
 // The baselines: simple policies of the textbook kind, with which DispatchPolicy is compared. They respect
 // idempotency and Retry-After, since no policy that violates these could be used with real endpoints, but
-// they know neither slow start nor rate limits.
+// they know neither slow start nor concurrency limits.
 #include <algorithm>
 #include <cmath>
 #include <deque>
