--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -18,32 +18,32 @@
 using json = nlohmann::ordered_json;
 namespace fs = std::filesystem;
 
-constexpr double kSecond = 1000;
+constexpr double kMillisPerSecond = 1000;
 
-json jsonOf(const Quantiles& q) {
-  return {{"count", q.count}, {"p50_ms", q.p50},   {"p95_ms", q.p95},
-          {"p99_ms", q.p99},  {"p999_ms", q.p999}, {"most_ms", q.max}};
+json jsonOf(const Quantiles& quantiles) {
+  return {{"count", quantiles.count}, {"p50_ms", quantiles.p50},   {"p95_ms", quantiles.p95},
+          {"p99_ms", quantiles.p99},  {"p999_ms", quantiles.p999}, {"most_ms", quantiles.max}};
 }
 
-json jsonOf(const RunSummary& t) {
-  return {{"gain_share", t.deliveredWeightShare()},
-          {"due", t.due},
-          {"completed", t.completed},
-          {"in_promised_time", t.withinObjective},
-          {"busy", t.rejected},
-          {"unanswered", t.unanswered},
-          {"shed", t.shed},
-          {"given_up", t.failed},
-          {"launches", t.attempts},
-          {"second_launches", t.repeatedAttempts},
-          {"probes", t.healthChecks},
-          {"delivery", jsonOf(t.deliveryLatency)},
-          {"answers", jsonOf(t.responseLatency)}};
+json jsonOf(const RunSummary& summary) {
+  return {{"gain_share", summary.deliveredWeightShare()},
+          {"due", summary.due},
+          {"completed", summary.completed},
+          {"in_promised_time", summary.withinObjective},
+          {"busy", summary.rejected},
+          {"unanswered", summary.unanswered},
+          {"shed", summary.shed},
+          {"given_up", summary.failed},
+          {"launches", summary.attempts},
+          {"second_launches", summary.repeatedAttempts},
+          {"probes", summary.healthChecks},
+          {"delivery", jsonOf(summary.deliveryLatency)},
+          {"answers", jsonOf(summary.responseLatency)}};
 }
 
 std::ofstream openForWriting(const std::string& path) {
   std::ofstream out(path, std::ios::binary);
-  if (!out) throw ConfigError("cannot write " + path);
+  if (!out) throw ConfigError("cannot open " + path + " for writing");
   return out;
 }
 
@@ -69,11 +69,12 @@
 
 std::vector<std::pair<double, double>> faultIntervals(const Experiment& experiment) {
   std::vector<std::pair<double, double>> intervals;
-  for (const Fault& t : experiment.faults) intervals.emplace_back(t.from / kSecond, t.until / kSecond);
+  for (const Fault& fault : experiment.faults)
+    intervals.emplace_back(fault.from / kMillisPerSecond, fault.until / kMillisPerSecond);
   return intervals;
 }
 
-// Endpoints of a room.
+// Numbers of the endpoints in a zone.
 std::vector<int> endpointsIn(const Experiment& experiment, std::size_t zone) {
   std::vector<int> endpoints;
   for (int e = 0; e < experiment.endpointCount(); ++e) {
@@ -82,51 +83,54 @@
   return endpoints;
 }
 
-// What a room takes without falling, attempts and probes a second: nothing while a trouble has it, and along
-// its warming after one that was longer than a blip.
+// Attempts and health checks a second that a zone can serve at a time (ms) without being overloaded: 0 during
+// a fault that takes the zone down, and less than the full rate in the slow start after such a fault. A fault
+// no longer than the overload window is followed by no slow start.
 double sustainableRate(const Experiment& experiment, const std::string& zone, std::size_t endpoints,
                        Millis at) {
   double capacityShare = 1;
-  for (const Fault& t : experiment.faults) {
-    bool takesZoneDown = t.kind == FaultKind::blackhole || t.kind == FaultKind::refuseConnections ||
-                         t.kind == FaultKind::noResponse || t.kind == FaultKind::rejectAll;
-    if (!takesZoneDown || t.zone != zone || at < t.from) continue;
-    if (at < t.until) return 0;
-    if (t.until - t.from <= experiment.environment.overloadWindow) continue;
-    double progress = std::min(1.0, (at - t.until) / experiment.environment.slowStartDuration);
+  for (const Fault& fault : experiment.faults) {
+    bool takesZoneDown = fault.kind == FaultKind::blackhole || fault.kind == FaultKind::refuseConnections ||
+                         fault.kind == FaultKind::noResponse || fault.kind == FaultKind::rejectAll;
+    if (!takesZoneDown || fault.zone != zone || at < fault.from) continue;
+    if (at < fault.until) return 0;
+    if (fault.until - fault.from <= experiment.environment.overloadWindow) continue;
+    double progress = std::min(1.0, (at - fault.until) / experiment.environment.slowStartDuration);
     capacityShare =
         std::min(capacityShare, experiment.environment.slowStartInitialShare +
                                     (1 - experiment.environment.slowStartInitialShare) * progress);
   }
   double fullRate = experiment.environment.concurrency * static_cast<double>(endpoints) /
-                    meanOf(experiment.environment.serviceTime) * kSecond;
+                    meanOf(experiment.environment.serviceTime) * kMillisPerSecond;
   return experiment.environment.overloadThreshold * fullRate * capacityShare;
 }
 
-// The rate into rooms that return, against what each can bear at that moment.
-Figure zoneReturnFigure(const RunReport& r, double step) {
-  Figure figure{"Into rooms that return, and what they bear",
+// The rate of arrivals in each zone that had a fault, with the rate that the zone can sustain at that time. A
+// zone that returns and receives more than it can sustain is overloaded again.
+Figure zoneReturnFigure(const RunReport& report, double sliceSeconds) {
+  Figure figure{"Attempts into recovering zones and the rate they sustain",
                 "seconds",
-                "a second",
+                "per second",
                 false,
                 false,
                 false,
                 {},
-                faultIntervals(r.experiment)};
-  for (std::size_t zone = 0; zone < r.experiment.environment.zones.size(); ++zone) {
-    const std::string& name = r.experiment.environment.zones[zone];
-    bool affected = std::any_of(r.experiment.faults.begin(), r.experiment.faults.end(),
-                                [&](const Fault& t) { return t.zone == name; });
+                faultIntervals(report.experiment)};
+  for (std::size_t zone = 0; zone < report.experiment.environment.zones.size(); ++zone) {
+    const std::string& name = report.experiment.environment.zones[zone];
+    bool affected = std::any_of(report.experiment.faults.begin(), report.experiment.faults.end(),
+                                [&](const Fault& fault) { return fault.zone == name; });
     if (!affected) continue;
-    std::vector<int> endpoints = endpointsIn(r.experiment, zone);
-    Line sent{name + ", launched", {}};
-    Line sustainable{name + ", bears", {}};
-    auto counts = arrivalsPerSlice(r.experiment, r.trace, endpoints, step * kSecond);
+    std::vector<int> endpoints = endpointsIn(report.experiment, zone);
+    Line sent{name + ", attempts", {}};
+    Line sustainable{name + ", sustainable", {}};
+    auto counts =
+        arrivalsPerSlice(report.experiment, report.trace, endpoints, sliceSeconds * kMillisPerSecond);
     for (std::size_t n = 0; n < counts.size(); ++n) {
-      double at = static_cast<double>(n) * step;
-      sent.points.emplace_back(at, static_cast<double>(counts[n]) / step);
-      sustainable.points.emplace_back(
-          at, sustainableRate(r.experiment, name, endpoints.size(), (at + step / 2) * kSecond));
+      double at = static_cast<double>(n) * sliceSeconds;
+      sent.points.emplace_back(at, static_cast<double>(counts[n]) / sliceSeconds);
+      sustainable.points.emplace_back(at, sustainableRate(report.experiment, name, endpoints.size(),
+                                                          (at + sliceSeconds / 2) * kMillisPerSecond));
     }
     figure.lines.push_back(std::move(sent));
     figure.lines.push_back(std::move(sustainable));
@@ -134,100 +138,110 @@
   return figure;
 }
 
-// Attempts that arrive in a room from dispatchers of other rooms.
-Figure spilloverFigure(const RunReport& r, double step) {
-  Figure figure{"Launches from other rooms, by where they arrive",
+// Attempts a second that arrive in each zone from dispatchers of other zones.
+Figure spilloverFigure(const RunReport& report, double sliceSeconds) {
+  Figure figure{"Attempts from other zones, by receiving zone",
                 "seconds",
-                "a second",
+                "per second",
                 false,
                 false,
                 false,
                 {},
-                faultIntervals(r.experiment)};
-  std::size_t zones = r.experiment.environment.zones.size();
+                faultIntervals(report.experiment)};
+  std::size_t zones = report.experiment.environment.zones.size();
   std::vector<std::vector<double>> counts(zones);
-  for (const TraceEvent& e : r.trace.events) {
+  for (const TraceEvent& e : report.trace.events) {
     if (e.type != TraceEventType::arrived) continue;
-    auto zone = static_cast<std::size_t>(r.experiment.zoneOf(static_cast<int>(e.endpoint)));
+    auto zone = static_cast<std::size_t>(report.experiment.zoneOf(static_cast<int>(e.endpoint)));
     if (e.dispatcher % zones == zone) continue;
-    auto slice = static_cast<std::size_t>(e.at / (step * kSecond));
+    auto slice = static_cast<std::size_t>(e.at / (sliceSeconds * kMillisPerSecond));
     if (counts[zone].size() <= slice) counts[zone].resize(slice + 1);
-    counts[zone][slice] += 1 / step;
+    counts[zone][slice] += 1 / sliceSeconds;
   }
   for (std::size_t zone = 0; zone < zones; ++zone) {
-    Line line{r.experiment.environment.zones[zone], {}};
+    Line line{report.experiment.environment.zones[zone], {}};
     for (std::size_t n = 0; n < counts[zone].size(); ++n) {
-      line.points.emplace_back(static_cast<double>(n) * step, counts[zone][n]);
+      line.points.emplace_back(static_cast<double>(n) * sliceSeconds, counts[zone][n]);
     }
     figure.lines.push_back(std::move(line));
   }
   return figure;
 }
 
-std::vector<Figure> figuresOf(const RunReport& r) {
+std::vector<Figure> figuresOf(const RunReport& report) {
   std::vector<Figure> figures;
-  const auto& series = r.summary.series;
-  double step = series.size() > 1 ? (series[1].startsAt - series[0].startsAt) / kSecond : 1;
+  const auto& series = report.summary.series;
+  double sliceSeconds = series.size() > 1 ? (series[1].startsAt - series[0].startsAt) / kMillisPerSecond : 1;
   auto lineOf = [&](const char* title, auto value) {
     Line line{title, {}};
-    for (const auto& s : series) line.points.emplace_back(s.startsAt / kSecond, value(s));
+    for (const auto& s : series) line.points.emplace_back(s.startsAt / kMillisPerSecond, value(s));
     return line;
   };
-  Figure rates{"Callbacks a second",        "seconds", "a second", false, false, false, {},
-               faultIntervals(r.experiment)};
-  rates.lines.push_back(lineOf("due", [&](const auto& s) { return static_cast<double>(s.due) / step; }));
+  Figure rates{"Messages per second",
+               "seconds",
+               "per second",
+               false,
+               false,
+               false,
+               {},
+               faultIntervals(report.experiment)};
   rates.lines.push_back(
-      lineOf("of those completed", [&](const auto& s) { return static_cast<double>(s.completed) / step; }));
+      lineOf("due", [&](const auto& s) { return static_cast<double>(s.due) / sliceSeconds; }));
+  rates.lines.push_back(lineOf(
+      "of those, completed", [&](const auto& s) { return static_cast<double>(s.completed) / sliceSeconds; }));
   rates.lines.push_back(
-      lineOf("refused", [&](const auto& s) { return static_cast<double>(s.rejected) / step; }));
+      lineOf("refused", [&](const auto& s) { return static_cast<double>(s.rejected) / sliceSeconds; }));
   rates.lines.push_back(
-      lineOf("shed or given up", [&](const auto& s) { return static_cast<double>(s.ended) / step; }));
+      lineOf("shed or failed", [&](const auto& s) { return static_cast<double>(s.ended) / sliceSeconds; }));
   rates.lines.push_back(
-      lineOf("launches", [&](const auto& s) { return static_cast<double>(s.attempts) / step; }));
+      lineOf("launches", [&](const auto& s) { return static_cast<double>(s.attempts) / sliceSeconds; }));
   figures.push_back(std::move(rates));
-  Figure latencies{"From due to delivered, by when it was due",
+  Figure latencies{"Delivery latency since the due time, by due time",
                    "seconds",
                    "ms",
                    true,
                    false,
                    false,
                    {},
-                   faultIntervals(r.experiment)};
+                   faultIntervals(report.experiment)};
   latencies.lines.push_back(lineOf("p50", [](const auto& s) { return s.p50; }));
   latencies.lines.push_back(lineOf("p99", [](const auto& s) { return s.p99; }));
   figures.push_back(std::move(latencies));
-  if (r.experiment.environment.zones.size() > 1) {
-    Figure zones{"Launches that arrive, by room", "seconds", "a second", false, false, false, {},
-                 faultIntervals(r.experiment)};
-    for (std::size_t zone = 0; zone < r.experiment.environment.zones.size(); ++zone) {
-      std::vector<int> endpoints = endpointsIn(r.experiment, zone);
-      Line line{r.experiment.environment.zones[zone], {}};
-      auto counts = arrivalsPerSlice(r.experiment, r.trace, endpoints, step * kSecond);
+  if (report.experiment.environment.zones.size() > 1) {
+    Figure zones{"Attempts that arrive, by zone",  "seconds", "per second", false, false, false, {},
+                 faultIntervals(report.experiment)};
+    for (std::size_t zone = 0; zone < report.experiment.environment.zones.size(); ++zone) {
+      std::vector<int> endpoints = endpointsIn(report.experiment, zone);
+      Line line{report.experiment.environment.zones[zone], {}};
+      auto counts =
+          arrivalsPerSlice(report.experiment, report.trace, endpoints, sliceSeconds * kMillisPerSecond);
       for (std::size_t n = 0; n < counts.size(); ++n) {
-        line.points.emplace_back(static_cast<double>(n) * step, static_cast<double>(counts[n]) / step);
+        line.points.emplace_back(static_cast<double>(n) * sliceSeconds,
+                                 static_cast<double>(counts[n]) / sliceSeconds);
       }
       zones.lines.push_back(std::move(line));
     }
     figures.push_back(std::move(zones));
-    if (r.experiment.fleet.zonePriorities != ZonePriorityShape::none)
-      figures.push_back(spilloverFigure(r, step));
-    if (r.experiment.environment.zonesSlowStart) figures.push_back(zoneReturnFigure(r, step));
+    if (report.experiment.fleet.zonePriorities != ZonePriorityShape::none)
+      figures.push_back(spilloverFigure(report, sliceSeconds));
+    if (report.experiment.environment.zonesSlowStart)
+      figures.push_back(zoneReturnFigure(report, sliceSeconds));
   }
-  if (r.run != nullptr && !r.run->usage.empty()) {
-    Figure memory{"Memory of each dispatcher", "seconds", "MB resident", false, false, false, {},
-                  faultIntervals(r.experiment)};
-    Figure cpu{"Processor time of each dispatcher", "seconds", "share of a core", false, false, false, {},
-               faultIntervals(r.experiment)};
-    for (std::size_t d = 0; d < r.run->usage.front().dispatchers.size(); ++d) {
+  if (report.run != nullptr && !report.run->usage.empty()) {
+    Figure memory{"Memory of each dispatcher",      "seconds", "MB resident", false, false, false, {},
+                  faultIntervals(report.experiment)};
+    Figure cpu{"CPU time of each dispatcher",    "seconds", "share of a core", false, false, false, {},
+               faultIntervals(report.experiment)};
+    for (std::size_t d = 0; d < report.run->usage.front().dispatchers.size(); ++d) {
       Line resident{"dispatcher " + std::to_string(d), {}};
       Line busy = resident;
-      for (std::size_t n = 1; n < r.run->usage.size(); ++n) {
-        const UsageSample& s = r.run->usage[n];
-        const UsageSample& before = r.run->usage[n - 1];
-        resident.points.emplace_back(s.at / kSecond, s.dispatchers[d].residentMegabytes);
+      for (std::size_t n = 1; n < report.run->usage.size(); ++n) {
+        const UsageSample& s = report.run->usage[n];
+        const UsageSample& before = report.run->usage[n - 1];
+        resident.points.emplace_back(s.at / kMillisPerSecond, s.dispatchers[d].residentMegabytes);
         double used = s.dispatchers[d].cpuSeconds - before.dispatchers[d].cpuSeconds;
-        busy.points.emplace_back(s.at / kSecond,
-                                 std::max(0.0, used) * kSecond / std::max(1.0, s.at - before.at));
+        busy.points.emplace_back(s.at / kMillisPerSecond,
+                                 std::max(0.0, used) * kMillisPerSecond / std::max(1.0, s.at - before.at));
       }
       memory.lines.push_back(std::move(resident));
       cpu.lines.push_back(std::move(busy));
@@ -248,64 +262,68 @@
   return out;
 }
 
-void writeHtml(const RunReport& r, const std::vector<std::string>& svgs, const std::string& omitted,
+void writeHtml(const RunReport& report, const std::vector<std::string>& svgs, const std::string& omitted,
                std::ostream& out) {
-  out << "<!doctype html><meta charset=utf-8><title>" << escaped(r.experiment.name) << "</title>\n"
+  out << "<!doctype html><meta charset=utf-8><title>" << escaped(report.experiment.name) << "</title>\n"
       << "<style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 "
          "1em}table{border-collapse:collapse}"
       << "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid "
          "#ccc}td:first-child,th:first-child{text-align:"
       << "left}pre{background:#f4f4f4;padding:.7em;overflow:auto}.bad{color:#a00}</style>\n"
-      << "<h1>" << escaped(r.experiment.name) << "</h1>\n<p>Seed " << r.seed << ", " << escaped(r.mode)
-      << ".";
-  if (r.run != nullptr && r.run->interrupted) {
-    out << " <b class=bad>Interrupted after " << fixed(r.run->endedAt / kSecond, 1) << " s of "
-        << fixed(r.experiment.end() / kSecond, 1) << " s.</b>";
+      << "<h1>" << escaped(report.experiment.name) << "</h1>\n<p>Seed " << report.seed << ", "
+      << escaped(report.mode) << ".";
+  if (report.run != nullptr && report.run->interrupted) {
+    out << " <b class=bad>Interrupted after " << fixed(report.run->endedAt / kMillisPerSecond, 1) << " s of "
+        << fixed(report.experiment.end() / kMillisPerSecond, 1) << " s.</b>";
   }
-  out << "</p>\n<table><tr><th></th><th>gain kept</th><th>completed</th><th>in "
-         "time</th><th>refused</th><th>shed</th>"
-      << "<th>given up</th><th>launches each</th><th>p50 ms</th><th>p99 ms</th><th>rules broken</th></tr>\n";
-  std::vector<SummaryRow> rows{{r.mode, r.summary, r.violations.size()}};
-  rows.insert(rows.end(), r.comparisons.begin(), r.comparisons.end());
+  out << "</p>\n<table><tr><th></th><th>delivered weight share</th><th>completed</th><th>within "
+         "objective</th><th>rejected</th><th>shed</th>"
+      << "<th>failed</th><th>attempts per message</th><th>p50 ms</th><th>p99 "
+         "ms</th><th>violations</th></tr>\n";
+  std::vector<SummaryRow> rows{{report.mode, report.summary, report.violations.size()}};
+  rows.insert(rows.end(), report.comparisons.begin(), report.comparisons.end());
   for (const SummaryRow& row : rows) {
-    const RunSummary& t = row.summary;
-    double due = std::max<double>(1, static_cast<double>(t.due));
-    out << "<tr><td>" << escaped(row.name) << "</td><td>" << fixed(t.deliveredWeightShare(), 4) << "</td><td>"
-        << fixed(static_cast<double>(t.completed) / due, 4) << "</td><td>"
-        << fixed(static_cast<double>(t.withinObjective) / due, 4) << "</td><td>" << t.rejected << "</td><td>"
-        << t.shed << "</td><td>" << t.failed << "</td><td>" << fixed(static_cast<double>(t.attempts) / due, 3)
-        << "</td><td>" << fixed(t.deliveryLatency.p50, 1) << "</td><td>" << fixed(t.deliveryLatency.p99, 1)
+    const RunSummary& summary = row.summary;
+    double due = std::max<double>(1, static_cast<double>(summary.due));
+    out << "<tr><td>" << escaped(row.name) << "</td><td>" << fixed(summary.deliveredWeightShare(), 4)
+        << "</td><td>" << fixed(static_cast<double>(summary.completed) / due, 4) << "</td><td>"
+        << fixed(static_cast<double>(summary.withinObjective) / due, 4) << "</td><td>" << summary.rejected
+        << "</td><td>" << summary.shed << "</td><td>" << summary.failed << "</td><td>"
+        << fixed(static_cast<double>(summary.attempts) / due, 3) << "</td><td>"
+        << fixed(summary.deliveryLatency.p50, 1) << "</td><td>" << fixed(summary.deliveryLatency.p99, 1)
         << "</td><td>" << row.violations << "</td></tr>\n";
   }
-  out << "</table>\n<h2>Troubles</h2>\n<table><tr><th>kind</th><th>from s</th><th>until "
+  out << "</table>\n<h2>Faults</h2>\n<table><tr><th>kind</th><th>from s</th><th>until "
          "s</th><th>where</th><th>factor"
       << "</th></tr>\n";
-  for (const Fault& t : r.experiment.faults) {
+  for (const Fault& fault : report.experiment.faults) {
     std::string where;
     auto add = [&](const char* kind, const std::string& which) {
       if (!where.empty()) where.append(", ");
       where.append(kind).append(which);
     };
-    if (!t.zone.empty()) add("room ", t.zone);
-    for (int d : t.destinations) add("destination ", std::to_string(d));
-    for (int e : t.endpoints) add("endpoint ", std::to_string(e));
-    for (int d : t.dispatchers) add("dispatcher ", std::to_string(d));
-    out << "<tr><td>" << nameOf(t.kind) << "</td><td>" << fixed(t.from / kSecond, 1) << "</td><td>"
-        << fixed(t.until / kSecond, 1) << "</td><td>" << escaped(where.empty() ? "all" : where) << "</td><td>"
-        << fixed(t.factor, 2) << "</td></tr>\n";
+    if (!fault.zone.empty()) add("zone ", fault.zone);
+    for (int d : fault.destinations) add("destination ", std::to_string(d));
+    for (int e : fault.endpoints) add("endpoint ", std::to_string(e));
+    for (int d : fault.dispatchers) add("dispatcher ", std::to_string(d));
+    out << "<tr><td>" << nameOf(fault.kind) << "</td><td>" << fixed(fault.from / kMillisPerSecond, 1)
+        << "</td><td>" << fixed(fault.until / kMillisPerSecond, 1) << "</td><td>"
+        << escaped(where.empty() ? "all" : where) << "</td><td>" << fixed(fault.factor, 2) << "</td></tr>\n";
   }
-  out << "</table>\n<h2>Rules</h2>\n";
-  if (r.violations.empty()) out << "<p>None broken.</p>\n";
+  out << "</table>\n<h2>Audit</h2>\n";
+  if (report.violations.empty()) out << "<p>No rule was violated.</p>\n";
   constexpr std::size_t kShown = 20;
-  for (std::size_t n = 0; n < std::min(kShown, r.violations.size()); ++n) {
-    out << "<pre class=bad>" << escaped(describe(r.violations[n], r.trace)) << "</pre>\n";
+  for (std::size_t n = 0; n < std::min(kShown, report.violations.size()); ++n) {
+    out << "<pre class=bad>" << escaped(describe(report.violations[n], report.trace)) << "</pre>\n";
   }
-  if (r.violations.size() > kShown) out << "<p>and " << r.violations.size() - kShown << " more.</p>\n";
-  if (r.run != nullptr) {
-    for (const std::string& crash : r.run->crashes) out << "<p class=bad>" << escaped(crash) << "</p>\n";
-    out << "<p>The load sent nothing later than " << fixed(r.run->maxLag, 1) << " ms after it was due.</p>\n";
+  if (report.violations.size() > kShown)
+    out << "<p>and " << report.violations.size() - kShown << " more.</p>\n";
+  if (report.run != nullptr) {
+    for (const std::string& crash : report.run->crashes) out << "<p class=bad>" << escaped(crash) << "</p>\n";
+    out << "<p>The load generator sent the first command of each message within "
+        << fixed(report.run->maxLag, 1) << " ms of its due time.</p>\n";
   }
-  out << "<h2>In time</h2>\n";
+  out << "<h2>Over time</h2>\n";
   for (const std::string& svg : svgs) out << "<p><img src=\"" << svg << "\" alt=\"" << svg << "\"></p>\n";
   if (!omitted.empty()) out << "<p>" << escaped(omitted) << "</p>\n";
 }
@@ -313,64 +331,66 @@
 }  // namespace
 
 bool draw(const Figure& figure, const std::string& svgPath) {
-  std::FILE* to = ::popen("gnuplot >/dev/null 2>&1", "w");
-  if (to == nullptr) return false;
-  std::fprintf(to,
+  std::FILE* gnuplot = ::popen("gnuplot >/dev/null 2>&1", "w");
+  if (gnuplot == nullptr) return false;
+  std::fprintf(gnuplot,
                "set terminal svg size 900,360 dynamic font 'sans,12' background '#ffffff'\nset output %s\n",
                quoted(svgPath).c_str());
-  std::fprintf(to, "set title %s\nset xlabel %s\nset ylabel %s\nset key outside right\nset grid\n",
+  std::fprintf(gnuplot, "set title %s\nset xlabel %s\nset ylabel %s\nset key outside right\nset grid\n",
                quoted(figure.title).c_str(), quoted(figure.x).c_str(), quoted(figure.y).c_str());
-  if (figure.logY) std::fprintf(to, "set logscale y\n");
-  if (!figure.logY && !figure.zeroLine) std::fprintf(to, "set yrange [0:*]\n");
-  if (figure.zeroLine) std::fprintf(to, "set xzeroaxis lw 2\n");
+  if (figure.logY) std::fprintf(gnuplot, "set logscale y\n");
+  if (!figure.logY && !figure.zeroLine) std::fprintf(gnuplot, "set yrange [0:*]\n");
+  if (figure.zeroLine) std::fprintf(gnuplot, "set xzeroaxis lw 2\n");
   int number = 1;
   for (auto [from, until] : figure.shaded) {
     std::fprintf(
-        to,
+        gnuplot,
         "set object %d rectangle from %g, graph 0 to %g, graph 1 behind fc rgb '#f3dcd6' fs solid noborder\n",
         number++, from, until);
   }
   for (std::size_t n = 0; n < figure.lines.size(); ++n) {
-    std::fprintf(to, "$d%zu << E\n", n);
+    std::fprintf(gnuplot, "$d%zu << E\n", n);
     for (auto [x, y] : figure.lines[n].points) {
-      if (!figure.logY || y > 0) std::fprintf(to, "%.6g %.6g\n", x, y);
+      if (!figure.logY || y > 0) std::fprintf(gnuplot, "%.6g %.6g\n", x, y);
     }
-    std::fprintf(to, "E\n");
+    std::fprintf(gnuplot, "E\n");
   }
   for (std::size_t n = 0; n < figure.lines.size(); ++n) {
-    std::fprintf(to, "%s $d%zu using 1:2 with %s lw 2 title %s", n == 0 ? "plot" : ",", n,
+    std::fprintf(gnuplot, "%s $d%zu using 1:2 with %s lw 2 title %s", n == 0 ? "plot" : ",", n,
                  figure.dots ? "points pt 7" : "lines", quoted(figure.lines[n].title).c_str());
   }
-  std::fprintf(to, "\n");
-  return ::pclose(to) == 0 && fs::exists(svgPath);
+  std::fprintf(gnuplot, "\n");
+  return ::pclose(gnuplot) == 0 && fs::exists(svgPath);
 }
 
-std::string resultText(const RunReport& r) {
-  json result{{"experiment", r.experiment.name}, {"seed", r.seed}, {"how", r.mode}};
-  result["result"] = jsonOf(r.summary);
+std::string resultText(const RunReport& report) {
+  json result{{"experiment", report.experiment.name}, {"seed", report.seed}, {"how", report.mode}};
+  result["result"] = jsonOf(report.summary);
   result["broken"] = json::array();
-  for (const RuleViolation& b : r.violations) {
-    result["broken"].push_back({{"rule", static_cast<int>(b.rule)},
-                                {"name", nameOf(b.rule)},
-                                {"callback", b.subject},
-                                {"what", b.text}});
+  for (const RuleViolation& violation : report.violations) {
+    result["broken"].push_back({{"rule", static_cast<int>(violation.rule)},
+                                {"name", nameOf(violation.rule)},
+                                {"callback", violation.subject},
+                                {"what", violation.text}});
   }
   result["beside"] = json::object();
-  for (const SummaryRow& row : r.comparisons) {
+  for (const SummaryRow& row : report.comparisons) {
     result["beside"][row.name] = jsonOf(row.summary);
     result["beside"][row.name]["broken"] = row.violations;
   }
-  if (r.run != nullptr) {
-    result["interrupted"] = r.run->interrupted;
-    result["crashes"] = r.run->crashes;
-    result["load_lag_ms"] = r.run->maxLag;
+  if (report.run != nullptr) {
+    result["interrupted"] = report.run->interrupted;
+    result["crashes"] = report.run->crashes;
+    result["load_lag_ms"] = report.run->maxLag;
     json usage = json::array();
-    for (std::size_t d = 0; !r.run->usage.empty() && d < r.run->usage.front().dispatchers.size(); ++d) {
+    for (std::size_t d = 0; !report.run->usage.empty() && d < report.run->usage.front().dispatchers.size();
+         ++d) {
       double cpu = 0, last = 0, memory = 0, disk = 0;
       int descriptors = 0;
-      for (const UsageSample& s : r.run->usage) {
+      for (const UsageSample& s : report.run->usage) {
         const ResourceUsage& u = s.dispatchers[d];
-        cpu += u.cpuSeconds >= last ? u.cpuSeconds - last : u.cpuSeconds;  // a new process counts from nought
+        // A restarted process counts its CPU time from 0 again.
+        cpu += u.cpuSeconds >= last ? u.cpuSeconds - last : u.cpuSeconds;
         last = u.cpuSeconds;
         memory = std::max(memory, u.residentMegabytes);
         descriptors = std::max(descriptors, u.descriptors);
@@ -386,60 +406,66 @@
   return result.dump(2) + "\n";
 }
 
-std::string writeReport(const RunReport& r, const std::string& folder, const std::string& experimentText) {
+std::string writeReport(const RunReport& report, const std::string& folder,
+                        const std::string& experimentText) {
   fs::create_directories(folder);
   openForWriting(folder + "/experiment.toml") << experimentText;
-  openForWriting(folder + "/result.json") << resultText(r);
-  saveTrace(r.trace, folder);
+  openForWriting(folder + "/result.json") << resultText(report);
+  saveTrace(report.trace, folder);
   std::ofstream series = openForWriting(folder + "/series.csv");
   series << "from_s,due,completed,refused,ended,launches,gain,gain_due,p50_ms,p99_ms\n";
-  for (const RunSummary::Slice& s : r.summary.series) {
-    series << s.startsAt / kSecond << ',' << s.due << ',' << s.completed << ',' << s.rejected << ','
+  for (const RunSummary::Slice& s : report.summary.series) {
+    series << s.startsAt / kMillisPerSecond << ',' << s.due << ',' << s.completed << ',' << s.rejected << ','
            << s.ended << ',' << s.attempts << ',' << s.deliveredWeight << ',' << s.dueWeight << ',' << s.p50
            << ',' << s.p99 << '\n';
   }
-  if (r.run != nullptr) {
+  if (report.run != nullptr) {
     std::ofstream usage = openForWriting(folder + "/resources.csv");
     usage << "at_s,dispatcher,cpu_s,resident_mb,descriptors,disk_kb\n";
-    for (const UsageSample& s : r.run->usage) {
+    for (const UsageSample& s : report.run->usage) {
       for (std::size_t d = 0; d < s.dispatchers.size(); ++d) {
         const ResourceUsage& u = s.dispatchers[d];
-        usage << s.at / kSecond << ',' << d << ',' << u.cpuSeconds << ',' << u.residentMegabytes << ','
-              << u.descriptors << ',' << u.diskKilobytes << '\n';
+        usage << s.at / kMillisPerSecond << ',' << d << ',' << u.cpuSeconds << ',' << u.residentMegabytes
+              << ',' << u.descriptors << ',' << u.diskKilobytes << '\n';
       }
     }
   }
   std::string omitted;
   std::vector<std::string> svgs;
-  auto figures = figuresOf(r);
+  auto figures = figuresOf(report);
   for (std::size_t n = 0; n < figures.size(); ++n) {
     std::string name = "plot" + std::to_string(n + 1) + ".svg";
     if (draw(figures[n], folder + "/" + name)) {
       svgs.push_back(name);
     } else {
-      omitted = "The plots are left out: gnuplot could not be run (Debian's package gnuplot-nox).";
+      omitted =
+          "The plots are omitted because gnuplot could not draw them (it is in Debian's package "
+          "gnuplot-nox).";
     }
   }
   std::ofstream html = openForWriting(folder + "/report.html");
-  writeHtml(r, svgs, omitted, html);
-  if (!html.flush() || !series.flush()) throw ConfigError("no room to write the report in " + folder);
+  writeHtml(report, svgs, omitted, html);
+  if (!html.flush() || !series.flush())
+    throw ConfigError("cannot write report.html or series.csv completely in " + folder);
   return omitted;
 }
 
 std::string tableOf(const std::vector<SummaryRow>& rows) {
   std::string text =
-      "                         gain kept  completed  in time  refused    shed  given up  launches  p50 ms  "
-      "p99 ms  broken\n";
+      "                         weight share  completed  in objective  rejected    shed  failed  "
+      "attempts/msg  "
+      "p50 ms  p99 ms  violations\n";
   for (const SummaryRow& row : rows) {
-    const RunSummary& t = row.summary;
-    double due = std::max<double>(1, static_cast<double>(t.due));
+    const RunSummary& summary = row.summary;
+    double due = std::max<double>(1, static_cast<double>(summary.due));
     char line[240];
     std::snprintf(
-        line, sizeof line, "%-24s %9.4f  %9.4f  %7.4f  %7llu  %6llu  %8llu  %8.3f  %6.1f  %6.1f  %6zu\n",
-        row.name.c_str(), t.deliveredWeightShare(), static_cast<double>(t.completed) / due,
-        static_cast<double>(t.withinObjective) / due, static_cast<unsigned long long>(t.rejected),
-        static_cast<unsigned long long>(t.shed), static_cast<unsigned long long>(t.failed),
-        static_cast<double>(t.attempts) / due, t.deliveryLatency.p50, t.deliveryLatency.p99, row.violations);
+        line, sizeof line, "%-24s %12.4f  %9.4f  %12.4f  %8llu  %6llu  %6llu  %12.3f  %6.1f  %6.1f  %10zu\n",
+        row.name.c_str(), summary.deliveredWeightShare(), static_cast<double>(summary.completed) / due,
+        static_cast<double>(summary.withinObjective) / due, static_cast<unsigned long long>(summary.rejected),
+        static_cast<unsigned long long>(summary.shed), static_cast<unsigned long long>(summary.failed),
+        static_cast<double>(summary.attempts) / due, summary.deliveryLatency.p50, summary.deliveryLatency.p99,
+        row.violations);
     text += line;
   }
   return text;
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -10,35 +10,36 @@
 
 namespace stonewing::lab {
 
-// One line of a report: the same day by one policy or build.
+// One row of a report's table: the same experiment and seed under one policy or build.
 struct SummaryRow {
   std::string name;
   RunSummary summary;
-  std::size_t violations{0};
+  std::size_t violations{0};  // of the audit's rules
 };
 
 struct RunReport {
   const Experiment& experiment;
   std::uint64_t seed{};
-  std::string mode;  // "sockets" or "model", and by what
+  std::string mode;  // "sockets", or "model" with the name of the policy
   const Trace& trace;
   RunSummary summary;
   std::vector<RuleViolation> violations;
-  std::vector<SummaryRow> comparisons;  // the model, the baselines
-  const RunResult* run{nullptr};        // of a day on sockets
+  std::vector<SummaryRow> comparisons;  // runs of the model and the baselines
+  const RunResult* run{nullptr};        // of a run on sockets; null for one in the model
 };
 
-// Writes result.json, series.csv, the trace, resources.csv and report.html with its plots into a folder,
-// which is made where it is missing. Returns what was left out and why, empty where nothing was.
+// Writes experiment.toml (experimentText as it is), result.json, series.csv, the trace, report.html with its
+// plots and, for a run on sockets, resources.csv. Creates the folder if it is missing. Returns a sentence on
+// the plots that were omitted and why; empty if none were. Throws ConfigError with the path that cannot be
+// written.
 std::string writeReport(const RunReport& report, const std::string& folder,
                         const std::string& experimentText);
 
-// The figures alone, as JSON text.
+// The content of result.json.
 std::string resultText(const RunReport& report);
-// A table of rows for a terminal.
+// A text table for a terminal: a head and one line for each row.
 std::string tableOf(const std::vector<SummaryRow>& rows);
 
-// Draws lines over x; false where gnuplot cannot be run.
 struct Line {
   std::string title;
   std::vector<std::pair<double, double>> points;
@@ -49,8 +50,9 @@
   bool zeroLine{false};
   bool dots{false};
   std::vector<Line> lines;
-  std::vector<std::pair<double, double>> shaded;  // spans of x
+  std::vector<std::pair<double, double>> shaded;  // intervals of x, such as those of faults
 };
+// Draws the figure with gnuplot as an SVG file. Returns false if gnuplot cannot be run or writes no file.
 bool draw(const Figure& figure, const std::string& svgPath);
 
 }  // namespace stonewing::lab
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -10,6 +10,7 @@
 
 namespace stonewing::lab {
 
+// Resource usage of all dispatchers at one time, in ms since the start of the run.
 struct UsageSample {
   Millis at{};
   std::vector<ResourceUsage> dispatchers;
@@ -18,24 +19,30 @@
 struct RunResult {
   Trace trace;
   std::vector<UsageSample> usage;
-  std::vector<std::string> crashes;
-  Millis maxLag{0};  // of our own load, against when messages were due
-  bool interrupted{false};
-  Millis endedAt{0};  // how far the day was played
+  std::vector<std::string> crashes;  // a sentence for each dispatcher that exited unexpectedly
+  Millis maxLag{0};                  // the longest delay from the due time of a message to its first command
+  bool interrupted{false};           // by SIGINT or SIGTERM
+  Millis endedAt{0};                 // when the run ended, in ms since its start
 };
 
 struct RunOptions {
-  std::string binary;  // the dispatcher
-  std::string folder;  // of the run: a sub-folder for each dispatcher
-  std::function<void(Millis at, std::size_t events)> progress;  // about once a second; may be empty
+  std::string binary;  // path of the dispatcher's program
+  std::string folder;  // gets a sub-folder for each dispatcher
+  // Called about once a second with the time since the start and the events so far; may be empty.
+  std::function<void(Millis at, std::size_t events)> progress;
 };
 
-// One experiment on loopback: the world and the load in this process, the dispatchers as processes of their
-// own. SIGINT and SIGTERM end it early, with what was seen so far; no process is left behind.
+// Runs one experiment on loopback: endpoints, platform and clients in this process, each dispatcher as a
+// child process. SIGINT and SIGTERM end the run early, and the result then holds the events until that time.
+// All dispatchers have ended when this returns. Throws std::runtime_error with the path of the log if a
+// dispatcher does not start, and std::system_error if a system call fails.
 RunResult runOnSockets(const Experiment& experiment, std::uint64_t seed, const RunOptions& options);
 
-// The world alone, or the load alone, until interrupted or the plan's end.
+// Runs the endpoints and the platform alone until SIGINT or SIGTERM. Writes a configuration for each
+// dispatcher below the folder, prints how to start it, and saves the trace in the folder at the end.
 void serveEnvironment(const Experiment& experiment, std::uint64_t seed, const std::string& folder);
+// Runs the clients alone against the dispatchers at the given addresses, until no message is due and none
+// awaits a response, the experiment's end, SIGINT or SIGTERM.
 RunResult generateLoad(const Experiment& experiment, std::uint64_t seed,
                        const std::vector<std::string>& dispatchers,
                        const std::function<void(Millis, std::size_t)>& progress);
