--- a/src/lab/admission_scenario.cpp
+++ b/src/lab/admission_scenario.cpp
@@ -21,7 +21,7 @@
 
 struct Command {
   std::uint32_t message{};
-  Millis at{};  // when it reached the socket
+  Millis at{};  // when it arrived at the socket
 };
 
 struct Verdict {
@@ -29,15 +29,16 @@
   Millis retryAfter{0};
 };
 
-// What decides on a command as it is read.
+// Decides whether a command is accepted at the time when the loop reads it.
 class AdmissionStrategy {
  public:
   virtual ~AdmissionStrategy() = default;
+  // queued: how long the command lay unread in the socket. turnWork: work of the present turn so far.
   virtual Verdict decide(Millis now, Millis queued, int inFlight, Millis turnWork) = 0;
-  virtual void recordResponse(Millis, Millis) {}           // how long a command took from socket to answer
-  virtual void recordTurn(Millis, Millis, std::size_t) {}  // its work, and the commands still unread
-  virtual void recordFinished(Millis) {}
-  // Whether a client may send at all; only a gate that hands out credits says no.
+  virtual void recordResponse(Millis, Millis) {}  // now; latency from arrival at the socket to response
+  virtual void recordTurn(Millis, Millis, std::size_t) {}  // now; work of the turn; commands still unread
+  virtual void recordFinished(Millis) {}                   // now
+  // Whether a client may send a command now. Only a strategy with credits returns false.
   virtual bool maySend(Millis) { return true; }
 };
 
@@ -46,7 +47,7 @@
   Verdict decide(Millis, Millis, int inFlight, Millis) override { return {inFlight < kMaxInFlight, 0}; }
 };
 
-// The dispatcher's own, as it is.
+// The dispatcher's own admission control, the same code as in production.
 class DispatcherAdmission final : public AdmissionStrategy {
  public:
   explicit DispatcherAdmission(std::uint64_t seed)
@@ -62,7 +63,8 @@
   AdmissionController admission_;
 };
 
-// CoDel (RFC 8289) over the time that a command lay unread, where a drop is a refusal.
+// CoDel (RFC 8289) on the time that a command waited unread in the socket. A drop is a rejection of the
+// command.
 class CoDel final : public AdmissionStrategy {
  public:
   Verdict decide(Millis now, Millis queued, int inFlight, Millis) override {
@@ -92,8 +94,8 @@
   int count_{0};
 };
 
-// Credits as Breakwater hands them out: a client sends only with one, and their number follows the delay.
-// Idealised: clients learn of them at once and for nothing.
+// Credits as in Breakwater: a client needs a credit for each command, and the number of credits follows the
+// queueing delay. The model favours this strategy, since clients learn of new credits without delay or cost.
 class Credits final : public AdmissionStrategy {
  public:
   Verdict decide(Millis, Millis, int inFlight, Millis) override { return {inFlight < kMaxInFlight, 0}; }
@@ -123,8 +125,8 @@
   Millis nextAt_{0};
 };
 
-// A limit on commands that are in and unanswered, that follows the gradient of their delay, as in adaptive
-// concurrency limits.
+// An adaptive concurrency limit: a limit on the commands that are accepted and not yet answered, which
+// follows the gradient of the response latency.
 class Gradient final : public AdmissionStrategy {
  public:
   Verdict decide(Millis, Millis, int inFlight, Millis) override {
@@ -138,7 +140,8 @@
     double wanted = limit_ * gradient + std::sqrt(limit_);
     limit_ = std::clamp(limit_ + 0.2 * (wanted - limit_), 16.0, 2000.0);
   }
-  void recordTurn(Millis, Millis, std::size_t) override { accepted_ = 0; }  // all that was read is answered
+  // All commands that were read have been answered.
+  void recordTurn(Millis, Millis, std::size_t) override { accepted_ = 0; }
 
  private:
   double limit_{100};
@@ -152,15 +155,16 @@
   if (name == "codel") return std::make_unique<CoDel>();
   if (name == "credits") return std::make_unique<Credits>();
   if (name == "gradient") return std::make_unique<Gradient>();
-  std::string known;
-  for (const std::string& n : admissionStrategyNames()) known += (known.empty() ? "" : ", ") + n;
-  throw ConfigError("there is no gate '" + name + "'; there are " + known);
+  std::string allowed;
+  for (const std::string& allowedName : admissionStrategyNames())
+    allowed += (allowed.empty() ? "" : ", ") + allowedName;
+  throw ConfigError("unknown admission strategy '" + name + "'; allowed: " + allowed);
 }
 
 struct Client {
   Millis due{};
   int attempts{0};
-  Millis sentAt{-1};  // it waits for an answer since then; -1: it does not
+  Millis sentAt{-1};  // when the command was sent that awaits a response; -1: none does
   bool acknowledged{false};
   bool accepted{false};
   bool failed{false};
@@ -215,7 +219,7 @@
   static constexpr Millis kTail = 8000;
   static constexpr std::size_t kMaxCommandsPerTurn = 4096;
 
-  // One turn of the loop: what has come is read, and answered at its end.
+  // One turn of the loop: commands that have arrived are read, and answered at the end of the turn.
   void runLoopTurn() {
     Millis began = now_;
     std::vector<std::pair<Command, Verdict>> verdicts;
@@ -229,10 +233,11 @@
     for (std::size_t n = 0; n < commandCount; ++n) {
       Command command = unread_.front();
       unread_.pop_front();
-      // Whose client has left by then is refused unseen, as the dispatcher does.
-      bool left = !clientStillWaits(command);
+      // A command whose client has timed out is rejected without a decision of the strategy, as in the
+      // dispatcher.
+      bool clientTimedOut = !clientStillWaits(command);
       Verdict verdict =
-          left ? Verdict{false, 0} : strategy_->decide(began, began - command.at, inFlight_, work);
+          clientTimedOut ? Verdict{false, 0} : strategy_->decide(began, began - command.at, inFlight_, work);
       work += scenario_.readCost + (verdict.accept ? scenario_.acceptCost : scenario_.rejectCost);
       if (verdict.accept) ++inFlight_;
       verdicts.emplace_back(command, verdict);
@@ -244,22 +249,22 @@
   }
 
   bool clientStillWaits(const Command& command) const {
-    const Client& c = clients_[command.message];
-    return c.sentAt >= 0 && std::abs(c.sentAt - command.at) < 1e-9;
+    const Client& client = clients_[command.message];
+    return client.sentAt >= 0 && std::abs(client.sentAt - command.at) < 1e-9;
   }
 
   void respond(const Command& command, const Verdict& verdict) {
-    Client& c = clients_[command.message];
+    Client& client = clients_[command.message];
     if (verdict.accept) {
       completions_.push_back(now_ + scenario_.endpointLatency);
-      if (std::exchange(c.accepted, true)) ++result_.duplicated;
+      if (std::exchange(client.accepted, true)) ++result_.duplicated;
     }
     strategy_->recordResponse(now_, now_ - command.at);
     if (!clientStillWaits(command)) return;
-    c.sentAt = -1;
+    client.sentAt = -1;
     latencies_.push_back(now_ - command.at);
     if (verdict.accept) {
-      c.acknowledged = true;
+      client.acknowledged = true;
       return;
     }
     ++result_.rejected;
@@ -269,34 +274,34 @@
   }
 
   void scheduleRetry(std::uint32_t message, Millis delay) {
-    Client& c = clients_[message];
-    if (++c.attempts > scenario_.retries) {
-      c.failed = true;
+    Client& client = clients_[message];
+    if (++client.attempts > scenario_.retries) {
+      client.failed = true;
       return;
     }
-    clientEvents_.push({now_ + delay, message, false, c.attempts});
+    clientEvents_.push({now_ + delay, message, false, client.attempts});
   }
 
   void runClientsUntil(Millis until) {
     while (!clientEvents_.empty() && clientEvents_.top().at <= until) {
-      ClientEvent d = clientEvents_.top();
+      ClientEvent event = clientEvents_.top();
       clientEvents_.pop();
-      Client& c = clients_[d.message];
-      if (c.acknowledged || c.failed || d.attempt != c.attempts) continue;
-      Millis loopTime = std::exchange(now_, d.at);
-      if (d.isTimeout) {
-        if (c.sentAt >= 0) {
-          c.sentAt = -1;
+      Client& client = clients_[event.message];
+      if (client.acknowledged || client.failed || event.attempt != client.attempts) continue;
+      Millis loopTime = std::exchange(now_, event.at);
+      if (event.isTimeout) {
+        if (client.sentAt >= 0) {
+          client.sentAt = -1;
           ++result_.unanswered;
-          scheduleRetry(d.message, 0);
+          scheduleRetry(event.message, 0);
         }
       } else if (strategy_->maySend(now_)) {
-        c.sentAt = now_;
-        unread_.push_back({d.message, now_});
-        clientEvents_.push({now_ + scenario_.clientTimeout, d.message, true, d.attempt});
+        client.sentAt = now_;
+        unread_.push_back({event.message, now_});
+        clientEvents_.push({now_ + scenario_.clientTimeout, event.message, true, event.attempt});
       } else {
         ++result_.rejected;
-        scheduleRetry(d.message, scenario_.retryDelay * (0.5 + uniform(randomEngine_)));
+        scheduleRetry(event.message, scenario_.retryDelay * (0.5 + uniform(randomEngine_)));
       }
       now_ = loopTime;
     }
@@ -304,23 +309,24 @@
 
   AdmissionResult finish() {
     std::sort(latencies_.begin(), latencies_.end());
-    auto at = [&](double q) {
+    auto quantile = [&](double q) {
       return latencies_.empty()
                  ? 0.0
                  : latencies_[static_cast<std::size_t>(q * static_cast<double>(latencies_.size() - 1))];
     };
-    result_.p50 = at(0.5);
-    result_.p99 = at(0.99);
+    result_.p50 = quantile(0.5);
+    result_.p99 = quantile(0.99);
     std::uint64_t inSurge = 0, acknowledgedInSurge = 0;
     std::vector<bool> lossIn(static_cast<std::size_t>(scenario_.duration / 100) + 1);
-    for (const Client& c : clients_) {
+    for (const Client& client : clients_) {
       ++result_.due;
-      result_.acknowledged += c.acknowledged;
-      if (c.due >= scenario_.surgeFrom && c.due < scenario_.surgeUntil) {
+      result_.acknowledged += client.acknowledged;
+      if (client.due >= scenario_.surgeFrom && client.due < scenario_.surgeUntil) {
         ++inSurge;
-        acknowledgedInSurge += c.acknowledged;
+        acknowledgedInSurge += client.acknowledged;
       }
-      if (!c.acknowledged) lossIn[std::min(lossIn.size() - 1, static_cast<std::size_t>(c.due / 100))] = true;
+      if (!client.acknowledged)
+        lossIn[std::min(lossIn.size() - 1, static_cast<std::size_t>(client.due / 100))] = true;
     }
     result_.acknowledgedInSurge =
         inSurge == 0 ? 1 : static_cast<double>(acknowledgedInSurge) / static_cast<double>(inSurge);
@@ -351,8 +357,8 @@
 }  // namespace
 
 const std::vector<std::string>& admissionStrategyNames() {
-  static const std::vector<std::string> names{"none", "work", "codel", "credits", "gradient"};
-  return names;
+  static const std::vector<std::string> kNames{"none", "work", "codel", "credits", "gradient"};
+  return kNames;
 }
 
 AdmissionResult runAdmissionScenario(const AdmissionScenario& scenario, const std::string& strategy) {
@@ -361,11 +367,12 @@
 
 std::string tableOf(const std::vector<AdmissionResult>& rows) {
   std::string text =
-      "gate       kept    in surge  doubled  refused  unanswered  p50 ms   p99 ms   calm after ms\n";
+      "strategy  acknowledged  in surge  duplicated  rejected  unanswered   p50 ms    p99 ms  recovery ms\n";
   for (const AdmissionResult& r : rows) {
     char line[200];
     std::snprintf(
-        line, sizeof line, "%-9s %.4f  %.4f  %8llu %8llu %11llu %7.2f %8.1f  %8.0f\n", r.strategy.c_str(),
+        line, sizeof line, "%-8s  %12.4f  %8.4f  %10llu  %8llu  %10llu  %7.2f  %8.1f  %11.0f\n",
+        r.strategy.c_str(),
         static_cast<double>(r.acknowledged) / static_cast<double>(std::max<std::uint64_t>(1, r.due)),
         r.acknowledgedInSurge, static_cast<unsigned long long>(r.duplicated),
         static_cast<unsigned long long>(r.rejected), static_cast<unsigned long long>(r.unanswered), r.p50,
--- a/src/lab/arrival_model.cpp
+++ b/src/lab/arrival_model.cpp
@@ -17,36 +17,38 @@
   this->drawNextArrival();
 }
 
-// Draws the next time at which messages are due, with what is due then.
+// Draws the next time at which messages are due, and the messages that are due then.
 void ArrivalModel::drawNextArrival() {
-  const LoadSettings& l = experiment_.load;
+  const LoadSettings& load = experiment_.load;
   drawnUntil_ = arrivalProcess_.next(drawnUntil_, randomEngine_);
   allDrawn_ = drawnUntil_ >= experiment_.duration;
   if (allDrawn_) return;
-  // A clump counts as many times as it is large, so clumps start less often than single ones.
-  double clumps = l.clumpShare / std::max(1, l.clumpSize);
-  bool clump = l.clumpShare > 0 && uniform(randomEngine_) < clumps / (clumps + 1 - l.clumpShare);
+  // clumpShare is a share of messages. A clump holds clumpSize of them, so the share of arrivals that are
+  // clumps is smaller than clumpShare.
+  double clumpStartsPerMessage = load.clumpShare / std::max(1, load.clumpSize);
+  bool clump = load.clumpShare > 0 &&
+               uniform(randomEngine_) < clumpStartsPerMessage / (clumpStartsPerMessage + 1 - load.clumpShare);
   int destination = destinations_.pick(randomEngine_);
   double surge = arrivalProcess_.surgeShare(drawnUntil_);
-  for (int n = 0; n < (clump ? l.clumpSize : 1); ++n) {
-    SubmittedMessage c;
-    c.origin = static_cast<std::uint32_t>(trace_.messages.size());
-    auto at = std::upper_bound(cumulativeTypeShares_.begin(), cumulativeTypeShares_.end(),
-                               uniform(randomEngine_) * cumulativeTypeShares_.back());
-    c.type = static_cast<std::uint16_t>(
-        std::min(at - cumulativeTypeShares_.begin(), std::ssize(cumulativeTypeShares_) - 1));
-    c.destination = static_cast<std::uint16_t>(destination);
+  for (int n = 0; n < (clump ? load.clumpSize : 1); ++n) {
+    SubmittedMessage message;
+    message.origin = static_cast<std::uint32_t>(trace_.messages.size());
+    auto chosen = std::upper_bound(cumulativeTypeShares_.begin(), cumulativeTypeShares_.end(),
+                                   uniform(randomEngine_) * cumulativeTypeShares_.back());
+    message.type = static_cast<std::uint16_t>(
+        std::min(chosen - cumulativeTypeShares_.begin(), std::ssize(cumulativeTypeShares_) - 1));
+    message.destination = static_cast<std::uint16_t>(destination);
     bool surging = surge > 0 && uniform(randomEngine_) < surge / (1 + surge);
-    c.tenant = static_cast<std::uint16_t>(surging ? l.surgeTenant
-                                                  : static_cast<int>(uniform(randomEngine_) * l.tenants));
-    const TrafficTypeSettings& type = experiment_.types[c.type];
+    message.tenant = static_cast<std::uint16_t>(
+        surging ? load.surgeTenant : static_cast<int>(uniform(randomEngine_) * load.tenants));
+    const TrafficTypeSettings& type = experiment_.types[message.type];
     if (type.orderingKeyCount > 0)
-      c.key = 1 + static_cast<std::uint32_t>(uniform(randomEngine_) * type.orderingKeyCount);
-    c.due = drawnUntil_;
-    trace_.messages.push_back(c);
+      message.key = 1 + static_cast<std::uint32_t>(uniform(randomEngine_) * type.orderingKeyCount);
+    message.due = drawnUntil_;
+    trace_.messages.push_back(message);
     resubmissions_.push_back(0);
     isResubmission_.push_back(false);
-    pending_.push({drawnUntil_, c.origin});
+    pending_.push({drawnUntil_, message.origin});
   }
 }
 
@@ -57,7 +59,8 @@
 }
 
 std::optional<std::uint32_t> ArrivalModel::nextDue(Millis now) {
-  // What was due first comes first, and all that is planned up to then is known.
+  // Draws arrivals until all that precede the first pending message are known, so that messages are returned
+  // in the order of their due times.
   while (!allDrawn_ && drawnUntil_ <= now && (pending_.empty() || drawnUntil_ <= pending_.top().at))
     drawNextArrival();
   if (pending_.empty() || pending_.top().at > now) return std::nullopt;
@@ -67,24 +70,25 @@
 }
 
 Millis ArrivalModel::timeLeft(std::uint32_t message, Millis now) const {
-  const SubmittedMessage& c = trace_.messages[message];
-  return c.due + experiment_.types[c.type].settings.deadlineAfter - now;
+  const SubmittedMessage& submitted = trace_.messages[message];
+  return submitted.due + experiment_.types[submitted.type].settings.deadlineAfter - now;
 }
 
 void ArrivalModel::scheduleResubmission(Millis at, std::uint32_t message) {
-  SubmittedMessage c = trace_.messages[message];
+  SubmittedMessage resubmitted = trace_.messages[message];
   if (timeLeft(message, at) <= 0) return;
-  auto id = static_cast<std::uint32_t>(trace_.messages.size());
-  trace_.messages.push_back(c);
+  auto index = static_cast<std::uint32_t>(trace_.messages.size());
+  trace_.messages.push_back(resubmitted);
   resubmissions_.push_back(resubmissions_[message]);
   isResubmission_.push_back(true);
-  pending_.push({at, id});
+  pending_.push({at, index});
 }
 
-void ArrivalModel::recordRejection(Millis now, std::uint32_t message, Millis wait) {
+void ArrivalModel::recordRejection(Millis now, std::uint32_t message, Millis retryAfter) {
   if (resubmissions_[message] >= experiment_.load.retries) return;
   ++resubmissions_[message];
-  Millis delay = wait > 0 ? wait : experiment_.load.retryDelay * (0.5 + uniform(retryRandomEngine_));
+  Millis delay =
+      retryAfter > 0 ? retryAfter : experiment_.load.retryDelay * (0.5 + uniform(retryRandomEngine_));
   scheduleResubmission(now + delay, message);
 }
 
--- a/src/lab/arrival_model.h
+++ b/src/lab/arrival_model.h
@@ -9,26 +9,31 @@
 #include "lab/random_draws.h"
 #include "lab/trace.h"
 
-// The clients as one: which messages are due when, and when they come again. The day that is due is drawn
-// from the seed alone, so that it is the same whatever the dispatchers do; comings-again have chance of their
-// own. A message's time counts from when it was due.
+// The clients' decisions: which messages are due when, and when a client submits one again. The messages that
+// are due and their times are drawn from the seed alone and don't depend on what the dispatchers do, so that
+// runs with the same seed can be compared. Retry delays are drawn from a random engine of their own for that
+// reason. The deadline of a message counts from the time when it was first due. Times are ms since the start
+// of the run.
 namespace stonewing::lab {
 
 class ArrivalModel {
  public:
   ArrivalModel(const Experiment& experiment, std::uint64_t seed, Trace& trace);
 
-  // When the next one is to be handed in; no value: none is left.
+  // When the next message is to be submitted; no value if none is left.
   std::optional<Millis> due() const;
-  // The next that is due by now, as its place in the trace's messages.
+  // The next message that is due by now, as its index in the messages of the trace; no value if none is due.
   std::optional<std::uint32_t> nextDue(Millis now);
-  // How long a message may still be delivered.
+  // The time until the deadline of a message, negative after the deadline.
   Millis timeLeft(std::uint32_t message, Millis now) const;
   bool isResubmission(std::uint32_t message) const { return isResubmission_[message]; }
 
-  // Refused by -BUSY, or shed later; wait 0 where no time was told.
-  void recordRejection(Millis now, std::uint32_t message, Millis wait);
-  // No answer in the client's patience: handed in elsewhere at once.
+  // A message was rejected with -BUSY, or was accepted and shed later. It is submitted again after retryAfter
+  // ms or, if that is 0, after a random delay around load.retryDelay, unless its retries are used up or its
+  // deadline comes first.
+  void recordRejection(Millis now, std::uint32_t message, Millis retryAfter);
+  // The client had no response within kClientTimeout, or its connection ended. It submits the message again
+  // at once, at least one time even where load.retries is 0.
   void recordTimeout(Millis now, std::uint32_t message);
 
   static constexpr Millis kClientTimeout = 400;
--- a/src/lab/dispatcher_process.cpp
+++ b/src/lab/dispatcher_process.cpp
@@ -47,17 +47,19 @@
   pid_t pid = ::fork();
   if (pid < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (pid == 0) {
-    // Ended with us, whatever becomes of us, and not by a Ctrl-C that is meant for us.
+    // The dispatcher must not outlive this program, even if the program is killed: the kernel then sends
+    // SIGKILL. If the program ended before that was set, the child exits here. The process group of its own
+    // keeps a Ctrl-C on the terminal, which is meant for this program, from the dispatcher.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(127);
     ::setpgid(0, 0);
-    sigset_t none;
-    sigemptyset(&none);
-    ::sigprocmask(SIG_SETMASK, &none, nullptr);
-    int out = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    if (out >= 0) {
-      ::dup2(out, 1);
-      ::dup2(out, 2);
+    sigset_t emptySet;
+    sigemptyset(&emptySet);
+    ::sigprocmask(SIG_SETMASK, &emptySet, nullptr);
+    int logFile = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
+    if (logFile >= 0) {
+      ::dup2(logFile, 1);
+      ::dup2(logFile, 2);
     }
     if (!preload_.empty()) {
       ::setenv("LD_PRELOAD", preload_.c_str(), 1);
@@ -98,14 +100,14 @@
   int status = 0;
   if (::waitpid(pid_, &status, WNOHANG) != pid_) return true;
   pid_ = -1;
-  bool good = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-  if (!good && !exitExpected_) crashed_ = true;
+  bool succeeded = WIFEXITED(status) && WEXITSTATUS(status) == 0;
+  if (!succeeded && !exitExpected_) crashed_ = true;
   return false;
 }
 
 ResourceUsage DispatcherProcess::usage() const {
-  ResourceUsage u;
-  if (pid_ <= 0) return u;
+  ResourceUsage resources;
+  if (pid_ <= 0) return resources;
   std::string proc = "/proc/" + std::to_string(pid_);
   std::ifstream stat(proc + "/stat");
   std::string text;
@@ -115,43 +117,43 @@
   for (int n = 0; n < 11; ++n) fields >> skipped;
   double user = 0, system = 0;
   fields >> user >> system;
-  u.cpuSeconds = (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+  resources.cpuSeconds = (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
   std::ifstream statm(proc + "/statm");
   double total = 0, resident = 0;
   statm >> total >> resident;
-  u.residentMegabytes = resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
+  resources.residentMegabytes = resident * static_cast<double>(::sysconf(_SC_PAGESIZE)) / 1e6;
   std::error_code error;
-  for (auto at = fs::directory_iterator(proc + "/fd", error); !error && at != fs::directory_iterator();
-       at.increment(error)) {
-    ++u.descriptors;
+  for (auto entry = fs::directory_iterator(proc + "/fd", error); !error && entry != fs::directory_iterator();
+       entry.increment(error)) {
+    ++resources.descriptors;
   }
-  for (auto at = fs::directory_iterator(folder_ + "/state", error); !error && at != fs::directory_iterator();
-       at.increment(error)) {
+  for (auto entry = fs::directory_iterator(folder_ + "/state", error);
+       !error && entry != fs::directory_iterator(); entry.increment(error)) {
     std::error_code sizeError;
-    auto size = at->file_size(sizeError);
-    if (!sizeError) u.diskKilobytes += static_cast<double>(size) / 1000;
+    auto size = entry->file_size(sizeError);
+    if (!sizeError) resources.diskKilobytes += static_cast<double>(size) / 1000;
   }
-  return u;
+  return resources;
 }
 
 std::string configurationOf(const Experiment& experiment, int dispatcher, const std::string& listen,
                             const std::string& discovery, const std::string& state,
                             const std::string& endpointList) {
-  constexpr double kSecond = 1000;
+  constexpr double kMillisPerSecond = 1000;
   json types = json::array();
-  for (const TrafficTypeSettings& t : experiment.types) {
-    json row{{"name", t.name},
-             {"aim-s", t.settings.latencyObjective / kSecond},
-             {"deadline-s", t.settings.deadlineAfter / kSecond},
-             {"importance", t.settings.priorityWeight},
-             {"late-worth", t.settings.lateWeightShare},
-             {"keep-order", t.settings.ordered}};
-    row["effect"] = t.settings.idempotency == Idempotency::idempotent          ? "safe"
-                    : t.settings.idempotency == Idempotency::idempotentWithKey ? "keyed"
-                                                                               : "unsafe";
-    if (t.settings.idempotency == Idempotency::idempotentWithKey) {
-      row["group"] = t.settings.deduplicationScope == DeduplicationScope::zone ? "zone" : "all";
-      row["repeat-window-s"] = t.settings.deduplicationWindow / kSecond;
+  for (const TrafficTypeSettings& type : experiment.types) {
+    json row{{"name", type.name},
+             {"aim-s", type.settings.latencyObjective / kMillisPerSecond},
+             {"deadline-s", type.settings.deadlineAfter / kMillisPerSecond},
+             {"importance", type.settings.priorityWeight},
+             {"late-worth", type.settings.lateWeightShare},
+             {"keep-order", type.settings.ordered}};
+    row["effect"] = type.settings.idempotency == Idempotency::idempotent          ? "safe"
+                    : type.settings.idempotency == Idempotency::idempotentWithKey ? "keyed"
+                                                                                  : "unsafe";
+    if (type.settings.idempotency == Idempotency::idempotentWithKey) {
+      row["group"] = type.settings.deduplicationScope == DeduplicationScope::zone ? "zone" : "all";
+      row["repeat-window-s"] = type.settings.deduplicationWindow / kMillisPerSecond;
     }
     types.push_back(row);
   }
@@ -181,17 +183,17 @@
                   {"cancel", deployment.mayCancel},
                   {"probes", deployment.mayHealthCheck},
                   {"retry-after", deployment.mayAdviseRetryAfter},
-                  {"max-retry-after-s", deployment.maxRetryAfter / kSecond},
-                  {"conn-idle-s", deployment.connectionIdleTimeout / kSecond},
-                  {"connect-timeout-s", experiment.fleet.connectTimeout / kSecond}}},
+                  {"max-retry-after-s", deployment.maxRetryAfter / kMillisPerSecond},
+                  {"conn-idle-s", deployment.connectionIdleTimeout / kMillisPerSecond},
+                  {"connect-timeout-s", experiment.fleet.connectTimeout / kMillisPerSecond}}},
                 {"rules",
                  {{"cold-from", deployment.slowStartInitialShare},
-                  {"cold-s", deployment.slowStartDuration / kSecond},
+                  {"cold-s", deployment.slowStartDuration / kMillisPerSecond},
                   {"fall-multiple", deployment.overloadThreshold},
-                  {"fall-s", deployment.overloadWindow / kSecond},
-                  {"drain-grace-s", experiment.environment.drainGrace / kSecond},
-                  {"answer-slack-s", experiment.environment.answerSlack / kSecond},
-                  {"order-pause-s", deployment.orderingPause / kSecond}}}};
+                  {"fall-s", deployment.overloadWindow / kMillisPerSecond},
+                  {"drain-grace-s", experiment.environment.drainGrace / kMillisPerSecond},
+                  {"answer-slack-s", experiment.environment.answerSlack / kMillisPerSecond},
+                  {"order-pause-s", deployment.orderingPause / kMillisPerSecond}}}};
   if (experiment.environment.reportsLoad) settings["report"] = {{"fields", {"x1"}}};
   char seed[20];
   std::snprintf(
@@ -221,7 +223,7 @@
                        {"slots", failover.spilloverRequestShare},
                        {"per_s", failover.spilloverPerSecond}}},
                      {"return",
-                      {{"climb_s", failover.recoveryRampDuration / kSecond},
+                      {{"climb_s", failover.recoveryRampDuration / kMillisPerSecond},
                        {"from", failover.recoveryRampInitialShare}}}};
   }
   if (experiment.fleet.separateJournalWriter) file["journal"] = {{"writer", "aside"}};
--- a/src/lab/load_generator.cpp
+++ b/src/lab/load_generator.cpp
@@ -18,16 +18,16 @@
 namespace stonewing::lab {
 namespace {
 
-constexpr Millis kRefusedDispatcherPause =
-    100;  // a connection that was refused is not tried again for so long
+// A dispatcher that refused a connection gets no new one for this long.
+constexpr Millis kRefusedDispatcherPause = 100;
 constexpr std::size_t kMaxResponseBytes = 64 * 1024;
 constexpr std::size_t kBodyBytes = 120;
 constexpr Millis kPingInterval = 25;
 
-// What a command is answered.
+// The dispatcher's response to a SUBMIT command.
 struct CommandResponse {
   TraceEventType type{TraceEventType::failed};
-  Millis retryAfter{0};
+  Millis retryAfter{0};  // of a rejection; 0: the response has none
 };
 
 CommandResponse parseResponse(const redisReply& reply) {
@@ -51,13 +51,13 @@
     redisReaderFree(reader_);
   }
   bool open() {
-    auto to = parseAddress(generator_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
-    if (!to) return false;
+    auto address = parseAddress(generator_.dispatchers_[static_cast<std::size_t>(dispatcher)]);
+    if (!address) return false;
     fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd_ < 0) return false;
     int on = 1;
     ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    if (::connect(fd_, reinterpret_cast<sockaddr*>(&*to), sizeof *to) != 0 && errno != EINPROGRESS)
+    if (::connect(fd_, reinterpret_cast<sockaddr*>(&*address), sizeof *address) != 0 && errno != EINPROGRESS)
       return false;
     return generator_.loop_.watch(fd_, *this);
   }
@@ -84,7 +84,7 @@
     }
     if (out_.write(fd_) == WriteBuffer::WriteResult::broken) return generator_.connectionEnded(*this, false);
     std::string in;
-    ReadResult got = readAvailable(fd_, in, kMaxResponseBytes);
+    ReadResult readResult = readAvailable(fd_, in, kMaxResponseBytes);
     redisReaderFeed(reader_, in.data(), in.size());
     for (;;) {
       void* raw = nullptr;
@@ -96,13 +96,13 @@
       handleResponse(response);
       if (fd_ < 0) return;
     }
-    if (got == ReadResult::endOfStream || got == ReadResult::broken)
+    if (readResult == ReadResult::endOfStream || readResult == ReadResult::broken)
       return generator_.connectionEnded(*this, false);
-    if (got == ReadResult::more) generator_.loop_.reschedule(fd_);
+    if (readResult == ReadResult::more) generator_.loop_.reschedule(fd_);
   }
   void handleResponse(const CommandResponse& response) {
     if (onPong) return std::exchange(onPong, {})();
-    if (!awaitingResponse) return;  // nobody waits for it
+    if (!awaitingResponse) return;  // no command awaits it
     awaitingResponse = false;
     --generator_.awaitingResponse_;
     generator_.trace_.events.push_back({.at = generator_.clock_.now(),
@@ -119,7 +119,8 @@
   int dispatcher;
   bool awaitingResponse{false};
   std::uint32_t message{0};
-  std::uint64_t commandNumber{0};  // of its commands, so that an old patience ends no newer one
+  // Number of the last command, so that the timeout of an earlier one does not end it.
+  std::uint64_t commandNumber{0};
   std::function<void()> onPong;
 
  private:
@@ -151,8 +152,8 @@
   submitDue();
 }
 
-void LoadGenerator::recordShed(std::uint32_t message, Millis wait) {
-  arrivalModel_.recordRejection(clock_.now(), message, wait);
+void LoadGenerator::recordShed(std::uint32_t message, Millis retryAfter) {
+  arrivalModel_.recordRejection(clock_.now(), message, retryAfter);
   submitDue();
 }
 
@@ -167,23 +168,24 @@
 }
 
 std::string LoadGenerator::submitCommand(std::uint32_t message) const {
-  const SubmittedMessage& c = trace_.messages[message];
-  const TrafficTypeSettings& type = experiment_.types[c.type];
+  const SubmittedMessage& submitted = trace_.messages[message];
+  const TrafficTypeSettings& type = experiment_.types[submitted.type];
   char key[20];
-  std::snprintf(key, sizeof key, "%016x", c.key);
+  std::snprintf(key, sizeof key, "%016x", submitted.key);
   char fields[200];
-  std::snprintf(fields, sizeof fields, "c=%s,t=tenant-%u,d=%.0f,dest=%u", type.name.c_str(), c.tenant,
-                std::max(0.0, std::floor(arrivalModel_.timeLeft(message, clock_.now()))), c.destination);
-  std::string list = fields;
+  std::snprintf(fields, sizeof fields, "c=%s,t=tenant-%u,d=%.0f,dest=%u", type.name.c_str(), submitted.tenant,
+                std::max(0.0, std::floor(arrivalModel_.timeLeft(message, clock_.now()))),
+                submitted.destination);
+  std::string attributes = fields;
   if (type.settings.idempotency == Idempotency::idempotentWithKey)
-    list += ",k=" + EmulatedServers::messageReference(c.origin);
-  if (arrivalModel_.isResubmission(message)) list += ",r=1";
-  std::string ref = EmulatedServers::messageReference(message);
-  std::string body = "callback " + ref + " " + padding_;
-  const char* words[] = {"SUBMIT", key, ref.c_str(), list.c_str(), body.data()};
-  std::size_t lengths[] = {6, 16, ref.size(), list.size(), body.size()};
+    attributes += ",k=" + EmulatedServers::messageReference(submitted.origin);
+  if (arrivalModel_.isResubmission(message)) attributes += ",r=1";
+  std::string reference = EmulatedServers::messageReference(message);
+  std::string body = "callback " + reference + " " + padding_;
+  const char* arguments[] = {"SUBMIT", key, reference.c_str(), attributes.c_str(), body.data()};
+  std::size_t lengths[] = {6, 16, reference.size(), attributes.size(), body.size()};
   char* bytes = nullptr;
-  auto length = redisFormatCommandArgv(&bytes, 5, words, lengths);
+  auto length = redisFormatCommandArgv(&bytes, 5, arguments, lengths);
   std::string text(bytes, static_cast<std::size_t>(length));
   redisFreeCommand(bytes);
   return text;
@@ -192,7 +194,7 @@
 void LoadGenerator::submit(std::uint32_t message) {
   Millis now = clock_.now();
   if (arrivalModel_.timeLeft(message, now) <= 0) return;
-  for (std::size_t n = 0; n < dispatchers_.size(); ++n) {
+  for (std::size_t tried = 0; tried < dispatchers_.size(); ++tried) {
     std::size_t d = nextDispatcher_++ % dispatchers_.size();
     if (avoidUntil_[d] > now) continue;
     ClientConnection* connection = nullptr;
@@ -215,8 +217,8 @@
 
 void LoadGenerator::sendCommand(ClientConnection& connection, std::uint32_t message) {
   Millis now = clock_.now();
-  const SubmittedMessage& c = trace_.messages[message];
-  if (c.origin == message) maxLag_ = std::max(maxLag_, now - c.due);
+  const SubmittedMessage& submitted = trace_.messages[message];
+  if (submitted.origin == message) maxLag_ = std::max(maxLag_, now - submitted.due);
   trace_.events.push_back({.at = now,
                            .type = TraceEventType::submitted,
                            .message = message,
@@ -230,7 +232,7 @@
   timers_.schedule(
       loop_.now() + ArrivalModel::kClientTimeout, [this, sender = &connection, commandNumber, message] {
         auto found = std::find_if(connections_.begin(), connections_.end(),
-                                  [&](const auto& l) { return l.get() == sender; });
+                                  [&](const auto& candidate) { return candidate.get() == sender; });
         if (found == connections_.end() || !sender->awaitingResponse ||
             sender->commandNumber != commandNumber || sender->message != message)
           return;
@@ -251,7 +253,7 @@
     --awaitingResponse_;
     std::uint32_t message = connection.message;
     if (connectRefused) {
-      // Never handed in: the front deals it to another.
+      // The dispatcher has not received the command, so the client submits it to another one in 1 ms.
       arrivalModel_.recordRejection(clock_.now(), message, 1);
       trace_.events.push_back(
           {.at = clock_.now(), .type = TraceEventType::failed, .message = message, .status = 1});
@@ -266,12 +268,12 @@
 
 void LoadGenerator::removeConnection(ClientConnection& connection) {
   for (auto& pool : idleConnections_) std::erase(pool, &connection);
-  auto at = std::find_if(connections_.begin(), connections_.end(),
-                         [&](const auto& l) { return l.get() == &connection; });
-  if (at == connections_.end()) return;
+  auto position = std::find_if(connections_.begin(), connections_.end(),
+                               [&](const auto& candidate) { return candidate.get() == &connection; });
+  if (position == connections_.end()) return;
   connection.close();
-  loop_.deferDeletion(std::move(*at));
-  connections_.erase(at);
+  loop_.deferDeletion(std::move(*position));
+  connections_.erase(position);
 }
 
 void LoadGenerator::whenReady(int dispatcher, std::function<void()> onReady) {
@@ -289,9 +291,9 @@
   }
   timers_.schedule(loop_.now() + kPingInterval, [this, pinged, done, dispatcher, onReady] {
     if (*done) return;
-    auto at = std::find_if(connections_.begin(), connections_.end(),
-                           [&](const auto& l) { return l.get() == pinged; });
-    if (at != connections_.end() && pinged->onPong) removeConnection(*pinged);
+    auto position = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](const auto& candidate) { return candidate.get() == pinged; });
+    if (position != connections_.end() && pinged->onPong) removeConnection(*pinged);
     whenReady(dispatcher, onReady);
   });
 }
--- a/src/lab/load_generator.h
+++ b/src/lab/load_generator.h
@@ -15,8 +15,9 @@
 
 namespace stonewing::lab {
 
-// The clients on sockets, open loop: a message goes out when it is due, whether or not an earlier one was
-// answered. Answers are read by hiredis, a RESP2 parser that is not the dispatcher's.
+// The clients on sockets. The load is open loop: each message is sent when it is due, whether or not earlier
+// ones were answered. Responses are parsed by hiredis, a RESP2 parser that is independent of the
+// dispatcher's.
 class LoadGenerator {
  public:
   LoadGenerator(EventLoop& loop, TimerQueue& timers, const ExperimentClock& clock,
@@ -24,14 +25,16 @@
                 std::vector<std::string> dispatchers);
   ~LoadGenerator();
 
-  // Hands in from now on.
+  // Starts to submit messages; before this call none is sent.
   void start();
-  // Whether a dispatcher answers PING; tries until it does, then calls back once.
+  // Sends PING to a dispatcher again and again until it answers, then calls onReady once.
   void whenReady(int dispatcher, std::function<void()> onReady);
-  // The platform had a notice of a shed message.
-  void recordShed(std::uint32_t message, Millis wait);
+  // The platform was notified that a message was shed. The client submits it again after retryAfter ms, or
+  // after a delay of its own if retryAfter is 0.
+  void recordShed(std::uint32_t message, Millis retryAfter);
+  // Whether no message is left to submit and no command awaits a response.
   bool done() const { return started_ && !arrivalModel_.due() && awaitingResponse_ == 0; }
-  // How late commands went out against when they were due, at the worst.
+  // The longest delay in ms from the due time of a message to its first command.
   Millis maxLag() const { return maxLag_; }
   std::size_t connectionCount() const { return connections_.size(); }
 
@@ -53,7 +56,7 @@
   std::vector<std::string> dispatchers_;
   std::list<std::unique_ptr<ClientConnection>> connections_;
   std::vector<std::vector<ClientConnection*>> idleConnections_;  // by dispatcher
-  std::vector<Millis> avoidUntil_;                               // a front notices a dead one
+  std::vector<Millis> avoidUntil_;  // by dispatcher; its connections were refused, so it is not tried before
   std::size_t nextDispatcher_{0};
   std::size_t awaitingResponse_{0};
   bool started_{false};
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,4 +1,4 @@
-// The laboratory's command line.
+// The command line of the testbed, stonewing_lab.
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
@@ -25,11 +25,12 @@
 using stonewing::Error;
 namespace fs = std::filesystem;
 
+// Exit code of a run in which a rule of the audit was violated or a dispatcher crashed.
 constexpr int kRuleViolated = 2;
 
 std::string textOf(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw ConfigError("cannot read " + path);
+  if (!in) throw ConfigError("cannot open experiment file for reading: " + path);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -52,20 +53,23 @@
 };
 
 std::string siblingProgram(const char* name) {
-  std::error_code none;
-  fs::path own = fs::read_symlink("/proc/self/exe", none);
+  std::error_code ignored;
+  fs::path ownPath = fs::read_symlink("/proc/self/exe", ignored);
   for (const fs::path& folder :
-       {own.parent_path(), own.parent_path().parent_path().parent_path(), fs::path("build")}) {
-    if (fs::exists(folder / name, none)) return (folder / name).string();
+       {ownPath.parent_path(), ownPath.parent_path().parent_path().parent_path(), fs::path("build")}) {
+    if (fs::exists(folder / name, ignored)) return (folder / name).string();
   }
-  throw ConfigError(std::string("the program ") + name + " was not found; name it with --dispatcher");
+  throw ConfigError(std::string("program ") + name +
+                    " was found neither beside stonewing_lab nor two folders above it nor in ./build; "
+                    "pass its path with --dispatcher");
 }
 
-std::uint64_t seedOf(const Options& c, const Experiment& experiment) {
-  return c.seed >= 0 ? static_cast<std::uint64_t>(c.seed) : experiment.seed;
+std::uint64_t seedOf(const Options& options, const Experiment& experiment) {
+  return options.seed >= 0 ? static_cast<std::uint64_t>(options.seed) : experiment.seed;
 }
 
-// On a terminal alone: a pipe gets the results and nothing else.
+// Reports progress on stderr if stderr is a terminal. Otherwise the function is empty, so that redirected
+// output holds the results alone.
 std::function<void(stonewing::Millis, std::size_t)> progressOf(const Experiment& experiment) {
   if (::isatty(2) == 0) return {};
   return [&experiment](stonewing::Millis at, std::size_t events) {
@@ -104,47 +108,50 @@
   return report.violations.empty() && !crashed ? 0 : kRuleViolated;
 }
 
-int model(const Options& c) {
-  int code = 0;
-  for (const std::string& file : c.files) {
-    Experiment experiment = readExperimentFile(file, c.changes);
-    std::uint64_t seed = seedOf(c, experiment);
+int model(const Options& options) {
+  int exitCode = 0;
+  for (const std::string& file : options.files) {
+    Experiment experiment = readExperimentFile(file, options.changes);
+    std::uint64_t seed = seedOf(options, experiment);
     ModelCost cost;
-    auto began = std::chrono::steady_clock::now();
-    Trace trace = runModel(experiment, seed, c.policy, &cost);
-    double spent = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+    auto startedAt = std::chrono::steady_clock::now();
+    Trace trace = runModel(experiment, seed, options.policy, &cost);
+    double elapsedSeconds =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - startedAt).count();
     RunReport report{experiment,
                      seed,
-                     "model, " + c.policy,
+                     "model, " + options.policy,
                      trace,
                      summarize(experiment, trace),
                      audit(experiment, trace),
                      {},
                      nullptr};
-    if (c.baselines) {
+    if (options.baselines) {
       for (const std::string& name : policyNames()) {
-        if (name != c.policy) report.comparisons.push_back(summarizeModel(experiment, seed, name));
+        if (name != options.policy) report.comparisons.push_back(summarizeModel(experiment, seed, name));
       }
     }
-    code = std::max(code, printReport(report, c, textOf(file)));
-    if (!c.json) std::printf("%llu steps in %.2f s\n", static_cast<unsigned long long>(cost.steps), spent);
+    exitCode = std::max(exitCode, printReport(report, options, textOf(file)));
+    if (!options.json)
+      std::printf("%llu model steps in %.2f s\n", static_cast<unsigned long long>(cost.steps),
+                  elapsedSeconds);
   }
-  return code;
+  return exitCode;
 }
 
-int run(const Options& c) {
-  int code = 0;
-  for (const std::string& file : c.files) {
-    Experiment experiment = readExperimentFile(file, c.changes);
-    std::uint64_t seed = seedOf(c, experiment);
-    RunOptions options;
-    options.binary = c.dispatcher.empty() ? siblingProgram("stonewing") : c.dispatcher;
-    options.folder =
-        (c.out.empty() ? fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))
-                       : fs::path(c.out) / (c.files.size() > 1 ? experiment.name : ""))
+int run(const Options& options) {
+  int exitCode = 0;
+  for (const std::string& file : options.files) {
+    Experiment experiment = readExperimentFile(file, options.changes);
+    std::uint64_t seed = seedOf(options, experiment);
+    RunOptions runOptions;
+    runOptions.binary = options.dispatcher.empty() ? siblingProgram("stonewing") : options.dispatcher;
+    runOptions.folder =
+        (options.out.empty() ? fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))
+                             : fs::path(options.out) / (options.files.size() > 1 ? experiment.name : ""))
             .string();
-    options.progress = progressOf(experiment);
-    RunResult result = runOnSockets(experiment, seed, options);
+    runOptions.progress = progressOf(experiment);
+    RunResult result = runOnSockets(experiment, seed, runOptions);
     RunReport report{experiment,
                      seed,
                      "sockets",
@@ -154,25 +161,25 @@
                      {},
                      &result};
     report.comparisons.push_back(summarizeModel(experiment, seed, "ours"));
-    if (c.baselines) {
+    if (options.baselines) {
       for (const std::string& name : policyNames()) {
         if (name != "ours") report.comparisons.push_back(summarizeModel(experiment, seed, name));
       }
     }
-    code = std::max(code, printReport(report, c, textOf(file)));
-    if (c.out.empty()) fs::remove_all(options.folder);
+    exitCode = std::max(exitCode, printReport(report, options, textOf(file)));
+    if (options.out.empty()) fs::remove_all(runOptions.folder);
     if (result.interrupted) return 130;
   }
-  return code;
+  return exitCode;
 }
 
-int auditFolder(const Options& c) {
-  Experiment experiment = readExperimentFile(c.files.front() + "/experiment.toml");
-  Trace trace = loadTrace(c.files.front());
+int auditFolder(const Options& options) {
+  Experiment experiment = readExperimentFile(options.files.front() + "/experiment.toml");
+  Trace trace = loadTrace(options.files.front());
   auto violations = audit(experiment, trace);
-  for (const RuleViolation& b : violations) std::cout << describe(b, trace);
-  std::cout << (violations.empty() ? "no rule broken" : std::to_string(violations.size()) + " breaks") << ", "
-            << trace.messages.size() << " callbacks, " << trace.events.size() << " events\n";
+  for (const RuleViolation& violation : violations) std::cout << describe(violation, trace);
+  std::cout << (violations.empty() ? "no violations" : std::to_string(violations.size()) + " violations")
+            << ", " << trace.messages.size() << " messages, " << trace.events.size() << " events\n";
   return violations.empty() ? 0 : kRuleViolated;
 }
 
@@ -183,60 +190,62 @@
   double violations{0};
 };
 
-ComparedFigures figuresOf(const RunSummary& t, std::size_t violations) {
-  return {t.deliveredWeightShare(), t.deliveryLatency.p99,
-          static_cast<double>(t.attempts) / std::max<double>(1, static_cast<double>(t.due)),
+ComparedFigures figuresOf(const RunSummary& summary, std::size_t violations) {
+  return {summary.deliveredWeightShare(), summary.deliveryLatency.p99,
+          static_cast<double>(summary.attempts) / std::max<double>(1, static_cast<double>(summary.due)),
           static_cast<double>(violations)};
 }
 
-// One day by another build of the laboratory.
-ComparedFigures byOtherLab(const std::string& lab, const std::string& file, std::uint64_t seed,
-                           const std::string& policy) {
+// The figures of one run in the model of another build of stonewing_lab, which is started as a child process.
+ComparedFigures figuresFromOtherLab(const std::string& lab, const std::string& file, std::uint64_t seed,
+                                    const std::string& policy) {
   std::string command =
       "'" + lab + "' model '" + file + "' --json --seed " + std::to_string(seed) + " --policy " + policy;
-  std::FILE* from = ::popen(command.c_str(), "r");
-  if (from == nullptr) throw ConfigError("cannot run " + lab);
+  std::FILE* output = ::popen(command.c_str(), "r");
+  if (output == nullptr) throw ConfigError("cannot start the other build " + lab);
   std::string text;
   char chunk[4096];
-  for (std::size_t n; (n = std::fread(chunk, 1, sizeof chunk, from)) > 0;) text.append(chunk, n);
-  ::pclose(from);
+  for (std::size_t n; (n = std::fread(chunk, 1, sizeof chunk, output)) > 0;) text.append(chunk, n);
+  ::pclose(output);
   auto result = nlohmann::json::parse(text, nullptr, false);
-  if (!result.is_object()) throw ConfigError(lab + " gave no result for " + file);
-  const auto& r = result.at("result");
-  return {r.at("gain_share"), r.at("delivery").at("p99_ms"),
-          r.at("launches").get<double>() / std::max(1.0, r.at("due").get<double>()),
+  if (!result.is_object()) throw ConfigError(lab + " printed no JSON object as its result for " + file);
+  const auto& figures = result.at("result");
+  return {figures.at("gain_share"), figures.at("delivery").at("p99_ms"),
+          figures.at("launches").get<double>() / std::max(1.0, figures.at("due").get<double>()),
           static_cast<double>(result.at("broken").size())};
 }
 
-int compare(const Options& c) {
-  const std::string& fileA = c.files.front();
-  const std::string& fileB = c.files.back();
-  Experiment experimentA = readExperimentFile(fileA, c.changes);
-  std::vector<std::string> changesB = c.changes;
-  changesB.insert(changesB.end(), c.otherChanges.begin(), c.otherChanges.end());
+int compare(const Options& options) {
+  const std::string& fileA = options.files.front();
+  const std::string& fileB = options.files.back();
+  Experiment experimentA = readExperimentFile(fileA, options.changes);
+  std::vector<std::string> changesB = options.changes;
+  changesB.insert(changesB.end(), options.otherChanges.begin(), options.otherChanges.end());
   Experiment experimentB = readExperimentFile(fileB, changesB);
-  std::string policyB = c.otherPolicy.empty() ? c.policy : c.otherPolicy;
+  std::string policyB = options.otherPolicy.empty() ? options.policy : options.otherPolicy;
   std::vector<ComparedFigures> a, b;
-  std::uint64_t first = seedOf(c, experimentA);
+  std::uint64_t first = seedOf(options, experimentA);
   auto measure = [&](const Experiment& experiment, const std::string& file, const std::string& policy,
                      const std::string& lab, const std::string& dispatcher, std::uint64_t seed) {
-    if (c.sockets) {
-      RunOptions options;
-      options.binary = dispatcher.empty() ? siblingProgram("stonewing") : dispatcher;
-      options.folder = (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
-      RunResult result = runOnSockets(experiment, seed, options);
-      fs::remove_all(options.folder);
+    if (options.sockets) {
+      RunOptions runOptions;
+      runOptions.binary = dispatcher.empty() ? siblingProgram("stonewing") : dispatcher;
+      runOptions.folder =
+          (fs::temp_directory_path() / ("stonewing-lab-" + std::to_string(::getpid()))).string();
+      RunResult result = runOnSockets(experiment, seed, runOptions);
+      fs::remove_all(runOptions.folder);
       if (result.interrupted) throw ConfigError("interrupted");
       return figuresOf(summarize(experiment, result.trace), audit(experiment, result.trace).size());
     }
-    if (!lab.empty()) return byOtherLab(lab, file, seed, policy);
+    if (!lab.empty()) return figuresFromOtherLab(lab, file, seed, policy);
     Trace trace = runModel(experiment, seed, policy);
     return figuresOf(summarize(experiment, trace), audit(experiment, trace).size());
   };
-  for (int n = 0; n < c.seeds; ++n) {  // interleaved, so that what the machine does strikes both
-    a.push_back(
-        measure(experimentA, fileA, c.policy, "", c.dispatcher, first + static_cast<std::uint64_t>(n)));
-    b.push_back(measure(experimentB, fileB, policyB, c.otherLab, c.otherDispatcher,
+  // A and B take turns, so that other load on the machine affects both alike.
+  for (int n = 0; n < options.seeds; ++n) {
+    a.push_back(measure(experimentA, fileA, options.policy, "", options.dispatcher,
+                        first + static_cast<std::uint64_t>(n)));
+    b.push_back(measure(experimentB, fileB, policyB, options.otherLab, options.otherDispatcher,
                         first + static_cast<std::uint64_t>(n)));
   }
   auto column = [](const std::vector<ComparedFigures>& rows, double ComparedFigures::*field) {
@@ -244,142 +253,172 @@
     for (const ComparedFigures& f : rows) all.push_back(f.*field);
     return all;
   };
-  std::printf("%d paired days; B less A, with the interval of 95 in 100\n", c.seeds);
-  struct Kind {
+  std::printf("%d paired runs; difference B - A with its 95%% bootstrap interval\n", options.seeds);
+  struct Metric {
     const char* name;
     double ComparedFigures::*field;
-    bool more;
+    bool moreIsBetter;
   };
   std::string verdict;
   Figure figure{
-      "B less A, gain kept, day by day", "day", "difference", false, true, true, {{"days", {}}}, {}};
-  for (const Kind& k : {Kind{"gain kept", &ComparedFigures::deliveredWeightShare, true},
-                        Kind{"p99 ms", &ComparedFigures::p99, false},
-                        Kind{"launches each", &ComparedFigures::attemptsPerMessage, false},
-                        Kind{"rules broken", &ComparedFigures::violations, false}}) {
-    auto as = column(a, k.field);
-    auto bs = column(b, k.field);
-    Difference d = paired(as, bs);
-    std::printf("%-14s %+10.4f  [%+.4f, %+.4f]  %s\n", k.name, d.mean, d.low, d.high, d.verdict(k.more));
-    if (k.field == &ComparedFigures::deliveredWeightShare) {
-      verdict = d.verdict(true);
-      for (std::size_t n = 0; n < as.size(); ++n) figure.lines[0].points.emplace_back(n + 1, bs[n] - as[n]);
+      "Delivered weight share, B - A, by run", "day", "difference", false, true, true, {{"days", {}}}, {}};
+  for (const Metric& metric : {Metric{"weight share", &ComparedFigures::deliveredWeightShare, true},
+                               Metric{"p99 ms", &ComparedFigures::p99, false},
+                               Metric{"attempts/msg", &ComparedFigures::attemptsPerMessage, false},
+                               Metric{"violations", &ComparedFigures::violations, false}}) {
+    auto valuesA = column(a, metric.field);
+    auto valuesB = column(b, metric.field);
+    Difference difference = paired(valuesA, valuesB);
+    std::printf("%-14s %+10.4f  [%+.4f, %+.4f]  %s\n", metric.name, difference.mean, difference.low,
+                difference.high, difference.verdict(metric.moreIsBetter));
+    if (metric.field == &ComparedFigures::deliveredWeightShare) {
+      verdict = difference.verdict(true);
+      for (std::size_t n = 0; n < valuesA.size(); ++n)
+        figure.lines[0].points.emplace_back(n + 1, valuesB[n] - valuesA[n]);
     }
   }
-  std::printf("verdict: B is %s\n", verdict == "cannot tell" ? "not told apart from A" : verdict.c_str());
-  if (!c.out.empty()) {
-    fs::create_directories(c.out);
-    if (draw(figure, c.out + "/compare.svg")) std::printf("plot: %s/compare.svg\n", c.out.c_str());
+  std::printf("verdict: B is %s\n",
+              verdict == "cannot tell" ? "not distinguishable from A" : verdict.c_str());
+  if (!options.out.empty()) {
+    fs::create_directories(options.out);
+    if (draw(figure, options.out + "/compare.svg"))
+      std::printf("plot: %s/compare.svg\n", options.out.c_str());
   }
   return 0;
 }
 
-int loadAlone(const Options& c) {
-  Experiment experiment = readExperimentFile(c.files.front(), c.changes);
-  RunResult result = generateLoad(experiment, seedOf(c, experiment), c.addresses, progressOf(experiment));
-  RunSummary t = summarize(experiment, result.trace);
+int runLoadOnly(const Options& options) {
+  Experiment experiment = readExperimentFile(options.files.front(), options.changes);
+  RunResult result =
+      generateLoad(experiment, seedOf(options, experiment), options.addresses, progressOf(experiment));
+  RunSummary summary = summarize(experiment, result.trace);
   std::uint64_t accepted = 0;
   for (const TraceEvent& e : result.trace.events) accepted += e.type == TraceEventType::accepted ? 1 : 0;
   std::printf(
-      "%llu due, %llu taken, %llu refused, %llu unanswered in %.2f s; answers p50 %.2f p99 %.2f p99.9 %.2f "
-      "ms; sent %.1f ms late at the worst\n",
-      static_cast<unsigned long long>(t.due), static_cast<unsigned long long>(accepted),
-      static_cast<unsigned long long>(t.rejected), static_cast<unsigned long long>(t.unanswered),
-      result.endedAt / 1000, t.responseLatency.p50, t.responseLatency.p99, t.responseLatency.p999,
-      result.maxLag);
+      "%llu due, %llu accepted, %llu rejected, %llu unanswered in %.2f s; response latency p50 %.2f p99 %.2f "
+      "p99.9 %.2f ms; first commands at most %.1f ms after the due time\n",
+      static_cast<unsigned long long>(summary.due), static_cast<unsigned long long>(accepted),
+      static_cast<unsigned long long>(summary.rejected), static_cast<unsigned long long>(summary.unanswered),
+      result.endedAt / 1000, summary.responseLatency.p50, summary.responseLatency.p99,
+      summary.responseLatency.p999, result.maxLag);
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"stonewing_lab plays days of trouble against dispatchers and says what came of them"};
+  CLI::App app{
+      "stonewing_lab runs experiments with injected faults against dispatchers and reports the results"};
   app.require_subcommand(1);
-  Options c;
-  auto files = [&](CLI::App* sub, int least, int most) {
-    sub->add_option("experiment", c.files, "experiment files (TOML; docs/lab.md)")
+  Options options;
+  auto addCommonOptions = [&](CLI::App* command, int minFiles, int maxFiles) {
+    command->add_option("experiment", options.files, "experiment files (TOML; docs/lab.md)")
         ->required()
-        ->expected(least, most)
+        ->expected(minFiles, maxFiles)
         ->check(CLI::ExistingPath);
-    sub->add_option("--seed", c.seed, "in place of the file's")
+    command->add_option("--seed", options.seed, "seed to use instead of the experiment file's")
         ->check(CLI::Range(std::int64_t{0}, std::int64_t{1} << 52));
-    sub->add_option("--set", c.changes, "table.key=value in place of the file's, as often as needed")
+    command
+        ->add_option("--set", options.changes,
+                     "table.key=value that overrides the experiment file; may be given several times")
         ->allow_extra_args(false);
-    sub->add_option("--out", c.out, "folder for the report");
+    command->add_option("--out", options.out, "folder that the report is written to; created if missing");
   };
-  auto* runs =
-      app.add_subcommand("run", "on sockets: starts the world, the load and the dispatchers, and judges");
-  files(runs, 1, 1000);
-  runs->add_option("--dispatcher", c.dispatcher,
-                   "the program under test (default: stonewing beside this one)")
+  auto* runCommand = app.add_subcommand(
+      "run", "runs experiments on sockets against dispatcher processes and audits the recorded events");
+  addCommonOptions(runCommand, 1, 1000);
+  runCommand
+      ->add_option("--dispatcher", options.dispatcher,
+                   "the dispatcher program to test (default: stonewing beside this program)")
+      ->check(CLI::ExistingFile);
+  runCommand->add_flag("--baselines", options.baselines,
+                       "also run the baseline policies in the model, for comparison");
+  runCommand->add_flag("--json", options.json, "print only the result, as JSON");
+  auto* modelCommand = app.add_subcommand(
+      "model", "runs experiments in virtual time, in one process; the same seed gives the same result");
+  addCommonOptions(modelCommand, 1, 1000);
+  modelCommand->add_option("--policy", options.policy, "'ours' or the name of a baseline")
+      ->check(CLI::IsMember(policyNames()));
+  modelCommand->add_flag("--baselines", options.baselines, "also run all other policies, for comparison");
+  modelCommand->add_flag("--json", options.json, "print only the result, as JSON");
+  auto* compareCommand =
+      app.add_subcommand("compare", "compares two files, policies or builds, A and B, over the same seeds");
+  addCommonOptions(compareCommand, 1, 2);
+  compareCommand->add_option("--policy", options.policy, "policy of A")->check(CLI::IsMember(policyNames()));
+  compareCommand->add_option("--other-policy", options.otherPolicy, "policy of B")
+      ->check(CLI::IsMember(policyNames()));
+  compareCommand
+      ->add_option("--other-lab", options.otherLab, "run B in the model of this other build of stonewing_lab")
       ->check(CLI::ExistingFile);
-  runs->add_flag("--baselines", c.baselines, "plain policies in the model beside it");
-  runs->add_flag("--json", c.json, "the result alone, as JSON");
-  auto* models =
-      app.add_subcommand("model", "in virtual time, in one process; the same seed gives the same bytes");
-  files(models, 1, 1000);
-  models->add_option("--policy", c.policy, "ours or a baseline")->check(CLI::IsMember(policyNames()));
-  models->add_flag("--baselines", c.baselines, "the other policies beside it");
-  models->add_flag("--json", c.json, "the result alone, as JSON");
-  auto* compares = app.add_subcommand("compare", "two files, policies or builds over paired seeds");
-  files(compares, 1, 2);
-  compares->add_option("--policy", c.policy, "of A")->check(CLI::IsMember(policyNames()));
-  compares->add_option("--other-policy", c.otherPolicy, "of B")->check(CLI::IsMember(policyNames()));
-  compares->add_option("--other-lab", c.otherLab, "B in the model of another build of this program")
+  compareCommand
+      ->add_option("--other-set", options.otherChanges,
+                   "table.key=value that overrides the experiment file for B alone")
+      ->allow_extra_args(false);
+  compareCommand->add_flag("--sockets", options.sockets,
+                           "run dispatcher processes on sockets instead of the model");
+  compareCommand->add_option("--dispatcher", options.dispatcher, "dispatcher program of A with --sockets")
       ->check(CLI::ExistingFile);
-  compares->add_option("--other-set", c.otherChanges, "table.key=value for B alone")->allow_extra_args(false);
-  compares->add_flag("--sockets", c.sockets, "real dispatchers in place of the model");
-  compares->add_option("--dispatcher", c.dispatcher, "A on sockets")->check(CLI::ExistingFile);
-  compares->add_option("--other-dispatcher", c.otherDispatcher, "B on sockets")->check(CLI::ExistingFile);
-  compares->add_option("--seeds", c.seeds, "how many days")
+  compareCommand
+      ->add_option("--other-dispatcher", options.otherDispatcher, "dispatcher program of B with --sockets")
+      ->check(CLI::ExistingFile);
+  compareCommand->add_option("--seeds", options.seeds, "number of paired runs")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
-  auto* audits = app.add_subcommand("audit", "judges the recorded events of a report's folder anew");
-  audits->add_option("folder", c.files, "a folder that run or model wrote")
+  auto* auditCommand = app.add_subcommand("audit", "audits the recorded events in a report's folder again");
+  auditCommand->add_option("folder", options.files, "folder that was written by run or model with --out")
       ->required()
       ->expected(1)
       ->check(CLI::ExistingDirectory);
-  auto* worlds = app.add_subcommand("world", "the endpoints and the platform alone, until Ctrl-C");
-  files(worlds, 1, 1);
-  auto* loads = app.add_subcommand("load", "the clients alone, against dispatchers that run already");
-  files(loads, 1, 1);
-  loads->add_option("--to", c.addresses, "addresses of the dispatchers, such as 127.0.0.1:6379")->required();
-  auto* checks = app.add_subcommand("check", "reads experiment files and says what is wrong with them");
-  checks->add_option("experiment", c.files, "experiment files")->required();
+  auto* worldCommand =
+      app.add_subcommand("world", "runs the emulated endpoints and the platform alone, until Ctrl-C");
+  addCommonOptions(worldCommand, 1, 1);
+  auto* loadCommand =
+      app.add_subcommand("load", "runs the clients alone, against dispatchers that already run");
+  addCommonOptions(loadCommand, 1, 1);
+  loadCommand
+      ->add_option("--to", options.addresses, "addresses of the dispatchers, for instance 127.0.0.1:6379")
+      ->required();
+  auto* checkCommand = app.add_subcommand("check", "reads experiment files and reports their errors");
+  checkCommand->add_option("experiment", options.files, "experiment files")->required();
   AdmissionScenario scenario;
-  auto* gates =
-      app.add_subcommand("gates", "ways to turn callbacks away while the dispatcher itself is behind");
-  gates->add_option("--per-s", scenario.perSecond, "callbacks a second before the surge")
+  auto* gatesCommand =
+      app.add_subcommand("gates", "compares admission strategies of a dispatcher that is itself overloaded");
+  gatesCommand->add_option("--per-s", scenario.perSecond, "messages per second before the surge")
+      ->capture_default_str();
+  gatesCommand
+      ->add_option("--surge", scenario.surgeFactor, "factor of the message rate during the surge of 10 s")
+      ->capture_default_str();
+  gatesCommand->add_option("--stall-ms", scenario.stallDuration,
+                           "duration for which the event loop stalls, once, at 2 s; 0 for no stall");
+  gatesCommand->add_option("--retries", scenario.retries, "retries of a client for each message")
+      ->capture_default_str();
+  gatesCommand->add_option("--seed", scenario.seed, "seed of the random arrivals and retry delays")
       ->capture_default_str();
-  gates->add_option("--surge", scenario.surgeFactor, "times as many for 10 s")->capture_default_str();
-  gates->add_option("--stall-ms", scenario.stallDuration, "the loop stands still for so long, at 2 s");
-  gates->add_option("--retries", scenario.retries, "of a client")->capture_default_str();
-  gates->add_option("--seed", scenario.seed, "another day")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   try {
-    if (*runs) return run(c);
-    if (*models) return model(c);
-    if (*compares) return compare(c);
-    if (*audits) return auditFolder(c);
-    if (*loads) return loadAlone(c);
-    if (*gates) {
+    if (*runCommand) return run(options);
+    if (*modelCommand) return model(options);
+    if (*compareCommand) return compare(options);
+    if (*auditCommand) return auditFolder(options);
+    if (*loadCommand) return runLoadOnly(options);
+    if (*gatesCommand) {
       if (scenario.stallDuration > 0) scenario.stallAt = 2000;
       std::vector<AdmissionResult> rows;
       for (const std::string& name : admissionStrategyNames())
         rows.push_back(runAdmissionScenario(scenario, name));
       std::cout << tableOf(rows);
     }
-    if (*worlds) {
-      Experiment experiment = readExperimentFile(c.files.front(), c.changes);
-      std::string folder = c.out.empty() ? "lab-world" : c.out;
+    if (*worldCommand) {
+      Experiment experiment = readExperimentFile(options.files.front(), options.changes);
+      std::string folder = options.out.empty() ? "lab-world" : options.out;
       fs::create_directories(folder);
-      serveEnvironment(experiment, seedOf(c, experiment), folder);
+      serveEnvironment(experiment, seedOf(options, experiment), folder);
     }
-    if (*checks) {
-      for (const std::string& file : c.files) readExperimentFile(file);
+    if (*checkCommand) {
+      for (const std::string& file : options.files) readExperimentFile(file);
     }
-  } catch (const std::exception& problem) {
-    std::cerr << problem.what() << "\n";
+  } catch (const std::exception& error) {
+    std::cerr << error.what() << "\n";
     return 1;
   }
   return 0;
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -43,7 +43,7 @@
 
 std::ofstream openForWriting(const std::string& path) {
   std::ofstream out(path, std::ios::binary);
-  if (!out) throw ConfigError("cannot open " + path + " for writing");
+  if (!out) throw ConfigError("cannot open for writing: " + path);
   return out;
 }
 
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -27,24 +27,26 @@
 constexpr Millis kProgressInterval = 1000;
 constexpr Millis kStopTimeout = 4000;
 
-// SIGINT and SIGTERM as events of the loop.
+// Receives SIGINT and SIGTERM as events of the loop. Their default action would end this process before the
+// dispatchers are stopped and the result is returned. Also ignores SIGPIPE, so that a write to a closed
+// connection fails with EPIPE.
 class Interrupts : public EventHandler {
  public:
   explicit Interrupts(EventLoop& loop) : loop_(loop) {
-    sigset_t set;
-    sigemptyset(&set);
-    sigaddset(&set, SIGINT);
-    sigaddset(&set, SIGTERM);
-    ::sigprocmask(SIG_BLOCK, &set, &before_);
+    sigset_t stopSignals;
+    sigemptyset(&stopSignals);
+    sigaddset(&stopSignals, SIGINT);
+    sigaddset(&stopSignals, SIGTERM);
+    ::sigprocmask(SIG_BLOCK, &stopSignals, &previousMask_);
     ::signal(SIGPIPE, SIG_IGN);
-    fd_ = ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
+    fd_ = ::signalfd(-1, &stopSignals, SFD_NONBLOCK | SFD_CLOEXEC);
     if (fd_ < 0 || !loop.watch(fd_, *this))
       throw std::system_error(errno, std::generic_category(), "signalfd");
   }
   ~Interrupts() override {
     loop_.unwatch(fd_);
     ::close(fd_);
-    ::sigprocmask(SIG_SETMASK, &before_, nullptr);
+    ::sigprocmask(SIG_SETMASK, &previousMask_, nullptr);
   }
   void onEvents(std::uint32_t) override {
     signalfd_siginfo info;
@@ -55,21 +57,24 @@
  private:
   EventLoop& loop_;
   int fd_;
-  sigset_t before_{};
+  sigset_t previousMask_{};
 };
 
-// An address that nobody listens at, kept by its port alone: freed here, taken by the dispatcher.
+// A loopback address with a free port for a dispatcher to listen at. The port is chosen by binding a socket
+// that is closed again, so another process may bind the port before the dispatcher does.
 std::string freeAddress(int dispatcher) {
   std::string host = "127.0." + std::to_string(dispatcher + 1) + ".200";
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at = *parseAddress(host + ":1");
-  at.sin_port = 0;
-  socklen_t size = sizeof at;
-  bool good = fd >= 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 &&
-              ::getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) == 0;
+  sockaddr_in address = *parseAddress(host + ":1");
+  address.sin_port = 0;
+  socklen_t size = sizeof address;
+  bool bound = fd >= 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0 &&
+               ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0;
   if (fd >= 0) ::close(fd);
-  if (!good) throw std::system_error(errno, std::generic_category(), "no address for a dispatcher");
-  return host + ":" + std::to_string(ntohs(at.sin_port));
+  if (!bound)
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot bind a free loopback port for a dispatcher");
+  return host + ":" + std::to_string(ntohs(address.sin_port));
 }
 
 class SocketRun {
@@ -82,13 +87,13 @@
         endpointModel_(experiment, seed ^ 0x5bd1e995u, result_.trace),
         servers_(loop_, timers_, clock_, experiment, endpointModel_, result_.trace) {
     std::vector<std::string> addresses;
-    bool hangs = std::any_of(experiment.faults.begin(), experiment.faults.end(),
-                             [](const Fault& t) { return t.kind == FaultKind::diskHang; });
+    bool hasDiskHang = std::any_of(experiment.faults.begin(), experiment.faults.end(),
+                                   [](const Fault& fault) { return fault.kind == FaultKind::diskHang; });
     for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
       addresses.push_back(freeAddress(d));
       std::string folder = options.folder + "/n" + std::to_string(d);
       processes_.push_back(
-          std::make_unique<DispatcherProcess>(options.binary, folder, hangs ? STONEWING_HANG : ""));
+          std::make_unique<DispatcherProcess>(options.binary, folder, hasDiskHang ? STONEWING_HANG : ""));
       std::filesystem::remove(folder + "/state/journal");
       processes_.back()->configure(
           configurationOf(experiment, d, addresses.back(), servers_.discoveryAddress(d),
@@ -96,8 +101,8 @@
     }
     loadGenerator_ = std::make_unique<LoadGenerator>(loop_, timers_, clock_, experiment, arrivalModel_,
                                                      result_.trace, addresses);
-    servers_.onNotification = [this](std::uint32_t message, int result, Millis wait) {
-      if (result == 2) loadGenerator_->recordShed(message, wait);
+    servers_.onNotification = [this](std::uint32_t message, int result, Millis retryAfter) {
+      if (result == 2) loadGenerator_->recordShed(message, retryAfter);
     };
   }
 
@@ -108,16 +113,18 @@
       process(d).start();
       loadGenerator_->whenReady(d, [&ready] { ++ready; });
     }
-    Millis by = steadyNow() + kReadyTimeout;
+    Millis deadline = steadyNow() + kReadyTimeout;
     while (ready < experiment_.fleet.dispatchers && !interrupts_.received) {
       runLoopOnce();
       for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
         if (!process(d).running())
-          throw std::runtime_error("a dispatcher ended at its start; see " + process(d).folder() +
+          throw std::runtime_error("a dispatcher exited before it answered PING; see " + process(d).folder() +
                                    "/log.txt");
       }
-      if (loop_.now() > by)
-        throw std::runtime_error("a dispatcher did not answer PING; see " + process(0).folder() + "/log.txt");
+      if (loop_.now() > deadline)
+        throw std::runtime_error(
+            "not every dispatcher answered PING within the start-up timeout; see the log of the first, " +
+            process(0).folder() + "/log.txt");
     }
     begin();
     Millis end = experiment_.end();
@@ -141,9 +148,9 @@
     result_.trace.events.clear();
     clock_.epoch = steadyNow();
     for (int d = 0; d < experiment_.fleet.dispatchers; ++d) record(TraceEventType::dispatcherUp, d);
-    for (const Fault& t : experiment_.faults) {
-      timers_.schedule(clock_.epoch + t.from, [this, &t] { applyFault(t, true); });
-      timers_.schedule(clock_.epoch + t.until, [this, &t] { applyFault(t, false); });
+    for (const Fault& fault : experiment_.faults) {
+      timers_.schedule(clock_.epoch + fault.from, [this, &fault] { applyFault(fault, true); });
+      timers_.schedule(clock_.epoch + fault.until, [this, &fault] { applyFault(fault, false); });
     }
     sample();
     progress();
@@ -162,11 +169,11 @@
     loadGenerator_->whenReady(d, [this, d] { record(TraceEventType::dispatcherUp, d); });
   }
 
-  void applyFault(const Fault& t, bool begins) {
-    servers_.applyFault(t, begins);
-    std::vector<int> affected = t.dispatchers.empty() ? std::vector<int>{0} : t.dispatchers;
+  void applyFault(const Fault& fault, bool begins) {
+    servers_.applyFault(fault, begins);
+    std::vector<int> affected = fault.dispatchers.empty() ? std::vector<int>{0} : fault.dispatchers;
     for (int d : affected) {
-      switch (t.kind) {
+      switch (fault.kind) {
         case FaultKind::kill:
           process(d).expectExit();
           if (begins) process(d).signal(SIGKILL), record(TraceEventType::dispatcherDown, d);
@@ -178,13 +185,15 @@
           if (begins) {
             process(d).signal(SIGTERM);
             record(TraceEventType::dispatcherDown, d, 2);
+            // A dispatcher gets 3700 ms to drain after SIGTERM, and is restarted no earlier than that.
             timers_.schedule(loop_.now() + 3700, [this, d] {
               process(d).signal(SIGKILL);
               record(TraceEventType::dispatcherDown, d);
             });
           } else {
-            Millis after = std::max(0.0, 3700 - (t.until - t.from));
-            timers_.schedule(loop_.now() + after + experiment_.fleet.restartDelay, [this, d] { restart(d); });
+            Millis remaining = std::max(0.0, 3700 - (fault.until - fault.from));
+            timers_.schedule(loop_.now() + remaining + experiment_.fleet.restartDelay,
+                             [this, d] { restart(d); });
           }
           break;
         case FaultKind::stop:
@@ -203,16 +212,17 @@
     }
   }
 
-  // Nothing is owed any more: each message that was accepted has been delivered or ended by a notice.
+  // Whether all faults are over and each accepted message was delivered or the platform was notified of its
+  // end. Looks at the trace at most once in kSampleInterval, and returns false in between.
   bool allMessagesEnded() {
     if (loop_.now() < nextEndCheckAt_) return false;
     nextEndCheckAt_ = loop_.now() + kSampleInterval;
-    const Trace& t = result_.trace;
-    std::vector<bool> unfinished(t.messages.size(), false);
-    for (const TraceEvent& e : t.events) {
+    const Trace& trace = result_.trace;
+    std::vector<bool> unfinished(trace.messages.size(), false);
+    for (const TraceEvent& e : trace.events) {
       if (e.type == TraceEventType::accepted) unfinished[e.message] = true;
     }
-    for (const TraceEvent& e : t.events) {
+    for (const TraceEvent& e : trace.events) {
       bool delivered = e.type == TraceEventType::responded && (e.status == 200 || e.status == 3);
       if (delivered || e.type == TraceEventType::notificationReceived) unfinished[e.message] = false;
     }
@@ -223,18 +233,18 @@
   }
 
   void sample() {
-    UsageSample s{clock_.now(), {}};
+    UsageSample usage{clock_.now(), {}};
     for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
-      bool was = process(d).crashed();
+      bool crashedBefore = process(d).crashed();
       process(d).running();
-      if (process(d).crashed() && !was) {
-        result_.crashes.push_back("dispatcher " + std::to_string(d) + " ended by itself at " +
+      if (process(d).crashed() && !crashedBefore) {
+        result_.crashes.push_back("dispatcher " + std::to_string(d) + " ended unexpectedly at " +
                                   std::to_string(static_cast<int>(clock_.now())) + " ms");
         record(TraceEventType::dispatcherDown, d);
       }
-      s.dispatchers.push_back(process(d).usage());
+      usage.dispatchers.push_back(process(d).usage());
     }
-    result_.usage.push_back(std::move(s));
+    result_.usage.push_back(std::move(usage));
     timers_.schedule(loop_.now() + kSampleInterval, [this] { sample(); });
   }
 
@@ -245,16 +255,16 @@
   }
 
   void finish() {
-    for (auto& p : processes_) {
-      p->expectExit();
-      p->signal(SIGCONT);
-      p->signal(SIGTERM);
+    for (auto& dispatcher : processes_) {
+      dispatcher->expectExit();
+      dispatcher->signal(SIGCONT);
+      dispatcher->signal(SIGTERM);
     }
-    Millis by = steadyNow() + kStopTimeout;
-    for (bool running = true; running && steadyNow() < by;) {
+    Millis deadline = steadyNow() + kStopTimeout;
+    for (bool running = true; running && steadyNow() < deadline;) {
       runLoopOnce();
       running = false;
-      for (auto& p : processes_) running = p->running() || running;
+      for (auto& dispatcher : processes_) running = dispatcher->running() || running;
     }
   }
 
@@ -291,19 +301,19 @@
   EmulatedServers servers(loop, timers, clock, experiment, endpointModel, trace);
   servers.acceptUnknownMessages();
   for (int d = 0; d < experiment.fleet.dispatchers; ++d) {
-    std::string own = folder + "/n" + std::to_string(d);
-    std::filesystem::create_directories(own + "/state");
+    std::string dispatcherFolder = folder + "/n" + std::to_string(d);
+    std::filesystem::create_directories(dispatcherFolder + "/state");
     std::string listen = freeAddress(d);
-    std::string state = std::filesystem::absolute(own + "/state").string();
-    std::ofstream(own + "/config.json") << configurationOf(experiment, d, listen, servers.discoveryAddress(d),
-                                                           state, servers.endpointList(d));
-    std::printf("dispatcher %d: serve --config %s/config.json, then listens at %s\n", d, own.c_str(),
-                listen.c_str());
+    std::string state = std::filesystem::absolute(dispatcherFolder + "/state").string();
+    std::ofstream(dispatcherFolder + "/config.json") << configurationOf(
+        experiment, d, listen, servers.discoveryAddress(d), state, servers.endpointList(d));
+    std::printf("dispatcher %d: start it with 'serve --config %s/config.json'; it then listens at %s\n", d,
+                dispatcherFolder.c_str(), listen.c_str());
   }
   std::fflush(stdout);
-  for (const Fault& t : experiment.faults) {
-    timers.schedule(clock.epoch + t.from, [&servers, &t] { servers.applyFault(t, true); });
-    timers.schedule(clock.epoch + t.until, [&servers, &t] { servers.applyFault(t, false); });
+  for (const Fault& fault : experiment.faults) {
+    timers.schedule(clock.epoch + fault.from, [&servers, &fault] { servers.applyFault(fault, true); });
+    timers.schedule(clock.epoch + fault.until, [&servers, &fault] { servers.applyFault(fault, false); });
   }
   while (!interrupts.received) {
     timer.runOnce(timers);
--- a/src/lab/run.h
+++ b/src/lab/run.h
@@ -19,7 +19,7 @@
 struct RunResult {
   Trace trace;
   std::vector<UsageSample> usage;
-  std::vector<std::string> crashes;  // a sentence for each dispatcher that exited unexpectedly
+  std::vector<std::string> crashes;  // a sentence for each dispatcher that ended unexpectedly
   Millis maxLag{0};                  // the longest delay from the due time of a message to its first command
   bool interrupted{false};           // by SIGINT or SIGTERM
   Millis endedAt{0};                 // when the run ended, in ms since its start
--- a/src/lab/timer_queue.h
+++ b/src/lab/timer_queue.h
@@ -16,13 +16,16 @@
 
 namespace stonewing::lab {
 
-// What is to be done when, on the loop's clock.
+// Actions by the time when they are due, in ms of the loop's clock. Actions that are due at the same time run
+// in the order in which they were scheduled.
 class TimerQueue {
  public:
   void schedule(Millis when, std::function<void()> action) {
     entries_.emplace(std::pair(when, sequence_++), std::move(action));
   }
+  // When the next action is due; 1e15 if there is none.
   Millis nextDue() const { return entries_.empty() ? 1e15 : entries_.begin()->first.first; }
+  // Runs all actions that are due by now, those too that an action schedules.
   void runDue(Millis now) {
     while (!entries_.empty() && entries_.begin()->first.first <= now) {
       auto action = std::move(entries_.begin()->second);
@@ -36,8 +39,9 @@
   std::uint64_t sequence_{0};
 };
 
-// Wakes the loop to the microsecond. The loop itself sleeps in whole milliseconds, and a world that is up to
-// one late at each step has a tenth less capacity than its plan says.
+// Wakes the loop with the precision of a microsecond. The loop itself sleeps in whole milliseconds, and
+// emulated endpoints that are up to 1 ms late at each step have a tenth less capacity than the experiment
+// states. The constructor throws std::system_error.
 class PreciseTimer : public EventHandler {
  public:
   explicit PreciseTimer(EventLoop& loop)
@@ -53,7 +57,7 @@
     std::uint64_t times = 0;
     (void)!::read(fd_, &times, sizeof times);
   }
-  // One turn of the loop, with what is due in it.
+  // Runs one turn of the loop and then the timers that are due; waits until the next event or timer.
   void runOnce(TimerQueue& timers) {
     Millis due = timers.nextDue();
     if (due != armedFor_ && due < 1e14) {
