--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -276,10 +276,9 @@
     out << " <b class=bad>Interrupted after " << fixed(report.run->endedAt / kMillisPerSecond, 1) << " s of "
         << fixed(report.experiment.end() / kMillisPerSecond, 1) << " s.</b>";
   }
-  out << "</p>\n<table><tr><th></th><th>delivered weight share</th><th>completed</th><th>within "
+  out << "</p>\n<table><tr><th></th><th>weight share</th><th>completed</th><th>in "
          "objective</th><th>rejected</th><th>shed</th>"
-      << "<th>failed</th><th>attempts per message</th><th>p50 ms</th><th>p99 "
-         "ms</th><th>violations</th></tr>\n";
+      << "<th>failed</th><th>attempts/msg</th><th>p50 ms</th><th>p99 ms</th><th>violations</th></tr>\n";
   std::vector<SummaryRow> rows{{report.mode, report.summary, report.violations.size()}};
   rows.insert(rows.end(), report.comparisons.begin(), report.comparisons.end());
   for (const SummaryRow& row : rows) {
@@ -316,12 +315,10 @@
   for (std::size_t n = 0; n < std::min(kShown, report.violations.size()); ++n) {
     out << "<pre class=bad>" << escaped(describe(report.violations[n], report.trace)) << "</pre>\n";
   }
-  if (report.violations.size() > kShown)
-    out << "<p>and " << report.violations.size() - kShown << " more.</p>\n";
+  if (report.violations.size() > kShown) out << "<p>" << report.violations.size() - kShown << " more.</p>\n";
   if (report.run != nullptr) {
     for (const std::string& crash : report.run->crashes) out << "<p class=bad>" << escaped(crash) << "</p>\n";
-    out << "<p>The load generator sent the first command of each message within "
-        << fixed(report.run->maxLag, 1) << " ms of its due time.</p>\n";
+    out << "<p>Largest send lag of the load: " << fixed(report.run->maxLag, 1) << " ms after due time.</p>\n";
   }
   out << "<h2>Over time</h2>\n";
   for (const std::string& svg : svgs) out << "<p><img src=\"" << svg << "\" alt=\"" << svg << "\"></p>\n";
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -118,8 +118,8 @@
       runLoopOnce();
       for (int d = 0; d < experiment_.fleet.dispatchers; ++d) {
         if (!process(d).running())
-          throw std::runtime_error("a dispatcher exited before it answered PING; see " + process(d).folder() +
-                                   "/log.txt");
+          throw std::runtime_error("a dispatcher exited before all had answered PING; see " +
+                                   process(d).folder() + "/log.txt");
       }
       if (loop_.now() > deadline)
         throw std::runtime_error(
