--- a/src/lab/load_generator.cpp
+++ b/src/lab/load_generator.cpp
@@ -79,7 +79,7 @@
       if (error != 0) return generator_.connectionEnded(*this, true);
       sockaddr_in peer{};
       size = sizeof peer;
-      if (::getpeername(fd_, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return;  // not yet
+      if (::getpeername(fd_, reinterpret_cast<sockaddr*>(&peer), &size) != 0) return;  // not connected yet
       connected_ = true;
     }
     if (out_.write(fd_) == WriteBuffer::WriteResult::broken) return generator_.connectionEnded(*this, false);
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -185,7 +185,7 @@
           if (begins) {
             process(d).signal(SIGTERM);
             record(TraceEventType::dispatcherDown, d, 2);
-            // A dispatcher gets 3700 ms to drain after SIGTERM, and is restarted no earlier than that.
+            // A dispatcher that still runs 3700 ms after SIGTERM is killed. It is not restarted earlier.
             timers_.schedule(loop_.now() + 3700, [this, d] {
               process(d).signal(SIGKILL);
               record(TraceEventType::dispatcherDown, d);
