--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -7,12 +7,12 @@
 
 #include "base/errors.h"
 
-// Packed binary records, as the journal and the simulator's wire have them. Numbers are copied in the host's
-// byte order, which must be little-endian.
+// Reads and writes packed binary records, the format of the journal and of the simulator's wire protocol.
+// Numbers are copied in the host's byte order, which must be little-endian.
 namespace stonewing {
 
-// Reads the fields of a record one after another. The bytes must outlive the reader and the views it returns.
-// `field` names the field for the error text: a read past the end throws ParseError.
+// Reads the fields of a record one after another. The bytes must outlive the reader and the views that text()
+// returns. A read past the end throws ParseError, whose text contains `field`.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
@@ -24,10 +24,10 @@
     std::memcpy(&value, text(sizeof value, field).data(), sizeof value);
     return value;
   }
-  // The next `length` bytes as they are.
+  // The next `length` bytes, unconverted.
   std::string_view text(std::size_t length, const char* field) {
     if (bytes_.size() - position_ < length) {
-      throw ParseError(std::string("record ends inside field ") + field);
+      throw ParseError(std::string("record is truncated inside field ") + field);
     }
     std::string_view part = bytes_.substr(position_, length);
     position_ += length;
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -2,8 +2,8 @@
 
 #include <stdexcept>
 
-// The errors that end an operation. Each text says what was wrong and, where it can, what would be right.
-// They are caught where the operator, a client or the log can learn of them.
+// The exceptions that abort an operation. Each text says what was wrong and, where possible, what is allowed.
+// They are caught where they can be reported to the operator or a client, or be logged.
 namespace stonewing {
 
 // The base of all errors of this program.
@@ -11,27 +11,27 @@
   using std::runtime_error::runtime_error;
 };
 
-// Bytes or text from outside that cannot be read.
+// Malformed input: bytes or text from outside the process that cannot be parsed.
 struct ParseError : Error {
   using Error::Error;
 };
 
-// A start configuration, or an option, that cannot be used.
+// An invalid start configuration or command-line option.
 struct ConfigError : Error {
   using Error::Error;
 };
 
-// Settings of a deployment, or an operator's, that cannot be used.
+// Invalid settings of a deployment or of an operator.
 struct SettingsError : Error {
   using Error::Error;
 };
 
-// A record of the journal that cannot be used.
+// An invalid record of the journal.
 struct JournalError : Error {
   using Error::Error;
 };
 
-// A peer that breaks the protocol: a client's command, or the simulator's wire.
+// A violation of a protocol: an invalid command of a client, or invalid data on the simulator's wire.
 struct ProtocolError : Error {
   using Error::Error;
 };
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -3,10 +3,11 @@
 #include <compare>
 #include <cstdint>
 
-// The ids of the domain, and the type of times. All are plain values.
+// The ids of the domain, and the type of times and durations. All are plain values.
 namespace stonewing {
 
-// A number that identifies something of one sort; `Tag` keeps ids of different sorts apart.
+// The id of an object. `Tag` makes the ids of different kinds of objects distinct types, so that one cannot
+// be passed in place of another.
 template <class Tag, class Rep>
 struct Id {
   Rep value{};
@@ -22,7 +23,8 @@
 using TrafficTypeId = Id<struct TrafficTypeTag, std::uint16_t>;
 using OrderingKey = Id<struct OrderingKeyTag, std::uint64_t>;
 
-// A time or a span in milliseconds, with fractions. Which clock a time is of, its user says.
+// A time or a duration in milliseconds, with fractions. The code that uses a time states which clock it is
+// of.
 using Millis = double;
 
 }  // namespace stonewing
--- a/src/base/overloaded.h
+++ b/src/base/overloaded.h
@@ -2,7 +2,7 @@
 
 namespace stonewing {
 
-// Makes one visitor for std::visit out of several lambdas, one for each alternative of the variant.
+// Combines several lambdas, one for each alternative of a variant, into one visitor for std::visit.
 template <class... Handlers>
 struct Overloaded : Handlers... {
   using Handlers::operator()...;
--- a/src/base/unique_fd.h
+++ b/src/base/unique_fd.h
@@ -7,10 +7,11 @@
 namespace stonewing {
 
 // Owns one file descriptor and closes it when it goes out of scope. Movable, not copyable; a moved-from
-// object owns nothing. Not synchronised: two threads may share one only while neither changes it.
+// object owns no descriptor. Not synchronised: threads may share an object only while none of them modifies
+// it.
 class UniqueFd {
  public:
-  // Owns nothing.
+  // Owns no descriptor.
   UniqueFd() = default;
   // Takes ownership of `descriptor`; a negative one, as a failed open() returns it, means none.
   explicit UniqueFd(int descriptor) : descriptor_(descriptor) {}
@@ -28,10 +29,10 @@
   // Whether a descriptor is owned.
   explicit operator bool() const { return descriptor_ >= 0; }
 
-  // Gives the descriptor up without closing it; the caller owns it from now on.
+  // Releases ownership without closing the descriptor; the caller owns it from then on.
   [[nodiscard]] int release() { return std::exchange(descriptor_, -1); }
   // Closes the owned descriptor, if any, and takes ownership of `descriptor` instead. Errors of close() are
-  // not reported: nothing can be done about them, and the descriptor is gone all the same.
+  // not reported: the caller could not handle them, and the descriptor is released in any case.
   void reset(int descriptor = -1) {
     int previous = std::exchange(descriptor_, descriptor);
     if (previous >= 0) ::close(previous);
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -11,10 +11,10 @@
 namespace stonewing::log {
 namespace {
 
-// Set once by open.
+// Set once by open().
 Format activeFormat = Format::text;
 
-spdlog::level::level_enum levelOf(Level level) {
+spdlog::level::level_enum toSpdlogLevel(Level level) {
   switch (level) {
     case Level::debug:
       return spdlog::level::debug;
@@ -28,33 +28,34 @@
   return spdlog::level::err;
 }
 
-nlohmann::json jsonOf(const Field& field) {
+nlohmann::json toJson(const Field& field) {
   return std::visit([](const auto& value) { return nlohmann::json(value); }, field.value);
 }
 
-// Whether a text can stand in a line as it is: not empty, and without blanks, quotes and the like.
-bool isPlain(std::string_view text) {
+// Whether a text can be written to a line without quotes: it is not empty and contains no blank, quote,
+// equals sign, backslash, tab or line break.
+bool needsNoQuotes(std::string_view text) {
   return !text.empty() && text.find_first_of(" \"=\\\n\r\t") == std::string_view::npos;
 }
 
-// A value for a line of text. Texts that are not plain are quoted as in JSON.
-std::string textOf(const Field& field) {
+// The value of a field in the text format. Texts that need quotes are quoted as in JSON.
+std::string toText(const Field& field) {
   const auto* text = std::get_if<std::string_view>(&field.value);
-  if (text != nullptr && isPlain(*text)) return std::string(*text);
-  return jsonOf(field).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  if (text != nullptr && needsNoQuotes(*text)) return std::string(*text);
+  return toJson(field).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 }  // namespace
 
 void open(const std::string& programName, const std::string& levelName, const std::string& formatName) {
   auto level = spdlog::level::from_str(levelName);
-  // from_str returns `off` for a name it does not know.
+  // from_str returns `off` for an unknown name.
   if (level == spdlog::level::off && levelName != "off") {
-    throw ConfigError("there is no log level '" + levelName +
-                      "'; there are trace, debug, info, warn, error and off");
+    throw ConfigError("unknown log level '" + levelName +
+                      "'; it must be trace, debug, info, warn, error or off");
   }
   if (formatName != "text" && formatName != "json") {
-    throw ConfigError("there is no log format '" + formatName + "'; there are text and json");
+    throw ConfigError("unknown log format '" + formatName + "'; it must be text or json");
   }
   activeFormat = formatName == "json" ? Format::json : Format::text;
   spdlog::set_default_logger(spdlog::stderr_logger_st(programName));
@@ -64,25 +65,26 @@
   }
 }
 
-bool isEnabled(Level level) { return spdlog::should_log(levelOf(level)); }
+bool isEnabled(Level level) { return spdlog::should_log(toSpdlogLevel(level)); }
 
-std::string lineOf(Format format, std::string_view name, std::initializer_list<Field> fields) {
+std::string formatEvent(Format format, std::string_view name, std::initializer_list<Field> fields) {
   if (format == Format::text) {
     std::string line(name);
     for (const Field& field : fields) {
-      line.append(" ").append(field.name).append("=").append(textOf(field));
+      line.append(" ").append(field.name).append("=").append(toText(field));
     }
     return line;
   }
-  nlohmann::ordered_json row;
-  row["event"] = name;
-  for (const Field& field : fields) row[std::string(field.name)] = jsonOf(field);
-  std::string object = row.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  return object.substr(1, object.size() - 2);  // without its braces; the pattern of open adds them
+  nlohmann::ordered_json eventJson;
+  eventJson["event"] = name;
+  for (const Field& field : fields) eventJson[std::string(field.name)] = toJson(field);
+  std::string serialized = eventJson.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  return serialized.substr(
+      1, serialized.size() - 2);  // without the braces; the log pattern set in open() adds them
 }
 
 void event(Level level, std::string_view name, std::initializer_list<Field> fields) {
-  spdlog::log(levelOf(level), "{}", lineOf(activeFormat, name, fields));
+  spdlog::log(toSpdlogLevel(level), "{}", formatEvent(activeFormat, name, fields));
 }
 
 }  // namespace stonewing::log
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -7,15 +7,16 @@
 #include <string_view>
 #include <variant>
 
-// The log of all programs, on standard error: an event has a name and fields, which docs/log.md lists. As
-// text, a line reads "time level event field=value ..."; as JSON, each line is one object. Nothing is
-// formatted for a level that is off. To be used from one thread, the event loop's.
+// Structured logging of all programs, to standard error. An event has a name and fields; docs/log.md lists
+// them. In the text format, a line reads "time level event field=value ..."; in the JSON format, each line is
+// one object. Events of a disabled level are not formatted. Not thread-safe: only the thread of the event
+// loop may use it.
 namespace stonewing::log {
 
 enum class Level { debug, info, warn, error };
 enum class Format { text, json };
 
-// A field of an event. It refers to the text it is given, and lives no longer than the call that logs it.
+// A field of an event. Holds a view of the text passed to it, so it must not outlive the call that logs it.
 struct Field {
   std::string_view name;
   std::variant<std::string_view, std::int64_t, double> value;
@@ -29,11 +30,11 @@
 };
 
 // Sets up the log, once, at the start of the program. `levelName`: trace, debug, info, warn, error or off.
-// `formatName`: text or json. Throws ConfigError, with the words that are allowed, for any other.
+// `formatName`: text or json. Throws ConfigError, which lists the allowed names, for any other name.
 void open(const std::string& programName, const std::string& levelName, const std::string& formatName);
 // Whether events of the level are logged.
 bool isEnabled(Level level);
-// Logs an event. The functions below do so only where their level is enabled.
+// Formats and logs an event. debug(), info(), warn() and error() call it only if their level is enabled.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields = {});
 
 inline void debug(std::string_view name, std::initializer_list<Field> fields = {}) {
@@ -49,8 +50,8 @@
   if (isEnabled(Level::error)) event(Level::error, name, fields);
 }
 
-// The line of an event without its time and level, for tests. As JSON, it is the inside of an object, without
-// braces.
-std::string lineOf(Format format, std::string_view name, std::initializer_list<Field> fields);
+// Formats an event without its time and level; declared here for tests. In the JSON format, the result is the
+// content of an object without its braces.
+std::string formatEvent(Format format, std::string_view name, std::initializer_list<Field> fields);
 
 }  // namespace stonewing::log
--- a/tests/logging/log_test.cpp
+++ b/tests/logging/log_test.cpp
@@ -15,9 +15,9 @@
 TEST(Log, WritesTheSameFieldsInBothFormats) {
   std::initializer_list<log::Field> fields = {
       {"message", "9b1f"}, {"attempt", 2}, {"spent_ms", 1.5}, {"why", "it said \"no\"\n"}, {"bytes", "\xff"}};
-  EXPECT_EQ(log::lineOf(log::Format::text, "attempt.finished", fields),
+  EXPECT_EQ(log::formatEvent(log::Format::text, "attempt.finished", fields),
             "attempt.finished message=9b1f attempt=2 spent_ms=1.5 why=\"it said \\\"no\\\"\\n\" bytes=\xff");
-  std::string object = "{" + log::lineOf(log::Format::json, "attempt.finished", fields) + "}";
+  std::string object = "{" + log::formatEvent(log::Format::json, "attempt.finished", fields) + "}";
   auto parsed = nlohmann::json::parse(object);
   EXPECT_EQ(parsed["event"], "attempt.finished");
   EXPECT_EQ(parsed["attempt"], 2);
