--- a/src/settings/deployment_settings_reader.cpp
+++ b/src/settings/deployment_settings_reader.cpp
@@ -13,9 +13,9 @@
 constexpr const char* kRateLimitReportField = "x1";
 
 [[noreturn]] void throwWrongValue(const std::string& type, const std::string& key, const json& value,
-                                  const std::string& right) {
+                                  const std::string& allowed) {
   throw SettingsError("setting '" + key + "' of class '" + type + "' is " + value.dump() + "; it must be " +
-                      right);
+                      allowed);
 }
 
 Millis requirePositiveSeconds(const json& row, const std::string& type, const std::string& key) {
@@ -27,7 +27,7 @@
 DeduplicationScope readDeduplicationScope(const json& row, const std::string& type) {
   std::string group = require<std::string>(row, "group");
   if (group == "zone") return DeduplicationScope::zone;
-  // A cell is a destination: all the endpoints that a message may go to.
+  // A cell is a destination, which consists of all endpoints that a message may be sent to.
   if (group == "all" || group == "cell") return DeduplicationScope::destination;
   throwWrongValue(type, "group", group, "\"all\", \"zone\" or \"cell\"");
 }
@@ -66,18 +66,19 @@
   std::vector<TrafficType> types;
   for (const json& row : require<json>(settings, "request-classes")) types.push_back(readTrafficType(row));
   if (types.empty()) {
-    throw SettingsError("setting 'request-classes' is empty; it must name a class or more");
+    throw SettingsError("setting 'request-classes' is empty; it must list at least one class");
   }
   return types;
 }
 
-// Three lists by kind, of which each may be shorter than the others.
+// Reads three lists that are indexed by kind, of which each may be shorter than the others.
 std::vector<EndpointKindSettings> readKinds(const json& settings, const json& family) {
-  auto apart = valueOr(family, "kind-apart", std::vector<bool>{});
+  auto separateRoutes = valueOr(family, "kind-apart", std::vector<bool>{});
   auto batchSizes = valueOr(family, "per-call", std::vector<int>{});
-  std::size_t names = valueOr(settings, "kinds", json::array()).size();
-  std::vector<EndpointKindSettings> kinds(std::max({names, apart.size(), batchSizes.size()}));
-  for (std::size_t kind = 0; kind < apart.size(); ++kind) kinds[kind].routesApart = apart[kind];
+  std::size_t namedKinds = valueOr(settings, "kinds", json::array()).size();
+  std::vector<EndpointKindSettings> kinds(std::max({namedKinds, separateRoutes.size(), batchSizes.size()}));
+  for (std::size_t kind = 0; kind < separateRoutes.size(); ++kind)
+    kinds[kind].routesApart = separateRoutes[kind];
   for (std::size_t kind = 0; kind < batchSizes.size(); ++kind) {
     kinds[kind].maxBatchSize = std::max(1, batchSizes[kind]);
   }
@@ -88,8 +89,8 @@
   std::string decay = valueOr<std::string>(family, "decay", "linear");
   if (decay == "linear") return WeightDecay::linear;
   if (decay == "halving") return WeightDecay::halving;
-  throw SettingsError("setting 'decay' has unknown value " + decay +
-                      "; it must be \"linear\" or \"halving\"");
+  throw SettingsError("setting 'family-info.decay' is \"" + decay +
+                      "\"; it must be \"linear\" or \"halving\"");
 }
 
 std::vector<double> readTenantQuotas(const json& settings) {
--- a/src/settings/json_access.cpp
+++ b/src/settings/json_access.cpp
@@ -19,7 +19,7 @@
     std::size_t end = std::min(path.find('.', begin), path.size());
     std::string key = path.substr(begin, end - begin);
     if (!value->is_object() || !value->contains(key)) {
-      throw SettingsError("the settings lack '" + path + "'");
+      throw SettingsError("required setting '" + path + "' is missing");
     }
     value = &(*value)[key];
     begin = end + 1;
@@ -35,7 +35,7 @@
   return valueOr(object, key, fallbackSeconds) * kMillisPerSecond;
 }
 
-std::string joined(const std::vector<std::string>& words) {
+std::string commaSeparated(const std::vector<std::string>& words) {
   std::string text;
   for (const std::string& word : words) {
     if (!text.empty()) text += ", ";
--- a/src/settings/name_tables_reader.cpp
+++ b/src/settings/name_tables_reader.cpp
@@ -8,7 +8,7 @@
 
 using namespace settings_json;
 
-// The names of the rows; empty for a row that has none.
+// The name of each row; empty for a row without one.
 std::vector<std::string> namesOf(const json& rows) {
   std::vector<std::string> names;
   for (const json& row : rows) names.push_back(valueOr<std::string>(row, "name", ""));
--- a/src/settings/zone_failover_settings_reader.cpp
+++ b/src/settings/zone_failover_settings_reader.cpp
@@ -14,30 +14,35 @@
 constexpr double kMaxSpilloverPerSecond = 1e6;
 constexpr double kMaxRampSeconds = 86400;  // a day
 
-void requireKnownKey(const std::string& name, const std::string& key, const std::vector<std::string>& known) {
-  if (std::find(known.begin(), known.end(), key) != known.end()) return;
-  throw SettingsError("'" + name + "." + key + "' is not known; there are " + joined(known));
+void requireKnownKey(const std::string& name, const std::string& key,
+                     const std::vector<std::string>& allowedKeys) {
+  if (std::find(allowedKeys.begin(), allowedKeys.end(), key) != allowedKeys.end()) return;
+  throw SettingsError("'" + name + "." + key + "' is an unknown key; the allowed keys are " +
+                      commaSeparated(allowedKeys));
 }
 
-// Every key of the object must be known.
-void requireKnownKeys(const json& object, const std::string& name, const std::vector<std::string>& known) {
-  if (!object.is_object()) throw SettingsError("'" + name + "' must be an object with " + joined(known));
-  for (const auto& [key, value] : object.items()) requireKnownKey(name, key, known);
+// Throws SettingsError unless `object` is a JSON object that has only keys of `allowedKeys`.
+void requireKnownKeys(const json& object, const std::string& name,
+                      const std::vector<std::string>& allowedKeys) {
+  if (!object.is_object())
+    throw SettingsError("'" + name + "' must be a JSON object with keys from " + commaSeparated(allowedKeys));
+  for (const auto& [key, value] : object.items()) requireKnownKey(name, key, allowedKeys);
 }
 
 struct Range {
-  double least{};
-  double most{};
+  double lowest{};
+  double highest{};
 };
 
-// The number at `key` of the object that the operator knows as `name`.
+// The number at `key` of the object, or `fallback` if there is none. `name`: the path of the object in the
+// configuration, for the error text.
 double numberOr(const json& object, const std::string& name, const std::string& key, double fallback,
                 Range range) {
   if (!object.contains(key)) return fallback;
   const json& value = object[key];
-  if (!value.is_number() || value.get<double>() < range.least || value.get<double>() > range.most) {
+  if (!value.is_number() || value.get<double>() < range.lowest || value.get<double>() > range.highest) {
     throw SettingsError("'" + name + "." + key + "' is " + value.dump() + "; it must be a number from " +
-                        json(range.least).dump() + " to " + json(range.most).dump());
+                        json(range.lowest).dump() + " to " + json(range.highest).dump());
   }
   return value.get<double>();
 }
@@ -46,34 +51,36 @@
   auto found = zones.end();
   if (name.is_string()) found = std::find(zones.begin(), zones.end(), name.get<std::string>());
   if (found == zones.end()) {
-    throw SettingsError("'" + key + "' names " + name.dump() + ", which is no room; the rooms are " +
-                        joined(zones));
+    throw SettingsError("'" + key + "' contains the unknown zone " + name.dump() + "; the zones are " +
+                        commaSeparated(zones));
   }
   return ZoneId{static_cast<std::uint8_t>(found - zones.begin())};
 }
 
 bool contains(const ZoneFailoverSettings::Priorities& priorities, ZoneId zone) {
-  return std::any_of(priorities.begin(), priorities.end(), [&](const std::vector<ZoneId>& equals) {
-    return std::find(equals.begin(), equals.end(), zone) != equals.end();
+  return std::any_of(priorities.begin(), priorities.end(), [&](const std::vector<ZoneId>& samePriority) {
+    return std::find(samePriority.begin(), samePriority.end(), zone) != samePriority.end();
   });
 }
 
 ZoneFailoverSettings::Priorities readPriorities(const json& rows, const std::vector<std::string>& zones,
                                                 const std::string& key) {
   if (!rows.is_array() || rows.empty()) {
-    throw SettingsError(
-        "'" + key + "' must be a list of tiers, best first, each a list of rooms: [[\"a\"], [\"b\", \"c\"]]");
+    throw SettingsError("'" + key +
+                        "' must be a list of tiers, the highest priority first, each a list of zones, such "
+                        "as [[\"a\"], [\"b\", \"c\"]]");
   }
   ZoneFailoverSettings::Priorities priorities;
   for (const json& row : rows) {
     if (!row.is_array() || row.empty()) {
-      throw SettingsError("each tier of '" + key + "' must be a list of rooms: [\"a\"]");
+      throw SettingsError("each tier of '" + key + "' must be a list of zones, such as [\"a\"]");
     }
     priorities.emplace_back();
     for (const json& name : row) {
       ZoneId zone = readZone(name, zones, key);
       if (contains(priorities, zone)) {
-        throw SettingsError("'" + key + "' names " + name.dump() + " twice; a room stands in one tier");
+        throw SettingsError("'" + key + "' contains the zone " + name.dump() +
+                            " twice; each zone may be in one tier only");
       }
       priorities.back().push_back(zone);
     }
@@ -86,8 +93,8 @@
   const char* nameEnd = name.data() + name.size();
   auto [end, error] = std::from_chars(name.data(), nameEnd, number);
   if (error != std::errc() || end != nameEnd) {
-    throw SettingsError("'rooms.destinations' names \"" + name +
-                        "\"; a destination is a number from 0 to 65535");
+    throw SettingsError("'rooms.destinations' has the key \"" + name +
+                        "\"; each key must be a destination, a number from 0 to 65535");
   }
   return DestinationId{number};
 }
@@ -95,7 +102,9 @@
 std::map<DestinationId, ZoneFailoverSettings::Priorities> readDestinations(
     const json& destinations, const std::vector<std::string>& zones) {
   if (!destinations.is_object()) {
-    throw SettingsError("'rooms.destinations' must be an object: {\"7\": [[\"b\"], [\"a\"]]}");
+    throw SettingsError(
+        "'rooms.destinations' must be a JSON object of tiers by destination, such as {\"7\": [[\"b\"], "
+        "[\"a\"]]}");
   }
   std::map<DestinationId, ZoneFailoverSettings::Priorities> priorities;
   for (const auto& [name, rows] : destinations.items()) {
@@ -131,7 +140,7 @@
   const json table = json::parse(text, nullptr, false);
   requireKnownKeys(table, "rooms", {"tiers", "destinations", "spill", "return"});
   if (!table.contains("tiers")) {
-    throw SettingsError("'rooms' needs 'tiers', such as [[\"a\"], [\"b\", \"c\"]]");
+    throw SettingsError("'rooms' needs 'tiers', a list of tiers of zones such as [[\"a\"], [\"b\", \"c\"]]");
   }
   failover.priorities = readPriorities(table["tiers"], zones, "rooms.tiers");
   failover.destinations = readDestinations(table.value("destinations", json::object()), zones);
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -10,7 +10,7 @@
 #include "base/errors.h"
 #include "support/dispatcher_settings.h"
 
-// Settings as a deployment states them, and the errors that name what is wrong with them.
+// Reading of deployment and operator settings, and the errors for invalid ones.
 namespace stonewing::testing {
 namespace {
 
@@ -19,10 +19,11 @@
   "family-info":{"call-slots":4},"limits":{"open-cap":9,"max-attempts":3},"unheard-of":[1],
   "rules":{"cold-from":0.2,"cold-s":10,"fall-multiple":2,"fall-s":1.5}})";
 
-// A setting that cannot be used is named, with what would be right; an unknown key does no harm.
+// The error for an invalid setting states the setting, its value and the allowed values. An unknown key is no
+// error.
 TEST(SettingsReader, NamesAWrongSettingAndWhatWouldBeRight) {
   struct Case {
-    std::string part, replacement, message;
+    std::string part, replacement, expectedError;
   };
   for (const Case& wrong :
        {Case{R"("effect":"safe")", R"("effect":"often")",
@@ -38,7 +39,7 @@
       readDeploymentSettings(settingsWith(wrong.part, wrong.replacement));
       ADD_FAILURE() << wrong.replacement;
     } catch (const Error& problem) {
-      EXPECT_EQ(std::string(problem.what()), wrong.message);
+      EXPECT_EQ(std::string(problem.what()), wrong.expectedError);
     }
   }
   auto settings = nlohmann::json::parse(kDispatcherSettings);
@@ -72,9 +73,9 @@
     return std::string();
   };
   EXPECT_EQ(errorOf(R"({"tiers":[["north"],["south"]],"spill":{"share":0.5},"return":{"climb_s":20}})"), "");
-  EXPECT_NE(errorOf(R"({"tiers":[["nroth"]]})").find("the rooms are north, south"), std::string::npos);
+  EXPECT_NE(errorOf(R"({"tiers":[["nroth"]]})").find("the zones are north, south"), std::string::npos);
   EXPECT_NE(errorOf(R"({"tiers":[["north"],["north"]]})").find("twice"), std::string::npos);
-  EXPECT_NE(errorOf(R"({"tiers":["north"]})").find("list of rooms"), std::string::npos);
+  EXPECT_NE(errorOf(R"({"tiers":["north"]})").find("list of zones"), std::string::npos);
   EXPECT_NE(errorOf(R"({"tiers":[["north"]],"spil":{}})").find("spill"), std::string::npos);
   EXPECT_NE(errorOf(R"({"tiers":[["north"]],"spill":{"slots":7}})").find("from 0"), std::string::npos);
   EXPECT_NE(errorOf(R"({"tiers":[["north"]],"destinations":{"x":[["north"]]}})").find("number"),
