--- a/src/dispatcher/command_handler.cpp
+++ b/src/dispatcher/command_handler.cpp
@@ -16,7 +16,7 @@
 constexpr const char* kPongReply = "+PONG\r\n";
 constexpr Millis kNoRetryAfter = 0;
 constexpr std::size_t kPingWords = 1;
-constexpr std::size_t kSubmitWords = 5;  // SUBMIT, ordering key, id, list of fields, body
+constexpr std::size_t kSubmitWords = 5;  // SUBMIT, ordering key, message id, field list, body
 
 }  // namespace
 
@@ -40,27 +40,29 @@
 RespServer::CommandReply CommandHandler::handle(const std::vector<std::string_view>& words,
                                                 ClientSide clientSide) {
   if (words[0] == "PING") {
-    if (words.size() != kPingWords) throw ProtocolError("PING takes no more words");
+    if (words.size() != kPingWords) throw ProtocolError("PING takes no arguments");
     return {kPongReply};
   }
   if (words[0] == "SUBMIT") return submit(words, clientSide);
-  throw ProtocolError("unknown command");
+  throw ProtocolError("unknown command; the commands are PING and SUBMIT");
 }
 
 RespServer::CommandReply CommandHandler::submit(const std::vector<std::string_view>& words,
                                                 ClientSide clientSide) {
-  if (words.size() != kSubmitWords) throw ProtocolError("SUBMIT takes key, id, list and body");
-  const Millis receivedWall = std::floor(wallNow());  // whole, so that equal spans stay equal
+  if (words.size() != kSubmitWords)
+    throw ProtocolError("SUBMIT needs 4 arguments: ordering key, message id, field list, body");
+  // Whole milliseconds, because rounding of fractions would make equal durations unequal.
+  const Millis receivedWall = std::floor(wallNow());
   StoredMessage message = store_.decode(words[1], words[2], words[3], words[4], receivedWall);
-  // Submitted again, because the first reply was lost.
+  // The client has submitted the message again because the first reply was lost.
   if (store_.contains(message.reference)) return {kOkReply, store_.idOf(message.reference)};
   if (!discovery_.knows(message.destination)) {
-    // Until discovery has answered, the endpoint list may just be an old one.
+    // Until discovery has answered, the endpoint list may be outdated and lack a new destination.
     if (!discovery_.hasAnswered()) return {busyReply(kNoRetryAfter)};
     throw ProtocolError("unknown dest");
   }
-  // A client that has not waited for the reply submits the message elsewhere; accepted here too, it would be
-  // delivered for nothing.
+  // A client that has not waited for the reply submits the message to another dispatcher. If this dispatcher
+  // accepted the message too, it would deliver the message unnecessarily.
   if (clientSide == ClientSide::closed || !lifecycle_.mayAcceptMessages()) return {busyReply(kNoRetryAfter)};
   const AdmissionDecision admission = decideAdmission(message);
   if (!admission.accepted) return {busyReply(admission.retryAfter)};
@@ -76,11 +78,11 @@
 }
 
 RespServer::CommandReply CommandHandler::accept(StoredMessage message, Millis receivedWall) {
-  message.deadlineWall -= loop_.stalledFor();  // its time counts from when the client sent it
+  message.deadlineWall -= loop_.stalledFor();  // the deadline counts from when the client sent the message
   const Millis deadline = loop_.now() + (message.deadlineWall - receivedWall);
   const std::optional<MessageId> id = store_.accept(std::move(message));
   if (!id) return {busyReply(admission_.recordRejection(loop_.now()))};
-  const StoredMessage& stored = *store_.find(*id);  // stays while the message is in flight
+  const StoredMessage& stored = *store_.find(*id);  // valid while the message is in flight
   policy_.acceptMessage(*id, stored.type, stored.tenant, stored.orderingKey, stored.destination, deadline);
   log::debug("message.accepted", {{"message", stored.reference},
                                   {"type", names_.trafficTypes[stored.type.value]},
--- a/src/dispatcher/command_handler.h
+++ b/src/dispatcher/command_handler.h
@@ -18,17 +18,17 @@
 namespace stonewing {
 
 // The reply to a message that was not accepted and may be submitted again. `retryAfter`: milliseconds to
-// wait before that; 0 or less: no time is stated.
+// wait before submitting it again; 0 or less: the reply states no time.
 std::string busyReply(Millis retryAfter);
 
 // Executes the commands of clients, PING and SUBMIT: decodes a message, decides on its admission, stores it
-// and hands it to the policy. The RESP server calls it for each command, on the event loop's thread.
+// and passes it to the policy. The RESP server calls it for each command, on the event loop's thread.
 class CommandHandler {
  public:
-  // Whether the client may still send, or has closed its side of the connection.
+  // Whether the client has closed its sending side of the connection.
   enum class ClientSide { open, closed };
 
-  // What a command needs to know and to change. All must outlive the handler.
+  // The components that commands read and change. All must outlive the handler.
   struct Dependencies {
     const EventLoop& loop;
     const Lifecycle& lifecycle;
@@ -45,8 +45,8 @@
   explicit CommandHandler(const Dependencies& dependencies);
 
   // Executes the command whose name is `words[0]`, in capitals; `words` is not empty. The reply to an
-  // accepted message holds only once the journal has its record. Throws Error for a command that is to be
-  // answered by an error and the end of the connection.
+  // accepted message must not be sent before the message's record is in the journal. Throws Error for an
+  // invalid command; the server then replies with an error and closes the connection.
   RespServer::CommandReply handle(const std::vector<std::string_view>& words, ClientSide clientSide);
 
  private:
--- a/src/dispatcher/config.cpp
+++ b/src/dispatcher/config.cpp
@@ -19,14 +19,15 @@
 using nlohmann::json;
 
 constexpr std::size_t kBytesPerMegabyte = 1'000'000;
-constexpr std::size_t kDefaultSockets = 1024;
+constexpr std::size_t kDefaultMaxDescriptors = 1024;
 constexpr double kDefaultDiskMegabytes = 3;
 constexpr double kDefaultMemoryMegabytes = 128;
 constexpr int kSeedBase = 16;
 
 json parseStartFile(std::string_view text) {
   json file = json::parse(text, nullptr, false);
-  if (file.is_discarded() || !file.is_object()) throw ConfigError("the configuration is not a JSON object");
+  if (file.is_discarded() || !file.is_object())
+    throw ConfigError("the configuration file is not a JSON object");
   return file;
 }
 
@@ -37,9 +38,9 @@
   try {
     file = json::parse(text, nullptr, kAllowExceptions, kIgnoreComments);
   } catch (const json::parse_error& problem) {
-    throw ConfigError(std::string("the operator's file is not JSON: ") + problem.what());
+    throw ConfigError(std::string("the operator's file is not valid JSON: ") + problem.what());
   }
-  if (!file.is_object()) throw ConfigError("the operator's file must hold one JSON object");
+  if (!file.is_object()) throw ConfigError("the operator's file must contain a JSON object");
   return file;
 }
 
@@ -47,16 +48,19 @@
 json withOperatorKeys(json startFile, const json& operatorFile) {
   for (const auto& [key, value] : operatorFile.items()) {
     if (key != "journal" && key != "rooms")
-      throw ConfigError("the operator's file has '" + key + "'; it may hold journal, rooms");
+      throw ConfigError("the operator's file has the unknown key '" + key +
+                        "'; the allowed keys are journal, rooms");
     startFile[key] = value;
   }
   return startFile;
 }
 
-std::string requireEither(const json& file, const char* key, const EnvironmentReader& environment,
-                          const char* variable) {
+std::string requireKeyOrVariable(const json& file, const char* key, const EnvironmentReader& environment,
+                                 const char* variable) {
   std::string value = file.value(key, environment(variable));
-  if (value.empty()) throw ConfigError(std::string("neither '") + key + "' nor " + variable + " is given");
+  if (value.empty())
+    throw ConfigError(std::string("required key '") + key + "' is missing, and the environment variable " +
+                      variable + " is not set");
   return value;
 }
 
@@ -65,13 +69,15 @@
   const char* const textEnd = text.data() + text.size();
   std::uint64_t seed{};
   const auto [end, error] = std::from_chars(text.data(), textEnd, seed, kSeedBase);
-  if (error != std::errc() || end != textEnd) throw ConfigError("'seed' is not hexadecimal");
+  if (error != std::errc() || end != textEnd)
+    throw ConfigError("'seed' must be a hexadecimal number of up to 16 digits");
   return seed;
 }
 
 JournalWriter readJournalWriter(const json& file) {
   const json journal = file.value("journal", json::object());
-  if (!journal.is_object()) throw ConfigError(R"('journal' must be an object, such as {"writer": "aside"})");
+  if (!journal.is_object())
+    throw ConfigError(R"('journal' must be a JSON object, such as {"writer": "aside"})");
   const std::string writer = journal.value("writer", "loop");
   if (writer != "loop" && writer != "aside")
     throw ConfigError("'journal.writer' is '" + writer + R"('; it must be "loop" or "aside")");
@@ -82,23 +88,24 @@
   return static_cast<std::size_t>(limits.value(key, defaultMegabytes) * kBytesPerMegabyte);
 }
 
-// Throws ConfigError for a value that cannot be used and json::exception for a value of another type.
+// Throws ConfigError for an invalid value and json::exception for a value of the wrong type.
 DispatcherConfig readKeys(const json& file, const EnvironmentReader& environment) {
   DispatcherConfig config;
   config.name = file.value("name", environment("EDGE_NAME"));
-  config.listen = requireEither(file, "listen", environment, "EDGE_LISTEN");
-  config.discovery = requireEither(file, "discovery", environment, "EDGE_DISCOVERY");
-  config.state = requireEither(file, "state", environment, "EDGE_STATE");
+  config.listenAddress = requireKeyOrVariable(file, "listen", environment, "EDGE_LISTEN");
+  config.discoveryAddress = requireKeyOrVariable(file, "discovery", environment, "EDGE_DISCOVERY");
+  config.journalFolder = requireKeyOrVariable(file, "state", environment, "EDGE_STATE");
   config.seed = readSeed(file);
   const json limits = file.value("limits", json::object());
-  config.sockets = limits.value("sockets", kDefaultSockets);
-  config.diskBytes = readMegabytes(limits, "disk_mb", kDefaultDiskMegabytes);
-  config.memoryBytes = readMegabytes(limits, "memory_mb", kDefaultMemoryMegabytes);
+  config.maxDescriptors = limits.value("sockets", kDefaultMaxDescriptors);
+  config.maxJournalBytes = readMegabytes(limits, "disk_mb", kDefaultDiskMegabytes);
+  config.maxMemoryBytes = readMegabytes(limits, "memory_mb", kDefaultMemoryMegabytes);
   config.journalWriter = readJournalWriter(file);
   if (file.contains("rooms")) config.zoneFailover = file["rooms"].dump();
-  if (!file.contains("settings")) throw ConfigError("the configuration lacks 'settings'");
+  if (!file.contains("settings"))
+    throw ConfigError("required key 'settings' is missing from the configuration file");
   config.settings = file["settings"].dump();
-  if (file.contains("known")) config.known = file["known"].dump();
+  if (file.contains("known")) config.knownEndpoints = file["known"].dump();
   return config;
 }
 
@@ -109,7 +116,7 @@
 
 std::string readFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw ConfigError("cannot read " + path);
+  if (!file) throw ConfigError("cannot open file " + path);
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
@@ -128,7 +135,7 @@
 
 DispatcherConfig loadConfig(std::string configPath, const std::string& operatorPath) {
   if (configPath.empty()) configPath = readEnvironment("EDGE_CONFIG");
-  if (configPath.empty()) throw ConfigError("no configuration: give --config or set EDGE_CONFIG");
+  if (configPath.empty()) throw ConfigError("no configuration file: give --config or set EDGE_CONFIG");
   const std::string operatorText = operatorPath.empty() ? "" : readFile(operatorPath);
   return readConfig(readFile(configPath), readEnvironment, operatorText);
 }
@@ -154,7 +161,9 @@
 
 sockaddr_in requireAddress(const std::string& text, const char* key) {
   const auto address = parseAddress(text);
-  if (!address) throw ConfigError(std::string("'") + key + "' is not an address: '" + text + "'");
+  if (!address)
+    throw ConfigError(std::string("'") + key +
+                      "' must be an IPv4 address with a port, such as 10.0.0.4:6379, but is '" + text + "'");
   return *address;
 }
 
--- a/src/dispatcher/config.h
+++ b/src/dispatcher/config.h
@@ -12,46 +12,47 @@
 #include "settings/deployment_settings.h"
 #include "storage/journal.h"
 
-// The configuration of one dispatcher: what it consists of, and how it is read from the start file, the
-// operator's file and the environment. The spelling of its keys is known here only.
+// The configuration of one dispatcher, and the functions that read it from the start file, the operator's
+// file and the environment. Only their implementation contains the keys of the configuration.
 namespace stonewing {
 
-// What a dispatcher is configured with at its start. Plain values; nothing in it refers to anything else.
+// The configuration with which a dispatcher starts. All members are values; none is a reference.
 struct DispatcherConfig {
-  std::string name;           // of this dispatcher, for the log; may be empty
-  std::string listen;         // address and port for clients, such as "10.0.0.4:6379"
-  std::string discovery;      // address and port of discovery and of the platform
-  std::string state;          // folder of the journal
-  std::uint64_t seed{};       // of all random draws
-  std::size_t sockets{};      // descriptors that the process may hold
-  std::size_t diskBytes{};    // that the journal may take
-  std::size_t memoryBytes{};  // that the process may take
-  std::string settings;       // of the deployment, JSON text (settings/settings_reader.h)
-  std::string known;          // endpoint list to start from, in discovery's format; empty for none
-  std::string zoneFailover;   // the operator's zone failover settings, JSON text; empty for none
+  std::string name;              // name of this dispatcher in the log; may be empty
+  std::string listenAddress;     // address and port for clients, such as "10.0.0.4:6379"
+  std::string discoveryAddress;  // address and port of discovery and of the platform
+  std::string journalFolder;
+  std::uint64_t seed{};           // seed of all random draws
+  std::size_t maxDescriptors{};   // descriptors that the process may hold
+  std::size_t maxJournalBytes{};  // disk space that the journal may use
+  std::size_t maxMemoryBytes{};   // memory that the process may use
+  std::string settings;           // settings of the deployment, JSON text (settings/settings_reader.h)
+  std::string knownEndpoints;     // endpoint list to start with, in discovery's format; empty for none
+  std::string zoneFailover;       // the operator's zone failover settings, JSON text; empty for none
   JournalWriter journalWriter{JournalWriter::callingThread};
 };
 
-// Looks up a variable of the environment; returns an empty text where it is not set.
+// Returns the value of an environment variable, or an empty text if it is not set.
 using EnvironmentReader = std::function<std::string(const char* variable)>;
 
 // Reads a configuration from the text of the start file (a JSON object). `operatorText` is the text of the
-// operator's file (JSON, comments allowed; empty for none): its keys replace those of the start file. What
-// neither file states is taken from EDGE_ variables. Throws ConfigError with what is wrong.
+// operator's file (JSON, comments allowed; empty for none): its keys replace those of the start file. For
+// some keys that neither file contains, an EDGE_ environment variable is read. Throws ConfigError if the
+// configuration is invalid.
 DispatcherConfig readConfig(std::string_view text, const EnvironmentReader& environment,
                             std::string_view operatorText = {});
 
 // Reads a configuration from files. An empty `configPath` stands for the file that EDGE_CONFIG names, an
-// empty `operatorPath` for no operator's file. Throws ConfigError where a file cannot be read or used.
+// empty `operatorPath` for no operator's file. Throws ConfigError if a file cannot be read or is invalid.
 DispatcherConfig loadConfig(std::string configPath, const std::string& operatorPath);
 
-// What the deployment and the operator state together. Throws SettingsError where it cannot be used.
+// The settings of the deployment with those of the operator. Throws SettingsError if they are invalid.
 DeploymentSettings deploymentSettings(const DispatcherConfig& config);
 
 // The part of a deployment's settings that admission needs.
 AdmissionSettings admissionSettings(const DeploymentSettings& settings);
 
-// Reads an IPv4 address with a port. Throws ConfigError, naming `key`, where the text is none.
+// Parses an IPv4 address with a port. Throws a ConfigError that names `key` if `text` is not one.
 sockaddr_in requireAddress(const std::string& text, const char* key);
 
 }  // namespace stonewing
--- a/src/dispatcher/decision_executor.cpp
+++ b/src/dispatcher/decision_executor.cpp
@@ -9,9 +9,10 @@
 namespace stonewing {
 namespace {
 
-// Thousands of messages finish at once where a destination is removed or a restart finds many in flight.
-// Decided in one turn they would keep clients and endpoints waiting that have nothing to do with them; so a
-// turn decides for this long, and the rest follows in the next, after its events and replies.
+// The time for decisions in one turn. Thousands of messages finish at once if a destination is removed, or if
+// a restart finds many messages in flight. If all these decisions were made in one turn, unrelated clients
+// and endpoints would have to wait for it. The remaining decisions are made in the next turns, so that events
+// are read and replies are sent in between.
 constexpr Millis kDecisionTimePerTurn = 20;
 constexpr int kDecisionsPerClockRead = 64;  // a clock read for each decision would cost more than it saves
 constexpr Millis kNoRetryAfter = 0;
@@ -19,13 +20,13 @@
 }  // namespace
 
 void DecisionExecutor::executeDecisions() {
-  const Millis until = steadyNow() + kDecisionTimePerTurn;
+  const Millis stopAt = steadyNow() + kDecisionTimePerTurn;
   hasMore_ = false;
   int executed = 0;
   while (const std::optional<Decision> decision = policy_.nextDecision()) {
     execute(*decision);
     ++executed;
-    if (executed % kDecisionsPerClockRead != 0 || steadyNow() < until) continue;
+    if (executed % kDecisionsPerClockRead != 0 || steadyNow() < stopAt) continue;
     hasMore_ = true;
     break;
   }
--- a/src/dispatcher/decision_executor.h
+++ b/src/dispatcher/decision_executor.h
@@ -10,22 +10,23 @@
 
 namespace stonewing {
 
-// Asks the policy for its decisions, hands each to the part that carries it out, and keeps the timer that the
-// policy has set. What a decision sends waits for the next commit of the journal. Lives on the event loop's
-// thread; the references must outlive it. Times are milliseconds of the steady clock.
+// Gets the policy's decisions, passes each to the component that carries it out, and stores the timer that
+// the policy has set. The requests of a decision are sent after the next commit of the journal. Used on the
+// event loop's thread only; the objects passed to the constructor must outlive this one. Times are
+// milliseconds of the steady clock.
 class DecisionExecutor {
  public:
   DecisionExecutor(DispatchPolicy& policy, AttemptSender& sender, MessageStore& store)
       : policy_(policy), sender_(sender), store_(store) {}
 
-  // Executes decisions until there is none, or a turn's share of time is used up.
+  // Executes decisions until there are no more, or the time for decisions in one turn is used up.
   void executeDecisions();
-  // Whether the last call stopped for want of time.
+  // Whether the last executeDecisions() stopped because its time was used up.
   bool hasMore() const { return hasMore_; }
 
-  // When the policy wants to be asked again; none where it has set no timer.
+  // When the policy's timer is due; no value if the policy has set none.
   std::optional<Millis> timerDue() const { return timerDue_; }
-  // Whether the timer is due. A timer that is due is reported once.
+  // Whether the timer is due. Resets a timer that is due, so that it is reported once.
   bool takeDueTimer(Millis now);
 
  private:
--- a/src/dispatcher/descriptor_budget.cpp
+++ b/src/dispatcher/descriptor_budget.cpp
@@ -12,29 +12,29 @@
 namespace {
 
 // Three standard streams, epoll, signals, the listener, the journal and its compaction, the background
-// writer's event, discovery, the platform, one that is being accepted, and two to spare.
-constexpr std::size_t kMinOwnDescriptors = 14;
-constexpr std::size_t kMaxOwnDescriptors = 32;
-constexpr std::size_t kMinDescriptors = 2 * kMinOwnDescriptors;
-// At least one in so many connections to endpoints is left to health checks: requests that take all of them
-// would keep an endpoint that has recovered from being noticed.
+// writer's eventfd, discovery, the platform, one connection that is being accepted, and two in reserve.
+constexpr std::size_t kMinInternalDescriptors = 14;
+constexpr std::size_t kMaxInternalDescriptors = 32;
+constexpr std::size_t kMinDescriptors = 2 * kMinInternalDescriptors;
+// At least one in this many connections to endpoints is reserved for health checks. If requests could use all
+// of them, the dispatcher might not notice that an endpoint has recovered.
 constexpr std::size_t kHealthCheckDivisor = 8;
 
 }  // namespace
 
-// Connections to endpoints get a quarter of all descriptors. A deployment that wants more concurrent requests
-// than these allow gets more, up to half of what remains beside the dispatcher's own descriptors.
-DescriptorBudget descriptorBudget(std::size_t sockets, int wantedRequests) {
-  if (sockets < kMinDescriptors)
-    throw ConfigError("'limits.sockets' is " + std::to_string(sockets) + "; it must be at least " +
-                      std::to_string(kMinDescriptors));
+// Connections to endpoints get a quarter of all descriptors. If the deployment's limit on concurrent requests
+// needs more connections, they get more, up to half of the descriptors that are not internal.
+DescriptorBudget descriptorBudget(std::size_t descriptors, int requestedConcurrency) {
+  if (descriptors < kMinDescriptors)
+    throw ConfigError("'limits.sockets' or the process's limit allows " + std::to_string(descriptors) +
+                      " descriptors; it must allow at least " + std::to_string(kMinDescriptors));
   DescriptorBudget budget;
-  budget.own = std::clamp(sockets / 2, kMinOwnDescriptors, kMaxOwnDescriptors);
-  const std::size_t remaining = sockets - budget.own;
-  const auto requests = static_cast<std::size_t>(std::max(1, wantedRequests));
-  const std::size_t withHealthChecks = requests + requests / (kHealthCheckDivisor - 1) + 1;
-  const std::size_t quarter = sockets / 4;
-  budget.endpointConnections = std::clamp(withHealthChecks, quarter, std::max(quarter, remaining / 2));
+  budget.internal = std::clamp(descriptors / 2, kMinInternalDescriptors, kMaxInternalDescriptors);
+  const std::size_t remaining = descriptors - budget.internal;
+  const auto requests = static_cast<std::size_t>(std::max(1, requestedConcurrency));
+  const std::size_t connectionsNeeded = requests + requests / (kHealthCheckDivisor - 1) + 1;
+  const std::size_t quarter = descriptors / 4;
+  budget.endpointConnections = std::clamp(connectionsNeeded, quarter, std::max(quarter, remaining / 2));
   budget.clients = remaining - budget.endpointConnections;
   const std::size_t minHealthChecks =
       std::max<std::size_t>(1, budget.endpointConnections / kHealthCheckDivisor);
--- a/src/dispatcher/dispatcher.cpp
+++ b/src/dispatcher/dispatcher.cpp
@@ -10,17 +10,18 @@
 namespace stonewing {
 namespace {
 
-// The part of the process's memory that commands which have arrived in part may take: a tenth.
+// Incomplete commands of all clients may use a tenth of the process's memory.
 constexpr std::size_t kPartialCommandsMemoryDivisor = 10;
-// This many clients with replies do not wait for the decisions of the turn; fewer share one write of the
-// journal with their attempts.
+// If at least this many clients wait for replies, the journal is written before the decisions of the turn, so
+// that the replies need not wait for these decisions. Otherwise the accepted messages and the attempts of the
+// turn share one write of the journal.
 constexpr std::size_t kClientsForEarlyCommit = 16;
-// Each random generator has a seed of its own; the same one would tie their draws to each other.
+// Each random generator has its own seed. With a common seed, their draws would be correlated.
 constexpr std::uint64_t kAdmissionSeedOffset = 1;
 constexpr std::uint64_t kDiscoverySeedOffset = 2;
 
 DispatcherConfig withAllowedDescriptors(DispatcherConfig config) {
-  config.sockets = raiseDescriptorLimit(config.sockets);
+  config.maxDescriptors = raiseDescriptorLimit(config.maxDescriptors);
   return config;
 }
 
@@ -36,20 +37,21 @@
 Dispatcher::Dispatcher(const DispatcherConfig& config, ConfigSource source)
     : config_(withAllowedDescriptors(config)),
       settings_(deploymentSettings(config_)),
-      descriptors_(descriptorBudget(config_.sockets, settings_.maxConcurrentRequests)),
+      descriptors_(descriptorBudget(config_.maxDescriptors, settings_.maxConcurrentRequests)),
       names_(readNameTables(config_.settings)),
       policy_(withinBudget(settings_, descriptors_), config_.seed),
       admission_(admissionSettings(settings_), config_.seed + kAdmissionSeedOffset),
-      store_(names_, config_.state, config_.diskBytes, config_.journalWriter),
-      discovery_(loop_, policy_, names_, requireAddress(config_.discovery, "discovery"), config_.discovery,
-                 config_.seed + kDiscoverySeedOffset),
+      store_(names_, config_.journalFolder, config_.maxJournalBytes, config_.journalWriter),
+      discovery_(loop_, policy_, names_, requireAddress(config_.discoveryAddress, "discovery"),
+                 config_.discoveryAddress, config_.seed + kDiscoverySeedOffset),
       sender_(loop_, policy_, store_, discovery_, settings_, names_, descriptors_.endpointConnections,
               descriptors_.healthChecks),
-      notifier_(loop_, store_, requireAddress(config_.discovery, "discovery"), config_.discovery),
+      notifier_(loop_, store_, requireAddress(config_.discoveryAddress, "discovery"),
+                config_.discoveryAddress),
       turnMonitor_(loop_, store_),
       commandHandler_({loop_, lifecycle_, turnMonitor_, journalWrites_, discovery_, settings_, names_,
                        admission_, store_, policy_}),
-      server_(loop_, descriptors_.clients, config_.memoryBytes / kPartialCommandsMemoryDivisor,
+      server_(loop_, descriptors_.clients, config_.maxMemoryBytes / kPartialCommandsMemoryDivisor,
               [this](const std::vector<std::string_view>& words, bool clientHasClosed) {
                 using ClientSide = CommandHandler::ClientSide;
                 return commandHandler_.handle(words, clientHasClosed ? ClientSide::closed : ClientSide::open);
@@ -59,7 +61,7 @@
       decisions_(policy_, sender_, store_),
       reloader_(config_, std::move(source), discovery_, notifier_),
       zoneHealthLog_(names_.zones) {
-  requireAddress(config_.listen, "listen");
+  requireAddress(config_.listenAddress, "listen");
   loop_.onDescriptorExhaustion([this] { return server_.closeIdlestClient(); });
 }
 
@@ -70,14 +72,14 @@
 
 void Dispatcher::start() {
   enterState(LifecycleState::recovering);
-  recover(config_.known, loop_.now(), {policy_, store_, discovery_});
-  server_.listen(requireAddress(config_.listen, "listen"));
+  recover(config_.knownEndpoints, loop_.now(), {policy_, store_, discovery_});
+  server_.listen(requireAddress(config_.listenAddress, "listen"));
   enterState(LifecycleState::serving);
   turnMonitor_.start();
 }
 
-// The order of the steps is part of the behaviour: what has arrived is read first, so that decisions are made
-// on all of it; what is decided is written before it is acted on.
+// The order of the steps matters. All received data is read first, so that decisions take it into account.
+// Decisions are written to the journal before they are carried out, so that a crash cannot lose them.
 void Dispatcher::runTurn() {
   loop_.wait(nextTurnDue());
   policy_.beginRound(loop_.now());
@@ -106,8 +108,8 @@
   committer_.commit();
 }
 
-// Decisions that are made while a write hangs could not be carried out, and would rest on old facts once they
-// can.
+// While a journal write hangs, no decisions are made: they could not be carried out before it completes, and
+// would be based on outdated information by then.
 bool Dispatcher::mayDecideNow() const { return lifecycle_.mayDecide() && !store_.isCommitting(); }
 
 void Dispatcher::recordTurn() {
@@ -119,8 +121,8 @@
 }
 
 void Dispatcher::advanceLifecycle() {
-  if (signals_.isEndRequested()) lifecycle_.requestEnd(loop_.now());
-  if (!lifecycle_.isEndRequested()) return;
+  if (signals_.isShutdownRequested()) lifecycle_.requestShutdown(loop_.now());
+  if (!lifecycle_.isShutdownRequested()) return;
   while (const auto next = lifecycle_.nextState(loop_.now(), unfinishedWork())) enterState(*next);
 }
 
--- a/src/dispatcher/dispatcher.h
+++ b/src/dispatcher/dispatcher.h
@@ -27,20 +27,21 @@
 
 namespace stonewing {
 
-// One dispatcher from its start to its exit: owns all parts and runs the turns of the event loop. Everything
-// in it happens on the thread that calls run(), except for what the background writer of the journal does.
+// One dispatcher from its start to its exit: owns all components and runs the turns of the event loop. All
+// work is done on the thread that calls run(), except for the writes of the journal's background writer.
 class Dispatcher {
  public:
-  // `source`: what a reload reads; empty where the configuration never changes. Opens the journal and raises
-  // the process's descriptor limit. Throws ConfigError or SettingsError where the configuration cannot be
-  // used, std::system_error where the system has no descriptor left, and what MessageStore throws for the
-  // folder.
+  // `source`: reads the configuration for a reload; empty if the configuration never changes. Opens the
+  // journal and raises the process's descriptor limit. Throws ConfigError or SettingsError if the
+  // configuration is invalid, std::system_error if the system has no descriptor left, and the exceptions of
+  // the MessageStore constructor for the journal's folder.
   explicit Dispatcher(const DispatcherConfig& config, ConfigSource source = {});
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Recovers, serves and returns once a signal has requested the end and the work is done or out of time. To
-  // be called once. Throws std::system_error where the address for clients cannot be used.
+  // Recovers the journal's messages, serves clients, and returns when a signal has requested the shutdown and
+  // either the work is done or its time limit has passed. To be called once. Throws std::system_error if the
+  // dispatcher cannot listen on the address for clients.
   void run();
 
  private:
@@ -77,7 +78,7 @@
   DecisionExecutor decisions_;
   ConfigReloader reloader_;
   ZoneHealthLog zoneHealthLog_;
-  std::size_t finishedMessagesRecorded_{0};  // of the finished messages, how many admission has been given
+  std::size_t finishedMessagesRecorded_{0};  // how many finished messages admission_ has recorded
 };
 
 }  // namespace stonewing
--- a/src/dispatcher/journal_committer.cpp
+++ b/src/dispatcher/journal_committer.cpp
@@ -8,10 +8,12 @@
 namespace stonewing {
 namespace {
 
-// The loop waits for a write this long: a write that is done by then costs no turn of its own.
+// How long the loop waits for a write. A write that completes within this time needs no further turn of the
+// loop.
 constexpr Millis kCommitWait = 5;
-// A turn that has lasted this long reads the clock again before it sends. Without this, after a write that
-// hung in the loop or after long decisions, time-outs would count from a moment that has long passed.
+// If the time of the turn is older than this, the clock is read again before requests are sent. Without this,
+// after a write that hung in the loop or after long decisions, the timeouts of requests would count from an
+// outdated time.
 constexpr Millis kMaxTimeAge = 5;
 constexpr Millis kNoWait = 0;
 
@@ -19,7 +21,7 @@
 
 void JournalCompletion::onEvents(std::uint32_t) {
   std::uint64_t completedWrites = 0;
-  // Only resets the event; whether the write is done is asked of the store.
+  // Only resets the eventfd. commit() asks the store whether the write has completed.
   (void)!::read(descriptor_, &completedWrites, sizeof completedWrites);
 }
 
@@ -56,7 +58,8 @@
   store_.clearLost();
 }
 
-// The journal has no record of these messages: they were never accepted, and attempts of them are not sent.
+// Cancels the messages whose record could not be written. They count as not accepted, and no attempts of them
+// are sent.
 void JournalCommitter::cancelLostMessages() {
   for (MessageId id : store_.lostAcceptances()) {
     log::debug("message.not_journaled", {{"message", id.value}});
@@ -71,7 +74,8 @@
   return std::nullopt;
 }
 
-// A write takes long: rejections and errors need no record, and go out meanwhile.
+// Called while a write takes long. Sends the replies that do not wait for the write, such as rejections and
+// errors.
 void JournalCommitter::replyWithoutRecords() {
   journalWrites_.recordHanging(loop_.now(), store_.inFlight().size());
   server_.sendReplies([this](MessageId id) { return store_.isDecided(id) && !store_.isLostAcceptance(id); },
--- a/src/dispatcher/journal_committer.h
+++ b/src/dispatcher/journal_committer.h
@@ -18,8 +18,8 @@
 // Wakes the event loop when the background writer has completed a write that the loop did not wait for.
 class JournalCompletion : public EventHandler {
  public:
-  // `descriptor`: an eventfd of the journal, which stays open for longer than this object. Throws
-  // std::system_error where the loop cannot watch it.
+  // `descriptor`: an eventfd of the journal, which must stay open while this object exists. Throws
+  // std::system_error if the loop cannot watch the descriptor.
   JournalCompletion(EventLoop& loop, int descriptor)
       : descriptor_(descriptor), registration_(loop, descriptor, *this) {}
   void onEvents(std::uint32_t events) override;
@@ -29,14 +29,15 @@
   LoopRegistration registration_;
 };
 
-// Writes to the journal what a turn has changed and only then acts on it towards clients and endpoints, so
-// that nothing that was replied or sent can be lost by a crash. Where a background writer writes, a write
-// that hangs keeps just these actions waiting; the loop goes on with what needs no record.
+// Writes the changes of a turn to the journal and only then sends the replies and requests that depend on
+// them. So a crash cannot lose a change of which a client or an endpoint has learned. With a background
+// writer, a write that hangs delays only these replies and requests; the loop continues with work that needs
+// no record.
 //
-// Lives on the event loop's thread.
+// Used on the event loop's thread only.
 class JournalCommitter {
  public:
-  // What a commit writes, and what acts on it. All must outlive the committer.
+  // The components that a commit reads and changes. All must outlive the committer.
   struct Dependencies {
     EventLoop& loop;
     DispatchPolicy& policy;
@@ -47,11 +48,11 @@
     JournalWriteMonitor& journalWrites;
   };
 
-  // Throws std::system_error where the loop cannot watch the journal's descriptor.
+  // Throws std::system_error if the loop cannot watch the journal's descriptor.
   explicit JournalCommitter(const Dependencies& dependencies);
 
-  // Writes all that is not in the journal yet, then sends the batches and replies that depend on it. Returns
-  // early, with the write still under way, where it takes long; the next call goes on with it.
+  // Writes all changes that are not in the journal yet, then sends the batches and replies that depend on
+  // them. If the write takes long, returns while it is still in progress; the next call continues with it.
   void commit();
 
  private:
@@ -67,7 +68,7 @@
   AttemptSender& sender_;
   RespServer& server_;
   JournalWriteMonitor& journalWrites_;
-  std::optional<JournalCompletion> completion_;  // where a background writer writes the journal
+  std::optional<JournalCompletion> completion_;  // only with a background writer
 };
 
 }  // namespace stonewing
--- a/src/dispatcher/journal_write_monitor.cpp
+++ b/src/dispatcher/journal_write_monitor.cpp
@@ -5,7 +5,7 @@
 namespace stonewing {
 namespace {
 
-// A quarter of the time that a client waits for its reply: from then on clients notice.
+// A quarter of the time that a client waits for its reply, from which on clients notice the delay.
 constexpr Millis kReportAfter = 100;
 
 }  // namespace
--- a/src/dispatcher/journal_write_monitor.h
+++ b/src/dispatcher/journal_write_monitor.h
@@ -7,18 +7,19 @@
 
 namespace stonewing {
 
-// Knows for how long a write of the journal has been hanging, and logs it. A write hangs where a thread of
-// its own writes and the loop did not wait for it any longer. Times are milliseconds of the steady clock.
+// Measures for how long a write of the journal has been hanging, and logs it. A write is hanging if the
+// background writer has not completed it in the time that the event loop waits for it. Times are milliseconds
+// of the steady clock.
 class JournalWriteMonitor {
  public:
-  // A write is still under way. Logs it, once, where it has taken long.
+  // Records that a write is still in progress. Logs this once, if the write has taken long.
   void recordHanging(Millis now, std::size_t messagesInFlight);
-  // The write is done. Logs it where the hanging was logged.
+  // Records that the write has completed. Logs this if recordHanging() has logged the write.
   void recordCompleted(Millis now);
 
-  // For how long a write has been hanging; 0 for none.
+  // For how long a write has been hanging; 0 if none is.
   Millis hangingFor(Millis now) const;
-  // When recordHanging() has something to log; none while no write hangs or it was logged already.
+  // When recordHanging() will log the write; no value if no write is hanging or it was logged already.
   std::optional<Millis> reportDue() const;
 
  private:
--- a/src/dispatcher/lifecycle.cpp
+++ b/src/dispatcher/lifecycle.cpp
@@ -5,18 +5,19 @@
 namespace stonewing {
 namespace {
 
-// All three count from the request to end.
+// All three durations count from the request of the shutdown.
 //
-// Clients go on connecting for up to 0.4 s after the signal. A listener that closes earlier would turn away
-// messages that have nowhere else to go yet.
+// Clients continue to connect for up to 0.4 s after the signal. If the listener closed earlier, messages
+// would be rejected whose clients have no other dispatcher to use yet.
 constexpr Millis kAcceptDuration = 500;
-// With much in flight, each further second of attempts delivers more; half a second is left for responses.
+// With many messages in flight, each further second of attempts delivers more of them. The remaining half
+// second is for pending responses.
 constexpr Millis kSendDuration = 3000;
-// The process is killed no sooner than 3.7 s after the signal. It ends by itself before that, so that the
-// kill finds nothing that is half done.
+// The process may be killed from 3.7 s after the signal on. It exits earlier, so that a kill does not
+// interrupt it in the middle of its work.
 constexpr Millis kAwaitResponsesDuration = 3500;
 
-bool isAllDone(const UnfinishedWork& work) {
+bool isWorkDone(const UnfinishedWork& work) {
   return !work.messagesInFlight && !work.pendingNotifications && !work.clientsConnected;
 }
 
@@ -40,14 +41,14 @@
   return "unknown";
 }
 
-void Lifecycle::requestEnd(Millis now) {
-  if (!endRequestedAt_) endRequestedAt_ = now;
+void Lifecycle::requestShutdown(Millis now) {
+  if (!shutdownRequestedAt_) shutdownRequestedAt_ = now;
 }
 
 std::optional<LifecycleState> Lifecycle::nextState(Millis now, const UnfinishedWork& work) const {
-  if (!endRequestedAt_) return std::nullopt;
-  const Millis sinceRequest = now - *endRequestedAt_;
-  const bool awaitsNothing = !work.requestsInFlight && !work.pendingNotifications;
+  if (!shutdownRequestedAt_) return std::nullopt;
+  const Millis sinceRequest = now - *shutdownRequestedAt_;
+  const bool nothingPending = !work.requestsInFlight && !work.pendingNotifications;
   switch (state_) {
     case LifecycleState::recovering:
     case LifecycleState::ended:
@@ -59,10 +60,10 @@
       return std::nullopt;
     case LifecycleState::finishing:
       if (sinceRequest >= kSendDuration) return LifecycleState::awaitingResponses;
-      if (isAllDone(work)) return LifecycleState::ended;
+      if (isWorkDone(work)) return LifecycleState::ended;
       return std::nullopt;
     case LifecycleState::awaitingResponses:
-      if (isAllDone(work) || awaitsNothing || sinceRequest >= kAwaitResponsesDuration)
+      if (isWorkDone(work) || nothingPending || sinceRequest >= kAwaitResponsesDuration)
         return LifecycleState::ended;
       return std::nullopt;
   }
@@ -75,14 +76,14 @@
 }
 
 std::optional<Millis> Lifecycle::deadline() const {
-  if (!endRequestedAt_) return std::nullopt;
+  if (!shutdownRequestedAt_) return std::nullopt;
   switch (state_) {
     case LifecycleState::draining:
-      return *endRequestedAt_ + kAcceptDuration;
+      return *shutdownRequestedAt_ + kAcceptDuration;
     case LifecycleState::finishing:
-      return *endRequestedAt_ + kSendDuration;
+      return *shutdownRequestedAt_ + kSendDuration;
     case LifecycleState::awaitingResponses:
-      return *endRequestedAt_ + kAwaitResponsesDuration;
+      return *shutdownRequestedAt_ + kAwaitResponsesDuration;
     case LifecycleState::recovering:
     case LifecycleState::serving:
     case LifecycleState::ended:
--- a/src/dispatcher/main.cpp
+++ b/src/dispatcher/main.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kVersion = "0.2.0";
 
-// What the command line states; an empty path stands for one that was not given.
+// The values of the command line. An empty path means that the option was not given.
 struct Options {
   std::string configPath;
   std::string operatorPath;
@@ -24,15 +24,16 @@
   command.add_option("-c,--config", options.configPath, configHelp);
   command
       .add_option("-o,--operator", options.operatorPath,
-                  "what the operator adds (JSON; docs/zones.md, docs/overload.md)")
+                  "operator's file, whose keys replace those of the configuration (JSON; see docs/zones.md, "
+                  "docs/overload.md)")
       ->check(CLI::ExistingFile);
 }
 
 void check(const Options& options) {
   const auto config = stonewing::loadConfig(options.configPath, options.operatorPath);
   const auto settings = stonewing::deploymentSettings(config);
-  std::cout << config.name << " at " << config.listen << ": " << settings.types.size() << " traffic types, "
-            << settings.zoneFailover.priorities.size() << " tiers of rooms\n";
+  std::cout << config.name << " at " << config.listenAddress << ": " << settings.types.size()
+            << " traffic types, " << settings.zoneFailover.priorities.size() << " tiers of zones\n";
 }
 
 void serve(const Options& options) {
@@ -46,13 +47,14 @@
   app.require_subcommand(1);
   Options options;
   auto* serveCommand = app.add_subcommand("serve", "run one dispatcher until SIGTERM");
-  addConfigOptions(*serveCommand, options, "its configuration (default: the file that EDGE_CONFIG names)");
-  serveCommand->add_option("-l,--log", options.logLevel, "trace, debug, info, warn, error or off")
+  addConfigOptions(*serveCommand, options, "configuration file (default: the file that EDGE_CONFIG names)");
+  serveCommand->add_option("-l,--log", options.logLevel, "log level: trace, debug, info, warn, error or off")
       ->capture_default_str();
-  serveCommand->add_option("--log-format", options.logFormat, "text, or json: an object a line")
+  serveCommand
+      ->add_option("--log-format", options.logFormat, "log format: text, or json with one object per line")
       ->capture_default_str();
-  auto* checkCommand = app.add_subcommand("check", "read a configuration and say what is wrong with it");
-  addConfigOptions(*checkCommand, options, "as for serve");
+  auto* checkCommand = app.add_subcommand("check", "read a configuration and report the first error in it");
+  addConfigOptions(*checkCommand, options, "configuration file, as for serve");
   auto* versionCommand = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
   stonewing::log::open("stonewing", options.logLevel, options.logFormat);
--- a/src/dispatcher/recovery.cpp
+++ b/src/dispatcher/recovery.cpp
@@ -10,9 +10,10 @@
 namespace stonewing {
 namespace {
 
-// The steady and the wall clock are read one after the other; an attempt may seem this much later than now.
+// The steady and the wall clock are read one after the other, so that the send time of an attempt may appear
+// to be up to this much later than now.
 constexpr Millis kClockTolerance = 1;
-// Stands for the send time of an attempt where it is not known.
+// The send time of an attempt whose actual send time is unknown.
 constexpr Millis kUnknownSendTime = 0;
 
 void applyKnownEndpoints(const std::string& knownEndpoints, DiscoveryClient& discovery) {
@@ -24,9 +25,9 @@
   }
 }
 
-// A wall clock that was set back between two processes makes an attempt of the first lie in the future, and
-// would keep the deduplication window of its retry open for as much longer. Its send time is not known then,
-// and the window counts as expired.
+// The send time of an attempt on the steady clock. If the wall clock was set back between two processes, the
+// attempt of the first process seems to lie in the future, which would extend the deduplication window of its
+// retry by as much. In that case the send time is unknown, and the window counts as expired.
 Millis sendTime(const AttemptRecord& attempt, Millis now, Millis wallToSteady) {
   const Millis sentAt = attempt.sentWall + wallToSteady;
   return sentAt > now + kClockTolerance ? kUnknownSendTime : sentAt;
--- a/src/dispatcher/signal_handler.cpp
+++ b/src/dispatcher/signal_handler.cpp
@@ -29,8 +29,8 @@
 }  // namespace
 
 void blockSignals() {
-  ::signal(SIGPIPE, SIG_IGN);  // the reader of the log may go away
-  ::signal(SIGXFSZ, SIG_IGN);  // a file that may not grow is an error to handle
+  ::signal(SIGPIPE, SIG_IGN);  // the process that reads the log may exit
+  ::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit is handled as an error
   sigset_t signals = handledSignals();
   ::sigprocmask(SIG_BLOCK, &signals, nullptr);
 }
@@ -46,7 +46,7 @@
     if (info.ssi_signo == static_cast<std::uint32_t>(SIGHUP)) {
       reloadRequested_ = true;
     } else {
-      endRequested_ = true;
+      shutdownRequested_ = true;
     }
   }
 }
--- a/src/dispatcher/turn_monitor.cpp
+++ b/src/dispatcher/turn_monitor.cpp
@@ -11,7 +11,7 @@
 // Reading the thread's processor time costs a system call, so it is not read in turns shorter than this.
 constexpr Millis kMinMeasuredTurn = 5;
 constexpr Millis kSlowTurn = 100;  // a quarter of the time that a client waits for its reply
-// A slow turn is logged no more often than this, or an overload would fill the log.
+// Slow turns are logged no more often than this. Without this limit, an overload would fill the log.
 constexpr Millis kSlowTurnLogInterval = 5000;
 constexpr Millis kMillisPerSecond = 1000;
 constexpr Millis kNanosPerMilli = 1e6;
@@ -31,22 +31,22 @@
 }
 
 Millis TurnMonitor::takeTurnWork() {
-  const Millis before = std::exchange(workAtTurnStart_, totalWork());
-  return workAtTurnStart_ - before;
+  const Millis previousWork = std::exchange(workAtTurnStart_, totalWork());
+  return workAtTurnStart_ - previousWork;
 }
 
 void TurnMonitor::logIfSlow(std::size_t messagesInFlight, std::size_t clients) {
-  const Millis whole = steadyNow() - turnBeganAt_;
-  if (whole < kSlowTurn) return;
+  const Millis turnDuration = steadyNow() - turnBeganAt_;
+  if (turnDuration < kSlowTurn) return;
   ++slowTurns_;
   if (slowTurnLoggedAt_ && loop_.now() < *slowTurnLoggedAt_ + kSlowTurnLogInterval) return;
   slowTurnLoggedAt_ = loop_.now();
-  const Millis reading = dispatchedAt_ - turnBeganAt_;
-  const Millis deciding = decidedAt_ - dispatchedAt_;
-  log::warn("event_loop.slow", {{"turn_ms", whole},
-                                {"reading_ms", reading},
-                                {"deciding_ms", deciding},
-                                {"rest_ms", whole - reading - deciding},
+  const Millis dispatchDuration = dispatchedAt_ - turnBeganAt_;
+  const Millis decisionDuration = decidedAt_ - dispatchedAt_;
+  log::warn("event_loop.slow", {{"turn_ms", turnDuration},
+                                {"reading_ms", dispatchDuration},
+                                {"deciding_ms", decisionDuration},
+                                {"rest_ms", turnDuration - dispatchDuration - decisionDuration},
                                 {"turns", std::exchange(slowTurns_, 0)},
                                 {"in_flight", messagesInFlight},
                                 {"clients", clients}});
--- a/src/dispatcher/turn_monitor.h
+++ b/src/dispatcher/turn_monitor.h
@@ -9,30 +9,32 @@
 
 namespace stonewing {
 
-// Measures the turns of the event loop: the work in them, which admission goes by, and their duration, which
-// is logged where it is too long. Work is the thread's own processor time and the time that writing the
-// journal took. A process that was stopped in the middle of a turn is not slow; it has much to read, and
-// rejecting that would cost what could still be delivered.
+// Measures the turns of the event loop: the work in each turn, which admission uses to detect overload, and
+// the turn's duration, which is logged if it is too long. Work is the processor time of the thread plus the
+// time spent on writing the journal. The duration is no measure of overload: a process that was stopped in
+// the middle of a turn only has many commands to read, and if admission rejected these, messages would be
+// lost that could still be delivered.
 //
-// Lives on the event loop's thread; the loop and the store must outlive it. Times are in milliseconds.
+// Used on the event loop's thread only; the loop and the store must outlive this object. Times are in
+// milliseconds.
 class TurnMonitor {
  public:
   TurnMonitor(const EventLoop& loop, const MessageStore& store) : loop_(loop), store_(store) {}
 
-  // Work done before this call belongs to no turn.
+  // Starts the measurement. Work done before this call counts for no turn.
   void start() { workAtTurnStart_ = totalWork(); }
 
-  // The parts of a turn, in this order.
+  // To be called in this order in each turn: before events are dispatched, after that, and after decisions.
   void beginTurn() { turnBeganAt_ = steadyNow(); }
   void recordDispatched() { dispatchedAt_ = steadyNow(); }
   void recordDecided() { decidedAt_ = steadyNow(); }
   // Ends the measurement of the turn's work and returns it.
   Millis takeTurnWork();
-  // Logs a turn that took too long with its parts: the first at once, then every few seconds with the number
-  // of such turns.
+  // Logs a turn that took too long, with the durations of its parts. After a log line, further slow turns are
+  // only counted for a few seconds; the next line states their number.
   void logIfSlow(std::size_t messagesInFlight, std::size_t clients);
 
-  // The work in this turn so far; 0 in a turn that is still short.
+  // The work in this turn so far; 0 as long as the turn is short.
   Millis workThisTurn() const;
 
  private:
@@ -43,7 +45,7 @@
   Millis turnBeganAt_{0};
   Millis dispatchedAt_{0};
   Millis decidedAt_{0};
-  Millis workAtTurnStart_{0};  // totalWork() at the end of the last turn; sleep adds nothing to it
+  Millis workAtTurnStart_{0};  // totalWork() at the end of the last turn; sleeping adds no work
   std::optional<Millis> slowTurnLoggedAt_;
   int slowTurns_{0};  // since the last log line
 };
--- a/src/dispatcher/zone_health_log.cpp
+++ b/src/dispatcher/zone_health_log.cpp
@@ -10,11 +10,11 @@
 
 void ZoneHealthLog::logChanges(Millis now, const ZoneFailover& zones) {
   if (!zones.isEnabled()) return;
-  logged_.resize(zoneNames_.size(), ZoneHealth::healthy);
-  for (std::size_t index = 0; index < logged_.size(); ++index) {
+  loggedHealth_.resize(zoneNames_.size(), ZoneHealth::healthy);
+  for (std::size_t index = 0; index < loggedHealth_.size(); ++index) {
     const ZoneId zone{static_cast<std::uint8_t>(index)};
     const ZoneHealth health = healthOf(now, zones, zone);
-    if (std::exchange(logged_[index], health) != health) logChange(now, zones, zone, health);
+    if (std::exchange(loggedHealth_[index], health) != health) logChange(now, zones, zone, health);
   }
 }
 
--- a/src/dispatcher/zone_health_log.h
+++ b/src/dispatcher/zone_health_log.h
@@ -8,13 +8,13 @@
 
 namespace stonewing {
 
-// Logs each change of what zone failover believes of a zone. Writes nothing where zone failover is off.
+// Logs each change of a zone's health as zone failover judges it. Logs nothing if zone failover is off.
 class ZoneHealthLog {
  public:
-  // `zoneNames`: by zone id; they must outlive this object.
+  // `zoneNames`: by zone id; the vector must outlive this object.
   explicit ZoneHealthLog(const std::vector<std::string>& zoneNames) : zoneNames_(zoneNames) {}
 
-  // Logs what has changed since the last call. `now`: milliseconds of the policy's clock.
+  // Logs the zones whose health has changed since the last call. `now`: milliseconds of the policy's clock.
   void logChanges(Millis now, const ZoneFailover& zones);
 
  private:
@@ -23,7 +23,7 @@
   void logChange(Millis now, const ZoneFailover& zones, ZoneId zone, ZoneHealth health) const;
 
   const std::vector<std::string>& zoneNames_;
-  std::vector<ZoneHealth> logged_;  // by zone id
+  std::vector<ZoneHealth> loggedHealth_;  // by zone id
 };
 
 }  // namespace stonewing
--- a/tests/dispatcher/lifecycle_test.cpp
+++ b/tests/dispatcher/lifecycle_test.cpp
@@ -9,7 +9,8 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// The end of a dispatcher on SIGTERM: it drains, finishes and keeps the rest in its journal.
+// The shutdown of a dispatcher on SIGTERM: it drains, finishes the messages that it can deliver in time, and
+// leaves the others in its journal.
 namespace stonewing::testing {
 namespace {
 
--- a/tests/dispatcher/reload_test.cpp
+++ b/tests/dispatcher/reload_test.cpp
@@ -13,7 +13,7 @@
 namespace stonewing::testing {
 namespace {
 
-// Without this, the program would end on the signal, or go on polling and notifying an address that no
+// Guards against a dispatcher that exits on SIGHUP, or that continues to poll and notify an address that no
 // longer exists.
 TEST(Reload, ChangesTheAddressOfDiscoveryOnSighup) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
@@ -43,16 +43,18 @@
   EXPECT_TRUE(eventually(1500, [&] { return endpoint.requestsContaining("X-Request-Id: waiting") == 1; }));
   EXPECT_TRUE(eventually(1500, [&] { return second.requestsContaining("\"dead\"") == 1; }));
   EXPECT_EQ(first.requestsContaining("POST /reports"), 0u);
-  // A destination that only an old list lacks may exist; one that discovery itself does not know does not.
+  // Before discovery had answered, destination 8 could have been missing only from an outdated list, and the
+  // reply above was -BUSY. Now discovery has answered, and the destination does not exist.
   EXPECT_EQ(dispatcher.request(submitCommand("x", "c=order,d=900,dest=8")), "-ERR unknown dest\r\n");
   EXPECT_EQ(dispatcher.stop(SIGTERM), 0);
 }
 
-// SIGTERM together with a second one, a new configuration, and half a response to a message that is not
-// idempotent.
+// A reload arrives between two SIGTERMs, while an endpoint has sent half a response to a message that is not
+// idempotent. Guards against notifications that are lost or sent to the old platform only, against a second
+// request for that message, and against a shutdown that takes too long.
 TEST(Reload, NotifiesTheNewPlatformWhenItCrossesTwoSigterms) {
   HttpServerStub endpoint([](auto&, auto&) { return "HTTP/1.1 2"; });
-  HttpServerStub first([](auto&, auto&) { return ""; });  // does not confirm notifications either
+  HttpServerStub first([](auto&, auto&) { return ""; });  // confirms no notifications
   HttpServerStub second(confirmNotifications);
   endpoint.start();
   first.start();
--- a/tests/dispatcher/repeated_kills_test.cpp
+++ b/tests/dispatcher/repeated_kills_test.cpp
@@ -18,9 +18,9 @@
 namespace stonewing::testing {
 namespace {
 
-// SIGKILL again and again, wherever the replay, the requests, the outcomes and the notifications are at that
-// time; the next process goes on from what was journaled. No effect happens twice, and none is left without
-// an outcome.
+// Kills the dispatcher repeatedly, at any point of the replay, the requests, the outcomes and the
+// notifications; the next process continues from the journal. Guards against non-idempotent messages that are
+// sent twice, and against messages that are left without an outcome.
 TEST(Restart, LosesNothingAndRepeatsNoEffectWhenKilledAgainAndAgain) {
   constexpr int kMessageCount = 1000;
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
@@ -42,15 +42,17 @@
   std::set<std::size_t> requestsBefore;  // at the endpoint, before each kill
   for (int kill = 0; kill < 20 && endpoint.requests().size() < kMessageCount; ++kill) {
     ASSERT_TRUE(dispatcher.spawn());
-    // The first few at any time of the start, the others after so many requests.
-    std::size_t until = kill < 3 ? kMessageCount : endpoint.requests().size() + 1 + random() % 60;
-    auto latest = std::chrono::steady_clock::now() + std::chrono::milliseconds(kill < 3 ? kill * 4 : 2000);
-    while (endpoint.requests().size() < until && std::chrono::steady_clock::now() < latest)
+    // The first three kills happen during the start, the others after a random number of requests.
+    std::size_t killAfterRequests = kill < 3 ? kMessageCount : endpoint.requests().size() + 1 + random() % 60;
+    auto killDeadline =
+        std::chrono::steady_clock::now() + std::chrono::milliseconds(kill < 3 ? kill * 4 : 2000);
+    while (endpoint.requests().size() < killAfterRequests && std::chrono::steady_clock::now() < killDeadline)
       std::this_thread::sleep_for(std::chrono::microseconds(100));
     dispatcher.stop(SIGKILL);
     requestsBefore.insert(endpoint.requests().size());
   }
-  EXPECT_GE(requestsBefore.size(), 5u);  // kills among the deliveries, not before or behind all of them
+  EXPECT_GE(requestsBefore.size(),
+            5u);  // several kills happened between deliveries, not all before or after them
   ASSERT_TRUE(dispatcher.start());
   auto isFinished = [&](int n) {
     std::string reference = "r" + std::to_string(n) + ".";
--- a/tests/dispatcher/restart_test.cpp
+++ b/tests/dispatcher/restart_test.cpp
@@ -16,12 +16,13 @@
 #include "support/http_server_stub.h"
 #include "support/resp_commands.h"
 
-// What a new process makes of the journal that an earlier one left.
+// The recovery of a new process from the journal of an earlier one.
 namespace stonewing::testing {
 namespace {
 
-// What was pending at the kill may have been executed. An idempotent message is attempted again; one that is
-// not never is, and the platform is notified of it, however often its first responses fail.
+// An attempt that was pending at the kill may have been executed. An idempotent message must be attempted
+// again. A non-idempotent one must not, and the platform must be notified of it, even if the platform's first
+// responses are errors.
 TEST(Restart, NotifiesEachOutcomeThatAKillLeftOpen) {
   std::atomic<bool> isSilent{true};
   std::atomic<int> reports{0};
@@ -49,7 +50,7 @@
   EXPECT_EQ(endpoint.requestsContaining("X-Request-Id: unsafe"), 1u);
   EXPECT_EQ(endpoint.requestsContaining("X-Request-Id: idempotent"), 2u);
   EXPECT_GE(platform.requestsContaining("{\"ref\":\"unsafe\",\"result\":\"dead\"}\n"), 3u);
-  // Until the confirmation is journaled, which is after the platform sent it.
+  // Waits until the confirmation is in the journal, which happens after the platform has sent it.
   EXPECT_TRUE(eventually(2000, [&] {
     TemporaryDirectory journalCopy;
     std::filesystem::copy(dispatcher.directory() / "journal", journalCopy.path / "journal");
@@ -60,14 +61,14 @@
   }));
   EXPECT_EQ(dispatcher.stop(SIGKILL), -SIGKILL);
   int reportsBefore = reports;
-  ASSERT_TRUE(dispatcher.start());  // both are finished; the one for nowhere still waits
+  ASSERT_TRUE(dispatcher.start());  // "idempotent" and "unsafe" are finished, "nowhere" is in flight
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   EXPECT_EQ(endpoint.requests().size(), 3u);
   EXPECT_EQ(reports, reportsBefore);
 }
 
-// A wall clock that was set back while no process ran. What was sent lies in the future then, and its
-// deduplication window would seem open for that much longer.
+// The wall clock is set back while no process runs, so that the send time of an attempt lies in the future.
+// Guards against a deduplication window that is extended by as much.
 TEST(Restart, TreatsDeduplicationWindowsAsClosedWhenTheClockWasSetBack) {
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
   HttpServerStub platform(confirmNotifications);
@@ -93,8 +94,9 @@
   }
 }
 
-// What a restart costs: it must be ready soon where hundreds restart together on few cores. Each message in
-// flight was attempted at an endpoint that no list names any more, the most expensive case.
+// Guards against a slow recovery: a dispatcher must be ready soon even if hundreds restart together on few
+// cores. Each message in flight was attempted at an endpoint that is in no list any more, the most expensive
+// case.
 TEST(Restart, IsReadySoonWithAFullJournal) {
   HttpServerStub platform(confirmNotifications);  // discovery does not respond
   for (std::uint32_t messageCount : {1000u, 10000u}) {
@@ -124,13 +126,12 @@
     std::cout << messageCount << " in flight: " << seconds << " s of processor time until ready\n";
     EXPECT_LT(seconds, 4.0);  // under the sanitizers too
     EXPECT_EQ(dispatcher.request(submitCommand("r7", "c=order,d=60000,dest=7")),
-              "+OK\r\n");  // it is in flight
+              "+OK\r\n");  // recovered, and still in flight
     dispatcher.stop(SIGKILL);
   }
 }
 
-// SIGTERM before recovery is complete, with much to read: neither it nor a kill during the replay loses a
-// message.
+// SIGTERM or SIGKILL arrives while a large journal is being recovered. Neither may lose a message.
 TEST(Restart, KeepsAllMessagesWhenStoppedDuringRecovery) {
   constexpr int kMessageCount = 20000;
   HttpServerStub platform(confirmNotifications);
@@ -162,9 +163,10 @@
   EXPECT_EQ(platform.requestsContaining("/reports"), 0u);
 }
 
-// However many there are, and soon.
+// A restart finds as many messages in flight as the settings allow. Guards against messages that are not
+// attempted soon, or of which the platform is notified instead.
 TEST(Restart, AttemptsAllMessagesThatWereNotAttemptedBefore) {
-  constexpr int kMessageCount = 47;  // the most in flight that the settings allow, less the reserve
+  constexpr int kMessageCount = 47;  // the most in flight that the settings allow, minus the reserve
   HttpServerStub endpoint([](auto&, auto&) { return kHttpOk; });
   HttpServerStub platform(confirmNotifications);
   endpoint.start();
--- a/tests/support/dispatcher_process.h
+++ b/tests/support/dispatcher_process.h
@@ -20,8 +20,8 @@
 
 namespace stonewing::testing {
 
-// The dispatcher as a process of its own, started and stopped at will. Its directory, port and configuration
-// stay the same from one start to the next; a process that still runs at the end is killed.
+// A dispatcher in a separate process that a test starts and stops. Its directory, port and configuration stay
+// the same from one start to the next. The destructor kills a process that is still running.
 class DispatcherProcess {
  public:
   // settings and knownEndpoints: JSON as the configuration holds it; discovery: the address of discovery and
@@ -40,7 +40,7 @@
   DispatcherProcess(const DispatcherProcess&) = delete;
   DispatcherProcess& operator=(const DispatcherProcess&) = delete;
 
-  // Its configuration with that address of discovery.
+  // The text of the configuration, with the given address of discovery.
   std::string configFor(const std::string& discovery) const {
     return R"({"name":"n1","seed":"2a","listen":"127.0.0.1:)" + std::to_string(port()) +
            R"(","discovery":")" + discovery + R"(","state":")" + directory_.path.string() + R"(","limits":)" +
@@ -49,15 +49,15 @@
   }
   void writeConfig(const std::string& configuration) const { std::ofstream(configPath_) << configuration; }
 
-  // A library to preload, which stands in for some calls of the system's; counts from the next start.
+  // Sets a library to preload, which replaces some system calls. Takes effect at the next start.
   void preload(const std::string& library) { preloadedLibrary_ = library; }
 
-  // Starts it and waits until it answers clients, for 5 s at most.
+  // Starts the process and waits up to 5 s until it answers clients.
   bool start() {
     return spawn() && eventually(5000, [&] { return request("*1\r\n$4\r\nPING\r\n") == "+PONG\r\n"; });
   }
 
-  // Starts it without waiting.
+  // Starts the process without waiting until it answers.
   bool spawn() {
     std::string arguments[] = {STONEWING_BINARY, "serve", "--log", "off", "--config", configPath_};
     std::vector<char*> argumentPointers;
@@ -75,8 +75,8 @@
 
   void sendSignal(int signal) const { ::kill(pid_, signal); }
 
-  // Sends the signal and waits for the end. Returns the exit code, or minus the number of the signal that
-  // ended it.
+  // Sends the signal and waits until the process has ended. Returns the exit code, or the negative number of
+  // the signal that terminated the process.
   int stop(int signal) {
     int status = 0;
     ::kill(pid_, signal);
@@ -87,7 +87,8 @@
 
   enum class AfterSending { keepOpen, shutDownWriting };
 
-  // Sends bytes on a new connection and returns what it answers: until that many lines have come, or the end.
+  // Sends bytes on a new connection and returns the received bytes: until `lines` lines have arrived or the
+  // dispatcher has closed the connection.
   std::string request(const std::string& bytes, int lines = 1,
                       AfterSending afterSending = AfterSending::keepOpen) const {
     int fd = connectToLoopback(port());
--- a/tests/support/dispatcher_settings.h
+++ b/tests/support/dispatcher_settings.h
@@ -4,7 +4,7 @@
 
 #include "support/http_server_stub.h"
 
-// Settings, endpoint lists and responses that tests of a whole dispatcher have in common.
+// Settings, endpoint lists and responses shared by the tests of a whole dispatcher.
 namespace stonewing::testing {
 
 inline const std::string kHttpOk = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -32,7 +32,7 @@
          R"({"id":"s-9","addr":"127.0.0.1:9","zone":"a","kind":"plain","cell":9,"state":"terminating","weight":1.0,"started_ms":0}])";
 }
 
-// A platform that confirms every notification, and a discovery that never responds to a watch.
+// Responds as a platform that confirms every notification and as a discovery that never responds to a poll.
 inline std::string confirmNotifications(const std::string& head, const std::string&) {
   return head.starts_with("POST /reports") ? kHttpNoContent : "";
 }
--- a/tests/support/temporary_directory.h
+++ b/tests/support/temporary_directory.h
@@ -5,7 +5,7 @@
 
 namespace stonewing::testing {
 
-// An empty directory that is removed with all its files at the end.
+// Creates an empty directory; the destructor removes it with all its files.
 struct TemporaryDirectory {
   std::filesystem::path path;
 
