--- a/src/settings/deployment_settings.h
+++ b/src/settings/deployment_settings.h
@@ -64,8 +64,8 @@
   using Priorities = std::vector<std::vector<ZoneId>>;
   Priorities priorities;
   std::map<DestinationId, Priorities> destinations;  // replace `priorities` for these destinations
-  // Limit on the rate of spillover attempts into a zone, as a share of the rate of attempts that this zone or
-  // the home zone can serve, whichever is higher; may be above 1.
+  // Limit on the rate of spillover attempts into a zone, as a share of the rate that this zone or the home
+  // zone handles, whichever is higher; may be above 1.
   double spilloverShare{1};
   double spilloverRequestShare{1};  // limit as a share of maxConcurrentRequests, for all zones together
   double spilloverPerSecond{0};     // most spillover attempts into one zone; 0: no such limit
